--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// commitPeriod is the shortest time between two commits of a step. What
-	// finishes meanwhile goes into the next commit.
+	// commitInterval is the minimum interval between two commits of a step.
+	// Samples that finish in between are written by the next commit.
 	commitPeriod = 100 * time.Millisecond
-	// reloadPeriod is how often an owner without commits reads the progress,
-	// to learn of withdrawn samples and of a successor.
+	// progressPollInterval is how often an owner without commits reads the
+	// progress, to detect withdrawn samples and a takeover by another VM.
 	reloadPeriod = time.Second
-	// maxBatch and maxBatchBytes bound the samples of one commit; a single
-	// sample may be larger.
+	// maxBatchSamples and maxBatchBytes bound the samples of one commit. A
+	// single sample may exceed maxBatchBytes.
 	maxBatch      = 64
 	maxBatchBytes = 256 << 10
-	// commitRetry is the pause after a commit whose outcome is not known.
+	// commitBackoff is the wait after a failed commit, whose outcome may be
+	// unknown, unless the error names a time to retry.
 	commitRetry = 250 * time.Millisecond
 )
 
-// committed is what a commit, or a reading of the progress, returned.
+// commitResult is the result of a commit, or of a read of the progress.
 type committed struct {
 	batch    []finished
 	rejected []rejection
 	progress sample.Progress
-	// numbered are the samples that were written.
+	// numbered are the samples that the commit wrote.
 	numbered []sample.Sample
 	err      error
 }
 
-// flush begins a commit of what is ready, or reads the progress when nothing
-// has been committed for a while.
+// flush starts a commit of the ready samples, or a read of the progress when
+// nothing has been committed for progressPollInterval.
 func (o *owner) flush(ctx context.Context, now time.Time) {
 	if o.committing || now.Before(o.commitAt) {
 		return
@@ -61,8 +62,9 @@
 	return len(ready)
 }
 
-// commit judges a batch and commits what passes, until no other writer of the
-// progress comes in between. Each try judges anew.
+// commit validates a batch and commits the accepted samples. It retries while
+// other writers change the progress concurrently, and validates the batch again
+// for each try.
 func (o *owner) commit(ctx context.Context, batch []finished) committed {
 	c := committed{batch: batch}
 	for {
@@ -101,9 +103,9 @@
 	return fit, rejected, nil
 }
 
-// takeCommitted handles the end of a commit. After a failure the batch waits
-// for the next one: the progress tells by then whether it took effect after
-// all, so that nothing is committed twice.
+// handleCommitted processes the result of a commit. After a failure the batch
+// is put back for the next commit. If the failed commit took effect after all,
+// the progress shows it by then, so that no sample is committed twice.
 func (o *owner) takeCommitted(c committed, before sample.Progress, now time.Time) sample.Progress {
 	o.committing = false
 	o.commitAt = now.Add(commitPeriod)
@@ -125,9 +127,9 @@
 	return c.progress
 }
 
-// account counts committed samples, for the metrics and for billing. Only the
-// tokens of committed samples count: what hedges, failures and rejections cost
-// besides is the system's own.
+// recordUsage counts committed samples for metrics and billing. Only the tokens
+// of committed samples are billed. The tokens of hedges, failed attempts and
+// rejected samples are not charged to the account.
 func (o *owner) account(samples []sample.Sample) {
 	account := string(o.ref.account)
 	tokens := int64(0)
--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -13,22 +13,24 @@
 )
 
 const (
-	// deliveryBatches is how many batches one answer holds at most.
+	// maxDeliveryBatches is the maximum number of batches in one answer.
 	deliveryBatches = 16
-	// pollPeriod is how often a waiting pull reads the progress.
+	// pollInterval is how often a waiting pull reads the progress.
 	pollPeriod = 100 * time.Millisecond
 )
 
 // Samples returns the samples after the pull's cursor, in order and without
-// gaps, and waits for the first.
+// gaps. If there are none, it waits up to pull.Wait for the first.
 //
-// The same number always has the same content, or a tombstone once the sample
-// went stale before the trainer confirmed it. The tombstone is in the store
-// before it is sent, so that no later answer of any VM holds the content.
+// A number always has the same content, or a tombstone if the sample became
+// stale before the trainer acknowledged it. The tombstone is written to the
+// store before it is sent, so that no later answer of any VM contains the
+// content.
 //
-// A pull that the trainer gave up may still run on a VM that was paused. Each
-// pull therefore takes its turn in the store before it judges, sends or
-// withdraws anything, and one that was overtaken does none of these.
+// A pull that the trainer has abandoned may still run on a VM that was paused.
+// Each pull therefore registers its number in the progress before it validates,
+// sends or withdraws samples. A pull whose number is not higher than the
+// registered one fails with *fault.PullOvertaken and does none of these.
 func (m *Manager) Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error) {
 	r := ref{account: account, step: step}
 	deadline := time.Now().Add(pull.Wait)
@@ -71,10 +73,11 @@
 	return m.deliver(ctx, r, model, pull)
 }
 
-// deliver reads and judges the samples after a number. The judgement rests on a
-// reading of the weight store that began after the pull: with an older one, a
-// sample could go out that a new version had made stale. Stale samples are
-// withdrawn first; then all are read and judged again, since time has passed.
+// deliver reads and validates the samples after the cursor. The validation uses
+// a read of the weight store that began after the pull: an older read could
+// miss a new version, and a stale sample would be delivered. Stale samples are
+// withdrawn first; then all samples are read and validated again, since more
+// may have become stale meanwhile.
 func (m *Manager) deliver(ctx context.Context, r ref, model string, pull sample.Pull) ([]sample.Sample, error) {
 	for {
 		batches, err := m.store.batches(ctx, r, pull.After, deliveryBatches)
@@ -95,9 +98,9 @@
 	}
 }
 
-// withdrawStale withdraws what may not be passed on, and reports whether the
-// batches must be read again. Only samples after the cursor are looked at: the
-// trainer has those before it.
+// withdrawStale withdraws stale samples, and reports whether the batches must
+// be read again. It considers only samples after the cursor: the trainer
+// already has the earlier ones.
 func (m *Manager) withdrawStale(ctx context.Context, r ref, batches []batch, pull sample.Pull, v verdict) (bool, error) {
 	stale := func(s sample.Sample) bool {
 		return s.Number > pull.After && !s.Withdrawn && v.fresh(s) != nil
@@ -116,8 +119,8 @@
 			return false, err
 		}
 		if count == 0 {
-			// The trainer confirmed the samples since the pull began, so that
-			// this pull was given up by its caller.
+			// The trainer has acknowledged these samples since the pull began,
+			// so that it no longer waits for this pull.
 			return false, errors.WithStack(&fault.CallerGone{})
 		}
 		m.metrics.withdrawn.WithLabelValues(string(r.account)).Add(float64(count))
@@ -136,7 +139,7 @@
 	return false
 }
 
-// delivered returns the samples after the cursor and records their ages.
+// collectSamples returns the samples after the cursor and records their ages.
 func (m *Manager) delivered(r ref, batches []batch, after int64, v verdict) []sample.Sample {
 	var samples []sample.Sample
 	for _, b := range batches {
@@ -153,8 +156,8 @@
 	return samples
 }
 
-// Ack confirms the samples up to a number. They are never withdrawn after that
-// and never sent again.
+// Ack acknowledges the samples up to a number. Acknowledged samples are never
+// withdrawn and never sent again.
 func (m *Manager) Ack(ctx context.Context, account contract.Account, step string, through int64) error {
 	r := ref{account: account, step: step}
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -32,20 +32,22 @@
 	testTerm                     = 10 * time.Second
 )
 
-// faultsOf chooses the faults of one VM by the number of its call from 0.
+// faultsByCall maps the index of a VM's call, counted from 0, to the fault that
+// is injected into it.
 type faultsOf map[int]platformtest.Fault
 
-// testVM is one VM: its calls to the store fail as told, and it can be killed.
+// testVM is a VM with injected faults in its calls to the store. It can be
+// killed.
 type testVM struct {
 	*platformtest.Process
 	cluster *cluster
 	manager *Manager
 	loops   sync.WaitGroup
-	// closed is closed when all of the VM's work has ended.
+	// closed is closed when all goroutines of the VM have ended.
 	closed chan struct{}
 }
 
-// made returns the VM's calls to the store so far.
+// calls returns the VM's calls to the store so far.
 func (v *testVM) made() []platformtest.Step {
 	var own []platformtest.Step
 	for _, step := range v.cluster.world.Steps() {
@@ -64,8 +66,9 @@
 	})
 }
 
-// believer believes in its lease past the term, as the worst holder does that
-// is paused between the check and its write.
+// uncheckedGuard never reports a lost lease. It stands for the worst case: a
+// holder that is paused between the check and its write, past the end of the
+// lease.
 type believer struct {
 	lease.Guard
 }
@@ -73,7 +76,7 @@
 // Check implements Guard.
 func (believer) Check() error { return nil }
 
-// Commit implements platform.Tables and counts the rows.
+// Commit implements platform.Tables and counts the written rows.
 func (v *testVM) Commit(ctx context.Context, txn platform.Txn) error {
 	v.cluster.countWrites(len(txn.Writes))
 	return v.Process.Commit(ctx, txn)
@@ -93,22 +96,23 @@
 	return workers
 }
 
-// testEngine generates answers in virtual time.
+// testEngine is a fake engine that generates answers in virtual time.
 type testEngine struct {
 	mu      sync.Mutex
 	weights *testWeights
-	// time returns how long a run of a slot takes; run counts from 1.
+	// duration returns how long an attempt at a slot takes; attempt counts from
+	// 1.
 	time func(slot string, run int) time.Duration
-	// spoil changes a result before it is returned.
+	// corrupt changes a result before it is returned.
 	spoil func(request generate.Request, run int, result *generate.Result) error
 	runs  map[string]int
-	// tokens counts everything that was generated, cancelled runs included.
+	// tokens counts all generated tokens, including those of canceled attempts.
 	tokens int
 }
 
 const (
 	testTokens = 8
-	// testTokenTime is what a token takes.
+	// testTokenTime is the time to generate one token.
 	testTokenTime = 50 * time.Millisecond
 )
 
@@ -155,12 +159,12 @@
 	return e.tokens
 }
 
-// testWeights is the weight store.
+// testWeights is a fake weight store.
 type testWeights struct {
 	mu      sync.Mutex
 	version int64
 	at      time.Time
-	// publishedAt holds the times of version 2 and later.
+	// publishedAt holds the publication times of version 2 and later.
 	publishedAt []time.Time
 	down        bool
 }
@@ -179,7 +183,7 @@
 	w.publishedAt = append(w.publishedAt, w.at)
 }
 
-// age returns a sample's true age now.
+// age returns a sample's actual age now.
 func (w *testWeights) age(s sample.Sample) sample.Age {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,7 +211,7 @@
 	return []platform.WeightVersion{{Model: testModel, Version: w.version, PublishedAt: w.at}}, nil
 }
 
-// cluster is a set of VMs around one store, in a synctest bubble.
+// cluster is a set of VMs with one store, in a synctest bubble.
 type cluster struct {
 	t       *testing.T
 	world   *platformtest.World
@@ -216,12 +220,12 @@
 	weights *testWeights
 	view    *contract.View
 	scorer  Scorer
-	// workers replaces the VMs' lists of workers.
+	// workers replaces the VMs' own lists of workers, unless it is nil.
 	workers Workers
-	// staleness is the contract's bound.
+	// staleness is the bound of the contract.
 	staleness contract.Staleness
 	vms       []*testVM
-	// withoutHedging is passed on to the managers.
+	// withoutHedging is passed to the managers.
 	withoutHedging bool
 
 	mu     sync.Mutex
@@ -236,7 +240,7 @@
 	c.rows += rows
 }
 
-// fault is the script of the world.
+// fault returns the fault to inject into a call to the store.
 func (c *cluster) fault(step platformtest.Step) platformtest.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,7 +262,7 @@
 	return c.rows
 }
 
-// all returns the VMs that were started.
+// startedVMs returns the VMs that were started, dead ones included.
 func (c *cluster) all() []*testVM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -287,7 +291,7 @@
 	return c
 }
 
-// start adds a VM whose calls to the store suffer the faults.
+// start adds a VM and injects the faults into its calls to the store.
 func (c *cluster) start(name string, faults faultsOf) *testVM {
 	c.mu.Lock()
 	c.script[name] = faults
@@ -321,7 +325,7 @@
 	return v
 }
 
-// stop ends all VMs, so that the bubble can end.
+// stop kills all VMs, so that the bubble can end.
 func (c *cluster) stop() {
 	for _, v := range c.all() {
 		v.Kill()
@@ -340,8 +344,8 @@
 	return d
 }
 
-// trainer pulls a step by its cursor, from any VM that answers, as the brief's
-// trainers do. It keeps what it has taken over restarts.
+// trainer pulls a step by its cursor, from any VM that answers. It stores the
+// samples that it has received, as a trainer does that survives restarts.
 type trainer struct {
 	t       *testing.T
 	cluster *cluster
@@ -352,9 +356,9 @@
 	numbers map[int64]sample.Sample
 	// tombstones counts the withdrawn samples.
 	tombstones int
-	// dropsReplies makes every second answer get lost on its way.
+	// dropsReplies makes the trainer lose every second reply.
 	dropsReplies bool
-	// number is that of the latest pull.
+	// pullNumber is the number of the latest pull.
 	number    int64
 	pulls     int
 	published bool
@@ -379,7 +383,7 @@
 	})
 }
 
-// ask tries the VMs in turn, the first first, until one answers.
+// callAny calls the VMs in order, the first one first, until one succeeds.
 func (tr *trainer) ask(question func(m *Manager) error) {
 	deadline := time.Now().Add(20 * time.Minute)
 	for time.Now().Before(deadline) {
@@ -396,8 +400,8 @@
 	tr.t.Fatalf("no VM answered: %d of %d samples, cursor %d", len(tr.taken), tr.wanted, tr.cursor)
 }
 
-// openAt opens the step through the only VM and waits until that VM owns it; a
-// VM that was started at the same moment could take the step first.
+// openAt opens the step through the only VM and waits until that VM owns it. A
+// VM that was started at the same moment could become the owner instead.
 func (tr *trainer) openAt(v *testVM, d sample.Definition) {
 	tr.t.Helper()
 	tr.open(d)
@@ -408,7 +412,8 @@
 	}
 }
 
-// pull takes one answer.
+// pull returns the samples after the cursor, and checks that a number always
+// has the same content.
 func (tr *trainer) pull() []sample.Sample {
 	var got []sample.Sample
 	tr.ask(func(m *Manager) (err error) {
@@ -427,7 +432,8 @@
 	return got
 }
 
-// take moves the cursor over the samples and checks that they are the next.
+// receive moves the cursor past the samples. It checks that they follow the
+// cursor without gaps, are fresh, and fill no slot twice.
 func (tr *trainer) take(samples []sample.Sample) {
 	for _, s := range samples {
 		if s.Number != tr.cursor+1 {
@@ -454,8 +460,9 @@
 	})
 }
 
-// dropped loses an answer. The first one that held samples is followed by a new
-// weight version, so that its samples may be stale when they are asked for again.
+// loseReply simulates a lost reply. After the first reply with samples it
+// publishes a new weight version, so that these samples may be stale when they
+// are pulled again.
 func (tr *trainer) dropped(got []sample.Sample) {
 	if len(got) > 0 && !tr.published {
 		tr.published = true
@@ -463,8 +470,8 @@
 	}
 }
 
-// finish pulls until every slot's sample has come, within a bound in virtual
-// time.
+// finish pulls until a sample of every slot has arrived, within a timeout in
+// virtual time.
 func (tr *trainer) finish() {
 	deadline := time.Now().Add(20 * time.Minute)
 	for len(tr.taken) < tr.wanted {
--- a/internal/rollout/judge.go
+++ b/internal/rollout/judge.go
@@ -11,13 +11,14 @@
 	"dogwoodpond/internal/sample"
 )
 
-// judge decides by the contract in force whether samples may be passed on.
+// stalenessPolicy creates validators from the contracts in force and the
+// published weight versions.
 type judge struct {
 	view     *contract.View
 	versions Versions
 }
 
-// bound returns the account's staleness bound as it is in force now.
+// bound returns the staleness bound of the account's contract in force.
 func (j judge) bound(account contract.Account) (sample.Bound, error) {
 	c, known := j.view.Load().Contracts[account]
 	if !known {
@@ -29,7 +30,7 @@
 	}, nil
 }
 
-// verdict judges samples of one model against one bound.
+// validator checks samples of one model against one staleness bound.
 type verdict struct {
 	versions Versions
 	model    string
@@ -37,9 +38,10 @@
 	latest   int64
 }
 
-// prepare makes sure that the published versions are known, from a reading that
-// began after since. It fails with *fault.StoreUnavailable when they are
-// not: a sample that can't be judged is neither passed on nor dropped.
+// refresh returns a validator with the published versions from a read of the
+// weight store that began after since. It fails with *fault.StoreUnavailable
+// when they are unknown. The samples must then wait: they are neither delivered
+// nor dropped.
 func (j judge) prepare(ctx context.Context, account contract.Account, model string, since time.Time) (verdict, error) {
 	if err := j.versions.Refresh(ctx, since); err != nil {
 		return verdict{}, err
@@ -47,7 +49,7 @@
 	return j.known(account, model)
 }
 
-// known is prepare without a reading.
+// current returns a validator with the versions known so far, without a read.
 func (j judge) known(account contract.Account, model string) (verdict, error) {
 	bound, err := j.bound(account)
 	if err != nil {
@@ -60,9 +62,10 @@
 	return verdict{versions: j.versions, model: model, bound: bound, latest: latest}, nil
 }
 
-// prepareFor is prepare for samples just generated. An engine may have loaded a
-// version that was published after the last reading; without a new reading the
-// version would look as if it had never been published.
+// refreshFor returns a validator for newly generated samples. An engine may
+// have loaded a version that was published after the last read. The weight
+// store is then read again, because the version would otherwise count as never
+// published.
 func (j judge) prepareFor(ctx context.Context, account contract.Account, model string, samples []sample.Sample) (verdict, error) {
 	v, err := j.prepare(ctx, account, model, time.Now().Add(-readingAge))
 	if err != nil || newestVersion(samples) <= v.latest {
@@ -81,17 +84,18 @@
 	return newest
 }
 
-// age returns the age of a sample now.
+// age returns the current age of a sample.
 func (v verdict) age(s sample.Sample) sample.Age {
 	oldest := sample.OldestVersion(s.Spans)
 	at, known := v.versions.SupersededAt(v.model, oldest)
 	return sample.AgeOf(oldest, sample.Supersession{Latest: v.latest, At: at, Known: known}, time.Now())
 }
 
-// fresh fails with *fault.SampleStale for a sample past the bound.
+// checkStaleness fails with *fault.SampleStale for a sample that exceeds the
+// bound.
 func (v verdict) fresh(s sample.Sample) error { return v.bound.Check(s.Slot, v.age(s)) }
 
-// acceptable fails with *fault.SampleUnattributable or *fault.SampleStale.
+// check fails with *fault.SampleUnattributable or *fault.SampleStale.
 func (v verdict) acceptable(s sample.Sample) error {
 	if err := sample.Attribute(s.Slot, s.Tokens, s.Spans, v.latest); err != nil {
 		return err
@@ -99,5 +103,6 @@
 	return v.fresh(s)
 }
 
-// oldestUseful returns the oldest version whose samples are within the bound.
+// oldestAcceptable returns the oldest version whose samples are within the
+// bound.
 func (v verdict) oldestUseful() int64 { return max(0, v.latest-v.bound.Versions) }
--- a/internal/rollout/lane.go
+++ b/internal/rollout/lane.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// laneStart is how many generations an owner first gives to a worker, and
-	// laneMax the most.
+	// initialWorkerLimit is the initial limit on an owner's concurrent attempts
+	// at a worker, and maxWorkerLimit the highest.
 	laneStart = 16
 	laneMax   = 128
-	// lanesPerDomain is how many workers of one failure domain an owner uses.
+	// workersPerDomain is how many workers of one failure domain an owner uses.
 	lanesPerDomain = 3
-	// laneRest is how long a worker rests that did not answer.
+	// workerBackoff is how long an owner starts no attempts at a worker that
+	// did not answer. It is also the minimum backoff after a refusal.
 	laneRest = time.Second
 )
 
-// lane is one worker as an owner uses it. The limit grows by one for each full
-// round of successes and halves when the worker is full, so that owners share
-// the engines without knowing of each other.
+// workerState is an owner's state for one worker. The limit on concurrent
+// attempts grows by one for each full round of successes and halves when the
+// worker is full or does not answer, so that owners share the engines without
+// coordination.
 type lane struct {
 	worker  Worker
 	limit   float64
 	running int
-	// restUntil ends a pause after a failure.
+	// backoffUntil is the end of the backoff after a failure.
 	restUntil time.Time
 }
 
@@ -38,26 +40,27 @@
 
 func (l *lane) succeeded() { l.limit = min(laneMax, l.limit+1/l.limit) }
 
-// refused notes that the worker had no room and named a time to come back. A
-// draining worker names none; without a rest of its own the lane would ask it
-// again and again in a busy loop.
+// recordRefusal records that the worker had no capacity and how long it asked
+// to wait. A draining worker names no wait: without a minimum the owner would
+// retry it in a busy loop.
 func (l *lane) refused(now time.Time, wait time.Duration) {
 	l.limit = max(1, l.limit/2)
 	l.restUntil = now.Add(max(wait, laneRest))
 }
 
-// silent notes that the worker did not answer.
+// recordUnresponsive records that the worker did not answer.
 func (l *lane) silent(now time.Time) {
 	l.limit = max(1, l.limit/2)
 	l.restUntil = now.Add(laneRest)
 }
 
-// lanes are an owner's workers by VM.
+// workerSet holds an owner's workers by VM.
 type lanes map[string]*lane
 
-// replace takes a new list of workers: the own VM, and some of every failure
-// domain, the same for one step on whichever VM owns it. It returns the lanes
-// that are gone.
+// update applies a new list of workers. The set consists of the own VM, which
+// is first in the list, and up to workersPerDomain workers of each failure
+// domain, the same for a step whichever VM owns it. It returns the removed
+// workers.
 func (l lanes) replace(step string, workers []Worker) []*lane {
 	wanted := make(map[string]Worker)
 	perDomain := make(map[string]int)
@@ -87,9 +90,9 @@
 	return gone
 }
 
-// pick returns the lane with room that ranks highest for a group, or nil. The
-// slots of a group share a prompt, and one VM brings them to the same engine,
-// whose prefix cache then serves them.
+// pick returns the worker with capacity that ranks highest for a group, or nil.
+// The slots of a group share a prompt. One VM sends them to the same engine,
+// whose prefix cache then holds the prompt.
 func (l lanes) pick(group string, now time.Time, exclude string) *lane {
 	var best *lane
 	for vm, candidate := range l {
@@ -103,14 +106,14 @@
 	return best
 }
 
-// rank is the weight of a VM for a name in rendezvous hashing.
+// rank returns the weight of a VM for a name in rendezvous hashing.
 func rank(name, vm string) uint64 { return xxhash.Sum64String(name + "\x00" + vm) }
 
-// candidates is how many VMs contend for a step.
+// candidatesPerStep is how many VMs campaign for a step.
 const candidates = 3
 
-// isCandidate reports whether a VM is among the best ranked for a name. An
-// empty list makes every VM a candidate.
+// isCandidate reports whether a VM is one of the highest ranked for a name.
+// With an empty list every VM is a candidate.
 func isCandidate(name, vm string, live []string) bool {
 	own := rank(name, vm)
 	better := 0
--- a/internal/rollout/lane_test.go
+++ b/internal/rollout/lane_test.go
@@ -16,8 +16,8 @@
 	return workers
 }
 
-// A fleet of 390 VMs must not make an owner talk to all of them, and the loss
-// of a failure domain must leave it workers in the others.
+// In a fleet of 390 VMs an owner must not use all of them as workers. When a
+// failure domain is lost, it must still have workers in the others.
 func TestLanesCoverEveryFailureDomain(t *testing.T) {
 	l := make(lanes)
 	workers := workersOf(7, 55)
@@ -42,8 +42,8 @@
 	}
 }
 
-// A worker that refuses gets less at once and more again only step by step;
-// otherwise an owner would keep a full VM full of refused work.
+// The limit of a worker that refuses must drop at once and grow again
+// gradually; otherwise an owner would keep sending attempts to a full VM.
 func TestLaneFollowsItsWorker(t *testing.T) {
 	now := time.Unix(0, 0)
 	l := newLane(Worker{})
@@ -65,8 +65,8 @@
 	}
 }
 
-// Three VMs contend for each step, whichever VMs live; with no list every VM
-// does, since nobody may be left.
+// Three VMs campaign for each step, whichever VMs are alive. Without a list
+// every VM campaigns, since no other VM may be alive.
 func TestCandidates(t *testing.T) {
 	var live []string
 	for _, w := range workersOf(7, 55) {
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -1,6 +1,6 @@
-// Package rollout runs steps: an owner, in charge under a lease, generates the
-// samples of a step's slots on many VMs and commits them; any VM delivers the
-// committed samples to the trainer.
+// Package rollout runs steps. The owner of a step, which holds the step's
+// lease, generates the samples of its slots on many VMs and commits them. Any
+// VM delivers the committed samples to the trainer.
 package rollout
 
 import (
@@ -19,30 +19,30 @@
 	"dogwoodpond/internal/usage"
 )
 
-// Guard is asked directly before each write of an owner.
+// Guard checks an owner's lease directly before each write.
 type Guard interface {
-	// Check fails with *fault.LeaseLost when the lease is not held any more.
+	// Check fails with *fault.LeaseLost when the lease is no longer held.
 	Check() error
-	// Epoch returns the fencing number.
+	// Epoch returns the fencing token.
 	Epoch() uint64
 }
 
-// Leases lets one VM at a time be in charge of a step.
+// Leases elects one owner of a step at a time.
 type Leases interface {
-	// Campaign tries to take the named lease until ctx ends, and calls held
-	// while it holds it, with a context that ends when the lease is lost. It
-	// returns when ctx ends or held reports that the work is done.
+	// Campaign tries to acquire the named lease until ctx ends, and calls held
+	// while it holds the lease, with a context that ends when the lease is
+	// lost. It returns when ctx ends or held reports that the work is done.
 	Campaign(ctx context.Context, name string, held func(ctx context.Context, g Guard) (done bool, err error)) error
 }
 
-// UsageRecorder counts what an account used.
+// UsageRecorder records the usage of accounts.
 type UsageRecorder interface {
 	Add(account contract.Account, figures usage.Figures)
 }
 
-// Config holds what a Manager is built from.
+// Config configures a Manager.
 type Config struct {
-	// VM names this VM.
+	// VM is the ID of this VM.
 	VM         string
 	Tables     platform.Tables
 	Leases     Leases
@@ -53,10 +53,9 @@
 	View       *contract.View
 	Events     *event.Recorder
 	Registerer prometheus.Registerer
-	// Period returns the period of the search for open steps.
+	// Period returns the interval between two searches for open steps.
 	Period func() time.Duration
-	// WithoutHedging runs each slot once only; it is the baseline in
-	// measurements.
+	// WithoutHedging disables hedging. Measurements use it as their baseline.
 	WithoutHedging bool
 }
 
@@ -84,13 +83,13 @@
 	running   sync.WaitGroup
 }
 
-// campaign is this VM's try to own a step.
+// campaign is a campaign of this VM to own a step.
 type campaign struct {
 	began  time.Time
 	cancel context.CancelFunc
 }
 
-// NewManager returns a manager; Close ends its campaigns.
+// NewManager returns a Manager. Close ends its campaigns.
 func NewManager(c Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
@@ -111,7 +110,8 @@
 	}
 }
 
-// Close ends the campaigns, which frees their leases, and waits for them.
+// Close cancels the campaigns, which releases their leases, and waits for them
+// to end.
 func (m *Manager) Close() {
 	m.mu.Lock()
 	m.closed = true
@@ -120,8 +120,9 @@
 	m.running.Wait()
 }
 
-// Open opens a step. A repeat with the same definition returns the step's
-// status; one with another fails with *fault.StepMismatch.
+// Open opens a step. If the step is open already, it returns the step's status
+// when the definition is the same, and fails with *fault.StepMismatch when it
+// differs.
 func (m *Manager) Open(ctx context.Context, account contract.Account, step string, definition sample.Definition) (sample.Status, error) {
 	if err := definition.Check(); err != nil {
 		return sample.Status{}, err
@@ -158,8 +159,8 @@
 	return sample.Status{Step: r.step, Slots: p.Slots, Filled: p.Count(), Committed: p.Committed, Acked: p.Acked, Pull: p.Pull}
 }
 
-// Run looks for open steps once a period until ctx ends. A step whose owner
-// died, or that was opened on a VM that died, is found here by other VMs.
+// Run searches for open steps periodically until ctx ends. Other VMs find a
+// step whose owner died, or that was opened on a VM that died, by this search.
 func (m *Manager) Run(ctx context.Context) {
 	for {
 		// A failed search leaves the campaigns as they are.
@@ -199,8 +200,9 @@
 	return live
 }
 
-// endOthers ends the campaigns for steps that are not open any more. One that
-// began after the search did may be for a step that the search has missed.
+// cancelObsolete cancels the campaigns for steps that are no longer open. It
+// leaves campaigns that began after the search, since the search may have
+// missed their steps.
 func (m *Manager) endOthers(wanted map[ref]bool, searched time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -211,7 +213,7 @@
 	}
 }
 
-// begin campaigns for a step unless this VM already does.
+// startCampaign starts a campaign for a step unless this VM already has one.
 func (m *Manager) begin(r ref) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -223,8 +225,8 @@
 	m.running.Go(func() {
 		defer m.end(r)
 		defer cancel()
-		// The campaign's failure is told by the events of its lease; the next
-		// search begins another if the step is still open.
+		// The lease's events report a failure of the campaign. The next search
+		// starts another one if the step is still open.
 		_ = m.leases.Campaign(ctx, r.leaseName(), func(ctx context.Context, g Guard) (bool, error) {
 			return m.own(ctx, r, g)
 		})
--- a/internal/rollout/matrix_test.go
+++ b/internal/rollout/matrix_test.go
@@ -12,9 +12,9 @@
 	"dogwoodpond/internal/sample"
 )
 
-// episode runs one step to its end while the first two VMs suffer faults and a
-// third stays well, and checks everything that the trainer and the store show.
-// It returns the calls that each VM made.
+// runWithFaults runs one step to its end with faults injected into the first
+// two VMs and none into a third, and checks everything that the trainer and the
+// store show. It returns the calls of the first two VMs.
 func episode(t *testing.T, faultsA, faultsB faultsOf) (callsA, callsB []platformtest.Step) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0, MaxSeconds: 3600})
@@ -28,7 +28,8 @@
 		tr.open(d)
 		tr.finish()
 		callsA, callsB = a.made(), b.made()
-		// What a paused VM still had in hand comes out after the step's end.
+		// Calls that a paused VM had in progress take effect after the step's
+		// end.
 		time.Sleep(2 * longPause)
 		checkStore(c, d)
 		if len(faultsA)+len(faultsB) == 0 && tr.tombstones == 0 {
@@ -38,7 +39,7 @@
 	return callsA, callsB
 }
 
-// checkStore checks a finished step's rows: numbers without gaps, and one
+// checkStore checks the rows of a finished step: numbers without gaps, and one
 // sample for each slot.
 func checkStore(c *cluster, d sample.Definition) {
 	c.t.Helper()
@@ -72,15 +73,16 @@
 }
 
 const (
-	// shortPause lets another VM take the step over and work on it.
+	// shortPause is long enough for another VM to take over the step and work
+	// on it.
 	shortPause = testTerm + testTerm/4 + 2300*time.Millisecond
-	// longPause lets the other VM finish the step.
+	// longPause is long enough for the other VM to finish the step.
 	longPause = 4 * testTerm
-	// lateBy lets an effect come after the caller has given up on it.
+	// lateDelay delays the effect of a call until its caller has timed out.
 	lateBy = 4700 * time.Millisecond
 )
 
-// faults lists what may happen to a call.
+// faults lists the faults that are injected into each call.
 var faults = []platformtest.Fault{
 	{Kind: platformtest.LoseRequest},
 	{Kind: platformtest.LoseReply},
@@ -94,10 +96,10 @@
 	{Kind: platformtest.CutOff, For: longPause},
 }
 
-// Every call to the store is the point at which the owner's VM may die, lose a
-// reply, be cut off, or be paused until another VM owns the step as well. The
-// trainer's replies get lost besides, and new weights make samples stale. It
-// must still get each slot's sample once, fresh, in numbers without gaps.
+// At any of its calls to the store the owner's VM may die, lose a reply, lose
+// its connection, or be paused until another VM owns the step as well. The
+// trainer also loses replies, and new weights make samples stale. The trainer
+// must still receive each slot's sample once, fresh, in numbers without gaps.
 func TestFaultAtEveryCall(t *testing.T) {
 	calls, _ := episode(t, nil, nil)
 	t.Logf("a run without faults makes %d calls", len(calls))
@@ -111,8 +113,8 @@
 	t.Logf("matrix: steps: %d steps x %d faults, %d cases run", len(calls), len(faults), len(calls)*len(faults))
 }
 
-// A second VM takes over after the first one's fault at a write, and suffers a
-// fault of its own at a write.
+// A second VM takes over after a fault at a write of the first VM, and has a
+// fault at one of its own writes.
 func TestPairsOfFaultsAtWrites(t *testing.T) {
 	calls, _ := episode(t, nil, nil)
 	firsts := []platformtest.Fault{{Kind: platformtest.KillAfter}, {Kind: platformtest.PauseBefore, For: shortPause}}
@@ -137,7 +139,7 @@
 	}
 }
 
-// writes returns the numbers of the calls that write rows of the step.
+// writeIndexes returns the indexes of the calls that write rows of the step.
 func writes(calls []platformtest.Step) []int {
 	var numbers []int
 	for _, call := range calls {
--- a/internal/rollout/measure_test.go
+++ b/internal/rollout/measure_test.go
@@ -24,8 +24,8 @@
 	measureSamples = 8
 )
 
-// straggling gives most runs 1 to 3 s, and one first run in fifty 40 s more, as
-// on an engine that has become slow.
+// stragglerDuration returns 1 to 3 s for most attempts, and 40 s more for one
+// first attempt in fifty, as on an engine that has become slow.
 func straggling(slot string, run int) time.Duration {
 	h := xxhash.Sum64String(slot)
 	took := time.Second + time.Duration(h%2000)*time.Millisecond
@@ -35,7 +35,7 @@
 	return took
 }
 
-// measured is what one step showed.
+// measurement holds the figures of one step.
 type measured struct {
 	took   time.Duration
 	idle   time.Duration
@@ -49,8 +49,8 @@
 	withdrawn int
 }
 
-// measure runs one step on all VMs. The trainer works trainTime on each sample
-// and pulls when it has nothing left. prepare may change the cluster.
+// measure runs one step on all VMs. The trainer spends trainTime on each sample
+// and pulls when it has none left. prepare may change the cluster.
 func measure(t *testing.T, bound contract.Staleness, trainTime time.Duration, prepare func(c *cluster)) (m measured) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, bound)
@@ -85,7 +85,8 @@
 	return m
 }
 
-// Stragglers stall a step: figures with and without hedging, in one run.
+// Stragglers delay the end of a step. Measures one step without and one with
+// hedging.
 func TestMeasureHedging(t *testing.T) {
 	const trainTime = 10 * time.Millisecond
 	plain := measure(t, noBound, trainTime, func(c *cluster) { c.withoutHedging = true })
@@ -101,8 +102,8 @@
 	}
 }
 
-// Figures of the store's load for each sample. The plain way commits each
-// sample on its own, with a row each for slot, sample and step.
+// Measures the load on the store per sample. The baseline commits each sample
+// in a transaction of its own, with a row each for slot, sample and step.
 func TestMeasureStoreWrites(t *testing.T) {
 	m := measure(t, noBound, 0, func(*cluster) {})
 	perSample := func(n int) float64 { return float64(n) / float64(m.count) }
@@ -113,8 +114,9 @@
 	}
 }
 
-// New weights come every 20 s while a slow trainer works through the samples:
-// ages at delivery under the contract's bound, and without any bound.
+// New weights are published every 20 s while a slow trainer processes the
+// samples. Measures the ages at delivery under a staleness bound, and without
+// any bound.
 func TestMeasureSampleAge(t *testing.T) {
 	publishing := func(c *cluster) {
 		for n := range 10 {
@@ -143,9 +145,9 @@
 	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
 }
 
-// An owner dies in the middle of a step: tokens generated again by re-running
-// only the slots without a committed sample, against what whole groups or the
-// whole step would take at the same moment.
+// An owner dies in the middle of a step. Measures the tokens that are generated
+// again for the slots without a committed sample, and compares them with what
+// whole groups or the whole step would take at the same moment.
 func TestMeasureRecovery(t *testing.T) {
 	for _, after := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -180,7 +182,7 @@
 	}
 }
 
-// missing counts the slots without a sample and the groups that have one.
+// missing counts the slots without a sample, and the groups with such a slot.
 func missing(d sample.Definition, p sample.Progress) (slots, groups int) {
 	names := make(map[string]bool)
 	for _, s := range d.Slots() {
@@ -192,9 +194,9 @@
 	return slots, len(names)
 }
 
-// The largest step on one owner: processor time for each sample, and the size
-// of the row that every commit replaces. The time holds the whole test, the
-// engines, the trainer and the store included, so that it bounds the owner's.
+// Measures the largest step: processor time per sample, and the size of the row
+// that every commit replaces. The time includes the whole test with engines,
+// trainer and store, so it is an upper bound for the owner.
 func TestMeasureOwnerCost(t *testing.T) {
 	var before, after syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &before); err != nil {
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -7,7 +7,7 @@
 	"dogwoodpond/internal/sample"
 )
 
-// metrics are the figures of the steps on one VM.
+// metrics holds the step metrics of one VM.
 type metrics struct {
 	committed   *prometheus.CounterVec
 	commits     *prometheus.CounterVec
@@ -19,16 +19,16 @@
 	ageSeconds  *prometheus.HistogramVec
 }
 
-// Names of labels.
+// Label names.
 const (
 	labelAccount = "account"
 	labelCode    = "code"
 )
 
 var (
-	// versionBuckets count weight versions.
+	// versionBuckets are in weight versions.
 	versionBuckets = []float64{0, 1, 2, 3, 5, 10}
-	// ageBuckets are in seconds around a few rounds of weights.
+	// ageBuckets are in seconds and span a few weight updates.
 	ageBuckets = []float64{0, 15, 60, 180, 600, 1200, 3600}
 )
 
@@ -60,7 +60,7 @@
 	)
 }
 
-// observe notes the age of a delivered sample.
+// observe records the age of a delivered sample.
 func (m *metrics) observe(account contract.Account, age sample.Age) {
 	m.ageVersions.WithLabelValues(string(account)).Observe(float64(age.Versions))
 	if age.Known {
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -17,33 +17,35 @@
 )
 
 const (
-	// tickPeriod is the period of the owner's decisions.
+	// tickInterval is the maximum time between two scheduling rounds of an
+	// owner.
 	tickPeriod = 50 * time.Millisecond
-	// workersPeriod is how often the list of workers is taken anew.
+	// workersRefreshInterval is how often the list of workers is read.
 	workersPeriod = 250 * time.Millisecond
 )
 
-// finished is a generated sample on its way to its commit.
+// generatedSample is a sample that is not committed yet.
 type finished struct {
 	sample sample.Sample
 	prompt string
 }
 
-// outcome is what a run returned.
+// outcome is the result of an attempt.
 type outcome struct {
 	run    *run
 	result generate.Result
 	err    error
 }
 
-// rejection is a sample that may not be committed.
+// rejection is a sample that may not be committed, and the reason.
 type rejection struct {
 	position int
 	err      error
 }
 
-// owner generates the samples of one step. One goroutine decides; generations,
-// scoring and commits run beside it and report to it.
+// owner generates the samples of one step. A single goroutine makes all
+// decisions. Attempts, scoring and commits run in other goroutines and report
+// to it.
 type owner struct {
 	*Manager
 	ref        ref
@@ -54,24 +56,25 @@
 	outcomes chan outcome
 	scores   chan scored
 	commits  chan committed
-	// scoring holds a place for each sample that is being scored.
+	// scoringSemaphore bounds the samples that are scored concurrently.
 	scoring chan struct{}
 	beside  sync.WaitGroup
 
-	// ready holds the samples that wait for the next commit.
+	// ready holds the samples for the next commit.
 	ready []finished
-	// committing is true while a commit is under way.
+	// committing is true while a commit is in progress.
 	committing bool
-	// commitAt is when the next commit may begin.
+	// nextCommitAt is the earliest time of the next commit.
 	commitAt time.Time
-	// workersAt is when the list of workers is taken anew.
+	// nextWorkersRefreshAt is when to read the list of workers again.
 	workersAt time.Time
-	// minimum is the oldest version whose samples are of use.
+	// minVersion is the oldest version whose samples are within the bound.
 	minimum int64
 }
 
-// own runs a step until every slot has a sample, and reports whether that is
-// so. It returns when ctx ends or another VM has become the owner.
+// runOwner runs a step as its owner until every slot has a sample, and reports
+// whether every slot has one. It returns early when ctx ends or another VM has
+// become the owner.
 func (m *Manager) own(ctx context.Context, r ref, guard Guard) (bool, error) {
 	definition, err := m.store.definition(ctx, r)
 	if err != nil {
@@ -132,7 +135,8 @@
 	return true, nil
 }
 
-// decide begins whatever can begin now.
+// schedule cancels overdue attempts, and starts all attempts and commits that
+// can start now.
 func (o *owner) decide(ctx context.Context, now time.Time) {
 	o.renewWorkers(now)
 	for _, r := range o.plan.overdue(now) {
@@ -151,7 +155,7 @@
 	o.flush(ctx, now)
 }
 
-// renewWorkers takes the current list of workers once a period.
+// refreshWorkers updates the workers every workersRefreshInterval.
 func (o *owner) renewWorkers(now time.Time) {
 	if now.Before(o.workersAt) {
 		return
@@ -182,8 +186,8 @@
 	})
 }
 
-// send hands a report to the owner unless it has stopped listening or given
-// the work up.
+// send reports to the owner's goroutine unless ctx ends first, because the
+// owner has stopped or has canceled the work.
 func send[T any](ctx context.Context, to chan<- T, report T) {
 	select {
 	case to <- report:
@@ -208,7 +212,7 @@
 	}
 }
 
-// take handles the end of a run.
+// handleOutcome processes the end of an attempt.
 func (o *owner) take(ctx context.Context, out outcome, now time.Time) {
 	known, useful := o.plan.ended(out.run)
 	if !known {
@@ -241,8 +245,9 @@
 	return s
 }
 
-// takeFailure finds out who is to blame for a failed run. A silent peer rests
-// as a whole; a full one gets less; else only the slot waits.
+// handleFailure decides by the error which part backs off after a failed
+// attempt. An unresponsive worker or one without capacity backs off as a whole
+// and gets a lower limit. After any other error only the slot backs off.
 func (o *owner) takeFailure(out outcome, now time.Time) {
 	l := out.run.lane
 	code := fault.CodeOf(out.err)
@@ -261,7 +266,7 @@
 	}
 }
 
-// reject has the slot of an unfit sample run again.
+// reject schedules the slot of a rejected sample to be generated again.
 func (o *owner) reject(r rejection, now time.Time) {
 	o.metrics.rejected.WithLabelValues(string(fault.CodeOf(r.err))).Inc()
 	o.events.Emit(event.SampleRejected, event.Subject{
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -26,9 +26,9 @@
 	return tr
 }
 
-// An engine restarts in mid-stream or names no version for what it produced.
-// The sample must be generated again; delivered, it would teach the trainer
-// from tokens that nobody can attribute.
+// An engine restarts in mid-stream or reports no published version for its
+// tokens. The sample must be generated again: the trainer would otherwise learn
+// from tokens that belong to no known version.
 func TestUnattributableSamplesRunAgain(t *testing.T) {
 	spoils := map[string]func(*generate.Result){
 		"no version":      func(r *generate.Result) { r.Spans[0].Version = 0 },
@@ -65,8 +65,8 @@
 	}
 }
 
-// An engine has loaded a version that was published a moment ago, which this VM
-// has not heard of yet. The sample is right and must not be thrown away.
+// An engine has loaded a version that was published a moment ago and that this
+// VM has not read yet. The sample is valid and must not be rejected.
 func TestJustPublishedVersionIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -87,8 +87,8 @@
 	})
 }
 
-// New weights come while samples wait for a slow trainer. They must not reach
-// it late, and the step must still become whole.
+// New weights are published while samples wait for a slow trainer. Samples past
+// the bound must not be delivered, and the step must still be completed.
 func TestStaleBeforeDelivery(t *testing.T) {
 	bounds := map[string]contract.Staleness{
 		"versions": {MaxVersions: 1},
@@ -117,9 +117,9 @@
 	}
 }
 
-// A reply is lost, new weights come, and the trainer asks again. What it gets
-// now must be fresh, and the old sample must never come again; otherwise it
-// would be late, or the slot would come twice.
+// A reply is lost, new weights are published, and the trainer pulls again. It
+// must receive tombstones for the old samples and never their content;
+// otherwise it would receive stale samples, or a slot twice.
 func TestStaleAtRedelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -145,8 +145,8 @@
 	})
 }
 
-// The weight store is silent. Whether a sample is still fresh can't be said, so
-// that it must wait; it must be neither delivered nor thrown away.
+// While the weight store is unavailable, it is unknown whether a sample is
+// fresh. The sample must wait, and be neither delivered nor dropped.
 func TestWeightStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -169,7 +169,7 @@
 	})
 }
 
-// testScorer is a scoring service that is down at first.
+// testScorer is a fake scoring service that is unavailable until upAt.
 type testScorer struct {
 	upAt  time.Time
 	calls atomic.Int64
@@ -185,9 +185,9 @@
 	return float64(len(request.Text)), nil
 }
 
-// The scoring service is down for a minute in mid-step. The step must only take
-// longer: no sample is lost, doubled, delivered without its score, or generated
-// a second time.
+// The scoring service is unavailable for a minute during a step. The step must
+// only take longer: no sample is lost, duplicated, delivered without its score,
+// or generated a second time.
 func TestScorerDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -209,15 +209,16 @@
 		if took := time.Since(began); took > 80*time.Second {
 			t.Errorf("the step took %s", took)
 		}
-		// Each waiting sample tries again at most every slotRestMax.
+		// Each waiting sample is retried at most once per maxSlotBackoff, after
+		// the first shorter backoffs.
 		if calls := scorer.calls.Load(); calls > 400 {
 			t.Errorf("%d calls to the scorer", calls)
 		}
 	})
 }
 
-// Samples wait for a scoring service for so long that they go stale. They must
-// be generated again with the weights of the day.
+// Samples wait for the scoring service until they are stale. They must be
+// generated again with the current weights.
 func TestStaleWhileScoring(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -235,7 +236,7 @@
 	})
 }
 
-// peers is a list of workers that a test changes.
+// peers is a list of workers that a test can change.
 type peers struct {
 	mu   sync.Mutex
 	list []Worker
@@ -254,7 +255,7 @@
 	p.list = list
 }
 
-// runnerFunc is a generate.Runner.
+// runnerFunc is a function that implements generate.Runner.
 type runnerFunc func(ctx context.Context, request generate.Request) (generate.Result, error)
 
 // Generate implements generate.Runner.
@@ -262,9 +263,10 @@
 	return f(ctx, request)
 }
 
-// A peer that works for the owner crashes, freezes without a sign and drops out
-// of the platform's list later, or is cut off from the owner alone and stays on
-// the list. Its slots must run elsewhere; a step would hang on them for ever.
+// A peer that runs attempts for the owner crashes, hangs and is removed from
+// the platform's list later, or is unreachable from the owner alone and stays
+// on the list; or it is full or draining. Its slots must be generated
+// elsewhere, or the step would never end.
 func TestPeerFails(t *testing.T) {
 	ways := map[string]runnerFunc{
 		"crashes": func(context.Context, generate.Request) (generate.Result, error) {
@@ -316,8 +318,8 @@
 	}
 }
 
-// Engines of every failure domain must work on a step: an owner that kept its
-// slots to itself would leave most of the engines idle.
+// An owner must use the engines of every failure domain for a step. Using only
+// its own would leave most of the engines idle.
 func TestStepSpreadsOverVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -351,8 +353,8 @@
 	})
 }
 
-// One slot sits on an engine that has become a hundred times slower. It holds
-// up the whole step, unless another engine runs it as well.
+// An engine that has become a hundred times slower holds one slot and delays
+// the whole step, unless another engine generates the slot as well.
 func TestStragglerIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -375,8 +377,8 @@
 	})
 }
 
-// Every engine is slow by turns, so that every slot looks like a straggler.
-// Hedging all of them would double the load of engines that are busy already.
+// All engines are slow, so that every slot looks like a straggler. Hedging all
+// of them would double the load of engines that are already busy.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -7,42 +7,46 @@
 	"dogwoodpond/internal/sample"
 )
 
-// phase is how far the owner is with a slot.
+// phase is the state of a slot at its owner.
 type phase int
 
 const (
-	// pending slots wait for a place.
+	// pending slots wait for a worker with capacity.
 	pending phase = iota
-	// running slots have at least one generation on its way.
+	// running slots have at least one attempt in flight.
 	running
-	// finishing slots have a result that is scored or waits for its commit.
+	// finishing slots have a result that is being scored or waits for its
+	// commit.
 	finishing
 	// filled slots have a committed sample.
 	filled
 )
 
 const (
-	// hedgeAfter is how many times the median duration a generation must have
-	// run before it is hedged.
+	// hedgeFactor is the multiple of the median duration after which an attempt
+	// is hedged.
 	hedgeAfter = 2
-	// hedgePercent bounds the tokens spent on hedges, in percent of the tokens
-	// that the step may generate at all.
+	// hedgePercent bounds the tokens spent on hedges, as a percentage of the
+	// maximum number of tokens of the step.
 	hedgePercent = 10
-	// overdueAfter is how many times the median duration a run may take before
-	// its worker counts as silent, and overdueMin the least time; before any run
-	// has ended overdueFirst holds.
+	// overdueFactor is the multiple of the median duration after which an
+	// attempt times out and its worker counts as unresponsive.
+	// minOverdueTimeout is the shortest such timeout. initialOverdueTimeout
+	// applies until an attempt has succeeded.
 	overdueAfter = 8
 	overdueMin   = 30 * time.Second
 	overdueFirst = 2 * time.Minute
-	// maxDoublings bounds the doubling of times that grow with failures.
+	// maxDoublings bounds the doubling of timeouts and backoffs that grow with
+	// failures.
 	maxDoublings = 8
-	// slotRestMin and slotRestMax bound the pause of a slot whose result was
-	// of no use.
+	// minSlotBackoff and maxSlotBackoff bound the backoff of a slot after an
+	// attempt without an accepted result, and the backoff between two calls to
+	// the scoring service.
 	slotRestMin = 100 * time.Millisecond
 	slotRestMax = 5 * time.Second
 )
 
-// run is one generation of a slot.
+// attempt is one generation of a slot's sample on a worker.
 type run struct {
 	id       int
 	position int
@@ -52,29 +56,30 @@
 	cancel   func()
 }
 
-// slotPlan is the owner's plan for one slot.
+// slotState is the owner's state for one slot.
 type slotPlan struct {
 	slot  sample.Slot
 	phase phase
 	runs  []*run
-	// failures counts the results in a row that were of no use.
+	// failures counts consecutive attempts without an accepted result.
 	failures int
 	restTill time.Time
 }
 
-// plan decides which slot runs next and where. It does no I/O and reads no
-// clock; one goroutine uses it.
+// plan decides which slot is generated next and on which worker. It does no I/O
+// and reads no clock. It is not safe for concurrent use.
 type plan struct {
 	step  string
 	slots []slotPlan
 	lanes lanes
-	// next numbers the runs.
+	// lastID is the ID of the latest attempt.
 	next int
-	// durations are those of the generations that were of use, sorted.
+	// durations holds the durations of successful attempts, sorted.
 	durations []time.Duration
 	hedging   bool
 	maxTokens int
-	// hedgeTokens is what the hedges so far may have cost at most.
+	// hedgeTokens is the maximum number of tokens that the hedges so far can
+	// have generated.
 	hedgeTokens int64
 }
 
@@ -86,7 +91,8 @@
 	return p
 }
 
-// starts returns the runs to begin now.
+// startPending starts attempts for pending slots while workers have capacity,
+// and returns the attempts.
 func (p *plan) starts(now time.Time) []*run {
 	var begun []*run
 	for i := range p.slots {
@@ -114,10 +120,11 @@
 	return r
 }
 
-// hedges returns second runs for the slots that hold up the end of the step.
-// Nothing is hedged while a slot still waits for its first run: the place does
-// more good there. Each hedge is charged with the most tokens that it can cost,
-// so that the budget holds whatever the engines do.
+// startHedges starts second attempts for the slots that delay the end of the
+// step, and returns the attempts. It hedges nothing while a slot is pending:
+// its first attempt makes better use of the capacity. Each hedge is charged
+// with the maximum number of tokens that it can generate, so that the budget
+// holds whatever the engines do.
 func (p *plan) hedges(now time.Time) []*run {
 	if !p.hedging || len(p.durations) == 0 || p.waiting() {
 		return nil
@@ -147,7 +154,7 @@
 	return p.hedgeTokens+int64(p.maxTokens) <= budget
 }
 
-// slowest returns the slots with a single run, the longest running first.
+// unhedged returns the slots with a single attempt, the longest running first.
 func (p *plan) slowest() []*slotPlan {
 	var single []*slotPlan
 	for i := range p.slots {
@@ -159,11 +166,11 @@
 	return single
 }
 
-// overdue returns the runs that take so long that no answer is expected any
-// more. A worker that is cut off from the owner alone stays on the platform's
-// list, and its connection may hang for minutes without a failure; a step would
-// stand still for as long. A slot that was overdue before gets twice the time,
-// so that an answer which truly takes long comes through in the end.
+// overdue returns the attempts that have exceeded their timeout. A worker that
+// cannot be reached from the owner alone stays on the platform's list, and its
+// connection may hang for minutes without an error. The step would stall for as
+// long. The timeout doubles with each failure of a slot, so that a generation
+// that really takes long succeeds in the end.
 func (p *plan) overdue(now time.Time) []*run {
 	limit := overdueFirst
 	if n := len(p.durations); n > 0 {
@@ -181,8 +188,8 @@
 	return late
 }
 
-// ended takes a run out of the plan. known is false for a run that was
-// cancelled before; its report means nothing any more. useful is false when the
+// remove removes an attempt from the plan. found is false for an attempt that
+// was canceled before, whose result must be ignored. needed is false when the
 // slot needs no result.
 func (p *plan) ended(r *run) (known, useful bool) {
 	s := &p.slots[r.position]
@@ -198,8 +205,8 @@
 	return true, s.phase == pending || s.phase == running
 }
 
-// won notes the useful result of a run that ended: the slot's other runs are
-// cancelled, so that the losers stop costing tokens.
+// succeed records that an attempt returned a result that its slot needs. It
+// cancels the slot's other attempts, so that they generate no more tokens.
 func (p *plan) won(r *run, now time.Time) {
 	s := &p.slots[r.position]
 	s.phase = finishing
@@ -209,7 +216,7 @@
 	p.drop(s)
 }
 
-// drop cancels all runs of a slot.
+// cancelAttempts cancels all attempts of a slot.
 func (p *plan) drop(s *slotPlan) {
 	for _, r := range s.runs {
 		r.lane.running--
@@ -218,8 +225,9 @@
 	s.runs = nil
 }
 
-// dropLane cancels the runs of a worker that is gone. Its slots run elsewhere
-// at once, in place of waiting for an answer that may never come.
+// removeWorker cancels the attempts on a removed worker. Their slots are
+// generated elsewhere at once, instead of waiting for an answer that may never
+// arrive.
 func (p *plan) dropLane(l *lane) {
 	for i := range p.slots {
 		s := &p.slots[i]
@@ -232,8 +240,9 @@
 	}
 }
 
-// again puts a slot back whose result was of no use. The pause grows, so that
-// an engine that misreports all the time is not kept busy for nothing.
+// retry makes a slot without an accepted result pending again. The backoff
+// grows with each failure, to limit the load on an engine that always
+// misreports.
 func (p *plan) again(position int, now time.Time) {
 	s := &p.slots[position]
 	p.drop(s)
@@ -242,8 +251,9 @@
 	s.failures++
 }
 
-// reconcile brings the plan in line with the progress as it was read: slots
-// that another owner filled need no run, and withdrawn ones need a new one.
+// reconcile updates the plan from the progress that was read: slots that
+// another owner filled need no attempt, and slots of withdrawn samples need a
+// new one.
 func (p *plan) reconcile(progress sample.Progress) {
 	for i := range p.slots {
 		s := &p.slots[i]
--- a/internal/rollout/pull_test.go
+++ b/internal/rollout/pull_test.go
@@ -11,13 +11,14 @@
 	"dogwoodpond/internal/sample"
 )
 
-// A trainer pulls from a VM that is paused, gives up, and gets its samples from
-// another VM. Then the first VM goes on, and by what it knows these samples are
-// stale. If it withdrew them now, their slots would run again and come to the
-// trainer a second time.
+// A pull at a paused VM times out, and the trainer gets its samples from
+// another VM. The first VM then continues, and by its older contract these
+// samples are stale. If it withdrew them, their slots would be generated again
+// and delivered a second time.
 func TestOvertakenPullWithdrawsNothing(t *testing.T) {
-	// The VM's calls of its pull, after a search: progress, turn, batches,
-	// progress for the withdrawal, the withdrawal itself.
+	// The paused VM's calls for its pull, after a search: progress,
+	// registration of the pull, batches, progress for the withdrawal, the
+	// withdrawal itself.
 	overtaken := 0
 	for paused := range 8 {
 		synctest.Test(t, func(t *testing.T) {
@@ -30,7 +31,7 @@
 			time.Sleep(5 * time.Second)
 			c.weights.publish()
 
-			// vm-a does not hear of the operator's edit.
+			// vm-a does not receive the operator's edit.
 			current := c.view
 			c.view = contract.NewView()
 			c.view.Advance(current.Load())
@@ -44,7 +45,8 @@
 				answer <- err
 			}()
 			time.Sleep(time.Second)
-			// The operator widens the bound, so that the old samples will do.
+			// The operator widens the bound, so that the old samples are within
+			// it.
 			widen(c)
 			tr.take(tr.pull())
 			switch err := <-answer; {
@@ -64,7 +66,7 @@
 	}
 }
 
-// widen puts a contract in force that lets samples be ten versions behind.
+// widen puts a contract in force by which samples may be ten versions behind.
 func widen(c *cluster) {
 	c.staleness = contract.Staleness{MaxVersions: 10}
 	terms := contract.DefaultContract(testAccount)
@@ -76,9 +78,9 @@
 	c.view.Advance(next)
 }
 
-// A repeated request of a pull that had its turn is refused, and so is one that
-// comes after a later pull; a trainer that has lost its number learns it from
-// the step's status.
+// A pull number is accepted once: a repeated pull is refused, and so is one
+// with a lower number than a later pull. A trainer that has lost its number
+// reads it from the step's status.
 func TestPullsTakeTurnsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -15,9 +15,9 @@
 
 var noBound = contract.Staleness{MaxVersions: 1000}
 
-// An owner dies in the middle of a step. Without another VM that takes over,
-// the trainer waits for ever; a VM that ran the whole step again would waste
-// the engines and could deliver a slot twice.
+// An owner dies in the middle of a step. Without a takeover the trainer would
+// wait forever. A VM that ran the whole step again would waste engine time and
+// could deliver a slot twice.
 func TestOwnerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -48,8 +48,8 @@
 	})
 }
 
-// A VM opens a step and dies before anybody else has heard of it. The trainer
-// has its answer and waits.
+// A VM opens a step and dies before any other VM knows of it. The trainer has
+// its reply and waits, so another VM must find and run the step.
 func TestOpenerDiesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -64,8 +64,8 @@
 	})
 }
 
-// A step that is done must cost nothing more: a search that finds it for ever
-// would eat the store's reads as steps add up.
+// A search must not find a finished step: otherwise its reads of the store
+// would grow with the number of steps.
 func TestFinishedStepIsNotSearched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -86,8 +86,8 @@
 	})
 }
 
-// A trainer whose opening reply was lost opens the step again; one with a
-// mistake in its definition must not get another step's samples.
+// A trainer whose reply to Open was lost opens the step again. One with a wrong
+// definition must not receive the samples of another step.
 func TestOpenIsIdempotent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -108,8 +108,8 @@
 	})
 }
 
-// Another client account guesses a step's name. It must learn nothing of it,
-// whatever slashes either name holds.
+// Another client account guesses a step's name. It must not learn anything
+// about the step, whatever slashes the account or the name contains.
 func TestStepsOfAccountsAreApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -127,8 +127,8 @@
 	})
 }
 
-// A reply is lost on its way to the trainer, and the trainer asks again with
-// its old cursor, or restarts from it. It must get the identical samples.
+// A reply is lost on its way to the trainer, and the trainer pulls again with
+// its old cursor, or restarts from it. It must receive identical samples.
 func TestRedeliveryIsIdentical(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -152,8 +152,8 @@
 	})
 }
 
-// A step's samples are billed like other requests. Hedges and failed attempts
-// are the system's own affair: on the customer's bill they would be wrong.
+// The samples of a step are billed like other requests. Hedges and failed
+// attempts must not be billed to the client account.
 func TestCommittedSamplesAreBilledOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -176,8 +176,8 @@
 	})
 }
 
-// A trainer asks for samples that it has confirmed. They could be stale by now,
-// and a confirmed slot is not generated again.
+// A trainer pulls samples that it has acknowledged. The pull must fail: the
+// samples may be stale by now, and their slots are not generated again.
 func TestCursorBeforeTheConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
--- a/internal/rollout/scorer.go
+++ b/internal/rollout/scorer.go
@@ -16,17 +16,17 @@
 	"dogwoodpond/internal/service"
 )
 
-// Scorer scores samples. Scoring is idempotent: it may run any number of times
-// for one sample. Implementations are safe for concurrent use.
+// Scorer scores samples. Scoring is idempotent: a sample may be scored any
+// number of times. Implementations are safe for concurrent use.
 type Scorer interface {
-	// Score returns the service's score, or a typed failure after one attempt.
+	// Score returns the service's score, or a typed error, after one attempt.
 	Score(ctx context.Context, account contract.Account, name string, request ScoreRequest) (float64, error)
 }
 
 // PathScore is the path of a scoring service.
 const PathScore = "/score"
 
-// ScoreRequest asks a scoring service for a score.
+// ScoreRequest is the body of a request to a scoring service.
 type ScoreRequest struct {
 	Step   string      `json:"step"`
 	Slot   sample.Slot `json:"slot"`
@@ -34,19 +34,19 @@
 	Text   string      `json:"text"`
 }
 
-// ScoreReply is a scoring service's answer.
+// ScoreReply is the body of a scoring service's response.
 type ScoreReply struct {
 	Score *float64 `json:"score"`
 }
 
-// ServiceScorer scores by plain services that this VM reaches.
+// ServiceScorer scores samples with plain services that this VM can reach.
 type ServiceScorer struct {
 	view       *contract.View
 	dispatcher dispatch.Dispatcher
 	services   *service.Client
 }
 
-// NewServiceScorer returns a scorer over the VM's dispatcher.
+// NewServiceScorer returns a scorer that uses the VM's dispatcher.
 func NewServiceScorer(view *contract.View, dispatcher dispatch.Dispatcher, services *service.Client) *ServiceScorer {
 	return &ServiceScorer{view: view, dispatcher: dispatcher, services: services}
 }
@@ -83,8 +83,8 @@
 	return readScore(grant.Upstream.ID, answer)
 }
 
-// readScore takes only a whole, successful answer that names a score. A score
-// that is missing must not pass for a score of 0.
+// parseScore accepts only a complete, successful response that contains a
+// score. A missing score must not be read as a score of 0.
 func readScore(upstream string, answer service.Answer) (float64, error) {
 	var reply ScoreReply
 	if answer.Status != http.StatusOK || json.Unmarshal(answer.Body, &reply) != nil || reply.Score == nil {
--- a/internal/rollout/scorer_test.go
+++ b/internal/rollout/scorer_test.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/service"
 )
 
-// oneService grants places on one upstream.
+// oneService is a fake dispatcher that grants every request the same upstream.
 type oneService struct {
 	address string
 	last    dispatch.Work
@@ -32,9 +32,9 @@
 	}, nil
 }
 
-// A scoring service answers with an error, with half an answer, or with
-// something that holds no score. A sample with a made-up score of 0 would teach
-// the trainer that a good answer is bad.
+// A scoring service answers with an error, with a truncated answer, or with an
+// answer without a score. A made-up score of 0 would teach the trainer that a
+// good answer is bad.
 func TestServiceScorerTakesOnlyScores(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/rollout/scoring.go
+++ b/internal/rollout/scoring.go
@@ -9,17 +9,18 @@
 	"dogwoodpond/internal/scoring"
 )
 
-// scoringWidth is how many samples of a step are scored at once.
+// scoringConcurrency is how many samples of a step are scored concurrently.
 const scoringWidth = 16
 
-// scored is what the scoring of a sample returned.
+// scoringResult is the result of scoring a sample.
 type scored struct {
 	finished finished
 	err      error
 }
 
-// score scores a sample until the service answers. The sample waits here, it is
-// not generated again: while the service is down, only time is lost.
+// score scores a sample, and retries until the service answers. The sample
+// waits and is not generated again, so that an outage of the service costs only
+// time.
 func (o *owner) score(ctx context.Context, f finished) {
 	select {
 	case o.scoring <- struct{}{}:
@@ -31,7 +32,8 @@
 	send(ctx, o.scores, scored{finished: f, err: err})
 }
 
-// scoreUntil gives up only when the sample has become unfit to be committed.
+// scoreWithRetries fails only when ctx ends or the sample may no longer be
+// committed.
 func (o *owner) scoreUntil(ctx context.Context, f *finished) error {
 	request := ScoreRequest{Step: o.ref.step, Slot: f.sample.Slot, Prompt: f.prompt, Text: f.sample.Text}
 	tries := scoring.Tries{Pauses: scoring.Pauses{First: slotRestMin, Longest: slotRestMax}}
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -15,7 +15,7 @@
 	"dogwoodpond/internal/sample"
 )
 
-// ref names a step of an account.
+// stepRef identifies a step of an account.
 type ref struct {
 	account contract.Account
 	step    string
@@ -23,8 +23,8 @@
 
 const openPrefix = "open/"
 
-// path escapes both names, so that no step of one account can have the key of
-// another account's step.
+// path escapes both names, so that steps of different accounts never share a
+// key.
 func (r ref) path() string {
 	return url.PathEscape(string(r.account)) + "/" + url.PathEscape(r.step)
 }
@@ -37,13 +37,13 @@
 
 func (r ref) batchPrefix() string { return "samples/" + r.path() + "/" }
 
-// batchKey names a batch by its last number, so that a scan after the key of a
-// cursor finds the first batch that holds a later sample.
+// batchKey identifies a batch by its last number, so that a scan after the key
+// of a cursor finds the first batch that holds a later sample.
 func (r ref) batchKey(last int64) string { return fmt.Sprintf("%s%08d", r.batchPrefix(), last) }
 
 func (r ref) leaseName() string { return "step/" + r.path() }
 
-// refOf reads the key of an open step.
+// parseOpenKey parses the key of an open step.
 func refOf(openKey string) (ref, bool) {
 	account, step, found := strings.Cut(strings.TrimPrefix(openKey, openPrefix), "/")
 	accountName, err := url.PathUnescape(account)
@@ -57,14 +57,15 @@
 // store reads and writes the rows of steps:
 //
 //	step/…      the definition, written once
-//	progress/…  the sample.Progress; every change replaces the version read
+//	progress/…  the sample.Progress; each change requires the version that was read
 //	samples/…/N a batch of samples whose last number is N
-//	open/…      present exactly while a slot has no sample
+//	open/…      exists exactly while a slot has no sample
 type store struct {
 	tables platform.Tables
 }
 
-// open writes a new step and fails with *fault.PreconditionFailed if it exists.
+// open writes a new step. It fails with *fault.PreconditionFailed if the step
+// exists.
 func (s store) open(ctx context.Context, r ref, definition sample.Definition) error {
 	return platform.CommitSurely(ctx, s.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
@@ -77,14 +78,16 @@
 	})
 }
 
-// definition fails with *fault.StepUnknown for a step that was never opened.
+// definition reads the definition of a step. It fails with *fault.StepUnknown
+// for a step that was never opened.
 func (s store) definition(ctx context.Context, r ref) (sample.Definition, error) {
 	var definition sample.Definition
 	_, err := s.read(ctx, r, r.stepKey(), &definition)
 	return definition, err
 }
 
-// progress fails with *fault.StepUnknown for a step that was never opened.
+// progress reads the progress of a step. It fails with *fault.StepUnknown for a
+// step that was never opened.
 func (s store) progress(ctx context.Context, r ref) (sample.Progress, platform.Row, error) {
 	var progress sample.Progress
 	row, err := s.read(ctx, r, r.progressKey(), &progress)
@@ -102,8 +105,9 @@
 	return row, row.Decode(into)
 }
 
-// update replaces the progress until no other writer comes in between.
-// change returns the new progress and whether anything has to be written.
+// update applies change to the progress, and retries while other writers change
+// the progress concurrently. change returns the new progress and whether it
+// must be written.
 func (s store) update(ctx context.Context, r ref, change func(sample.Progress) (sample.Progress, bool, error)) (sample.Progress, error) {
 	for {
 		progress, row, err := s.progress(ctx, r)
@@ -125,11 +129,11 @@
 	}
 }
 
-// commit numbers and writes samples in one transaction, and returns those that
-// it wrote. guard is asked directly before the write. The write replaces the
-// progress that it was decided on: whoever else commits, withdraws or claims in
-// between makes it fail with *fault.PreconditionFailed, and then nothing is
-// written.
+// commit numbers and writes samples in one transaction, and returns the samples
+// that it wrote. It checks guard directly before the write. The transaction
+// requires the row version of the progress that was read: when another writer
+// commits, withdraws or claims in between, commit fails with
+// *fault.PreconditionFailed and writes nothing.
 func (s store) commit(ctx context.Context, r ref, guard Guard, samples []sample.Sample) (sample.Progress, []sample.Sample, error) {
 	progress, row, err := s.progress(ctx, r)
 	if err != nil {
@@ -165,7 +169,7 @@
 	samples []sample.Sample
 }
 
-// batches returns the batches that hold samples after a number.
+// batches returns up to limit batches that hold samples after a number.
 func (s store) batches(ctx context.Context, r ref, after int64, limit int) ([]batch, error) {
 	rows, err := s.tables.Scan(ctx, r.batchPrefix(), r.batchKey(after), limit)
 	if err != nil {
@@ -182,10 +186,10 @@
 	return batches, nil
 }
 
-// withdraw replaces the samples of a batch that stale names by tombstones and
-// opens their slots again, on behalf of the pull that has the turn. It fails
-// with *fault.PreconditionFailed when the batch or the progress changed
-// meanwhile, and with *fault.PullOvertaken when the turn has passed on.
+// withdraw replaces the stale samples of a batch with tombstones and reopens
+// their slots, on behalf of a pull. It fails with *fault.PreconditionFailed
+// when the batch or the progress has changed since it was read, and with
+// *fault.PullOvertaken when a later pull has registered its number.
 func (s store) withdraw(ctx context.Context, r ref, pull int64, b batch, stale func(sample.Sample) bool) (int, error) {
 	progress, row, err := s.progress(ctx, r)
 	if err != nil {
@@ -223,10 +227,10 @@
 	})
 }
 
-// openPage is how many open steps one scan reads.
+// openPageSize is how many open steps one scan reads.
 const openPage = 256
 
-// openSteps lists the steps with an empty slot.
+// openSteps lists the steps that have a slot without a sample.
 func (s store) openSteps(ctx context.Context) ([]ref, error) {
 	var open []ref
 	for after := ""; ; {
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -11,34 +11,37 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Versions tells which weight versions were published, and when.
+// Versions reports which weight versions were published, and when.
 // Implementations are safe for concurrent use.
 type Versions interface {
-	// Refresh returns once the knowledge comes from a read of the weight store
-	// that began after since. It fails with *fault.StoreUnavailable.
+	// Refresh returns once the known versions come from a read of the weight
+	// store that began after since. It fails with *fault.StoreUnavailable.
 	Refresh(ctx context.Context, since time.Time) error
 	// Latest returns the newest known version of a model. known is false for a
 	// model without weights.
 	Latest(model string) (version int64, known bool)
 	// SupersededAt returns the earliest time at which the version after the
-	// given one can have been published. known is false when that can't be said.
+	// given one can have been published. known is false when that time is
+	// unknown.
 	SupersededAt(model string, version int64) (at time.Time, known bool)
 }
 
 const (
-	// readingAge is how old a reading of the weight store may be when a sample
-	// is judged for its commit; its delivery is judged by a new one.
+	// maxReadAge is the maximum age of the read of the weight store by which a
+	// sample is validated for its commit. Its delivery requires a new read.
 	readingAge = time.Second
-	// historyLength is how many versions of a model are remembered; a sample
-	// that is further behind is past any sensible bound.
+	// historyLength is how many versions of a model are remembered. A sample
+	// that is further behind exceeds any sensible bound.
 	historyLength = 1024
 )
 
-// History remembers when this VM saw each version. It implements Versions.
+// History records when each version was superseded, from this VM's reads of the
+// weight store. It implements Versions.
 type History struct {
 	weights platform.Weights
 
-	// reading lets one read of the weight store serve all that wait for it.
+	// refreshMu serializes reads of the weight store, so that callers that wait
+	// for a read share it.
 	reading sync.Mutex
 
 	mu     sync.Mutex
@@ -46,15 +49,15 @@
 	models map[string]*modelHistory
 }
 
-// modelHistory is what is known of one model.
+// modelHistory is the history of one model.
 type modelHistory struct {
 	latest int64
-	// shownAt is when the last read began that showed latest.
+	// confirmedAt is the start of the last read that returned latest.
 	shownAt    time.Time
 	superseded map[int64]time.Time
 }
 
-// NewHistory returns a history that has seen nothing.
+// NewHistory returns an empty history.
 func NewHistory(weights platform.Weights) *History {
 	return &History{weights: weights, models: make(map[string]*modelHistory)}
 }
@@ -86,10 +89,11 @@
 	return h.readAt.After(since)
 }
 
-// note takes what a read that began at a time has shown. A version that is new
-// in this read was published at some time after the read before had begun. The
-// begin of that read is what counts: the time of the discovery would make a
-// sample look younger than it is, and a stale one would pass as fresh.
+// record adds the result of a read that began at the given time. A version that
+// is new in this read was published after the previous read began, so the start
+// of the previous read counts as the time of publication. With the time of the
+// discovery, a sample would look younger than it is, and a stale one would pass
+// as fresh.
 func (h *History) note(published platform.WeightVersion, began time.Time) {
 	m, seen := h.models[published.Model]
 	if !seen {
@@ -137,11 +141,11 @@
 	return at, known
 }
 
-// Run reads the weight store once a period until ctx ends, so that the history
-// has no wide gaps.
+// Run reads the weight store periodically until ctx ends, so that the reads are
+// never far apart.
 func (h *History) Run(ctx context.Context, period func() time.Duration) {
 	for {
-		// A failed read leaves the history as it is; judging refreshes it.
+		// A failed read leaves the history unchanged. Validation refreshes it.
 		_ = h.Refresh(ctx, time.Now())
 		select {
 		case <-ctx.Done():
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -9,9 +9,9 @@
 	"dogwoodpond/internal/fault"
 )
 
-// A VM hears of a new version some time after it was published. If it counted
-// from its discovery, a sample would look younger than it is and could reach
-// its trainer past the bound in seconds.
+// A VM reads a new version some time after it was published. If the age counted
+// from that read, a sample would look younger than it is and could be delivered
+// past the bound in seconds.
 func TestSupersessionCountsFromTheEarliestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 4, at: time.Now()}
@@ -49,8 +49,8 @@
 	})
 }
 
-// A reading that began before a sample was asked for may miss a version that
-// was published since. It must not serve, or a stale sample would go out.
+// A read that began before a pull may miss a version that was published since.
+// It must not be used for the pull, or a stale sample would be delivered.
 func TestRefreshReadsAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 1, at: time.Now()}
@@ -75,8 +75,8 @@
 	})
 }
 
-// The weight store answers an older list after a newer one, as a replica that
-// lags does. The history must not move back.
+// The weight store returns an older list after a newer one, as a lagging
+// replica does. The history must not go back.
 func TestHistoryNeverMovesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 3, at: time.Now()}
--- a/internal/rollout/workers.go
+++ b/internal/rollout/workers.go
@@ -14,38 +14,38 @@
 	Runner        generate.Runner
 }
 
-// Workers lists the VMs that can work for an owner, the own VM first. The list
-// may lag behind.
+// Workers lists the VMs that can run attempts for an owner, the own VM first.
+// The list may be out of date.
 type Workers interface {
 	Workers() []Worker
 }
 
-// Members lists the VMs of the fleet; the list may lag behind.
+// Members lists the VMs of the fleet. The list may be out of date.
 type Members interface {
 	VMs() []platform.VM
 }
 
-// Caller runs a generation on a peer. It fails with *fault.PeerUnavailable
-// when the peer does not answer, else with the peer's own failure.
+// Caller runs a generation on a peer. It fails with *fault.PeerUnavailable when
+// the peer does not answer, otherwise with the peer's own error.
 type Caller interface {
 	Generate(ctx context.Context, address string, request generate.Request) (generate.Result, error)
 }
 
-// Fleet gives an owner the own VM and its peers as workers. An owner without
-// peers works alone.
+// Fleet provides the own VM and its peers as workers. Without peers, the own VM
+// is the only worker.
 type Fleet struct {
 	self    Worker
 	members Members
 	caller  Caller
 }
 
-// NewFleet returns the workers around the VM self.
+// NewFleet returns a Fleet of the VM self and its peers.
 func NewFleet(self Worker, members Members, caller Caller) *Fleet {
 	return &Fleet{self: self, members: members, caller: caller}
 }
 
-// Workers implements Workers. Leaving VMs are left out: what they took on now
-// would delay their shutdown.
+// Workers implements Workers. It omits VMs that are leaving: new attempts would
+// delay their shutdown.
 func (f *Fleet) Workers() []Worker {
 	workers := []Worker{f.self}
 	for _, vm := range f.members.VMs() {
@@ -61,7 +61,8 @@
 	return workers
 }
 
-// peerRunner runs generations on one peer; the chunks of the stream stay there.
+// peerRunner runs generations on one peer. It returns the result only, not the
+// chunks of the stream.
 type peerRunner struct {
 	address string
 	caller  Caller
