--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -13,22 +13,22 @@
 const (
 	// commitInterval is the minimum interval between two commits of a step.
 	// Samples that finish in between are written by the next commit.
-	commitPeriod = 100 * time.Millisecond
+	commitInterval = 100 * time.Millisecond
 	// progressPollInterval is how often an owner without commits reads the
 	// progress, to detect withdrawn samples and a takeover by another VM.
-	reloadPeriod = time.Second
+	progressPollInterval = time.Second
 	// maxBatchSamples and maxBatchBytes bound the samples of one commit. A
 	// single sample may exceed maxBatchBytes.
-	maxBatch      = 64
-	maxBatchBytes = 256 << 10
+	maxBatchSamples = 64
+	maxBatchBytes   = 256 << 10
 	// commitBackoff is the wait after a failed commit, whose outcome may be
 	// unknown, unless the error names a time to retry.
-	commitRetry = 250 * time.Millisecond
+	commitBackoff = 250 * time.Millisecond
 )
 
 // commitResult is the result of a commit, or of a read of the progress.
-type committed struct {
-	batch    []finished
+type commitResult struct {
+	batch    []generatedSample
 	rejected []rejection
 	progress sample.Progress
 	// numbered are the samples that the commit wrote.
@@ -39,23 +39,23 @@
 // flush starts a commit of the ready samples, or a read of the progress when
 // nothing has been committed for progressPollInterval.
 func (o *owner) flush(ctx context.Context, now time.Time) {
-	if o.committing || now.Before(o.commitAt) {
+	if o.committing || now.Before(o.nextCommitAt) {
 		return
 	}
-	if len(o.ready) == 0 && now.Before(o.commitAt.Add(reloadPeriod)) {
+	if len(o.ready) == 0 && now.Before(o.nextCommitAt.Add(progressPollInterval)) {
 		return
 	}
 	batch := o.ready[:batchLength(o.ready)]
 	o.ready = o.ready[len(batch):]
 	o.committing = true
-	o.beside.Go(func() { send(ctx, o.commits, o.commit(ctx, batch)) })
+	o.background.Go(func() { send(ctx, o.commits, o.commit(ctx, batch)) })
 }
 
-func batchLength(ready []finished) int {
+func batchLength(ready []generatedSample) int {
 	bytes := 0
-	for i, f := range ready {
-		bytes += len(f.sample.Text)
-		if i == maxBatch || (i > 0 && bytes > maxBatchBytes) {
+	for i, g := range ready {
+		bytes += len(g.sample.Text)
+		if i == maxBatchSamples || (i > 0 && bytes > maxBatchBytes) {
 			return i
 		}
 	}
@@ -65,64 +65,64 @@
 // commit validates a batch and commits the accepted samples. It retries while
 // other writers change the progress concurrently, and validates the batch again
 // for each try.
-func (o *owner) commit(ctx context.Context, batch []finished) committed {
-	c := committed{batch: batch}
+func (o *owner) commit(ctx context.Context, batch []generatedSample) commitResult {
+	c := commitResult{batch: batch}
 	for {
 		c.rejected = nil
-		var fit []sample.Sample
-		fit, c.rejected, c.err = o.judgeBatch(ctx, batch)
+		var accepted []sample.Sample
+		accepted, c.rejected, c.err = o.validateBatch(ctx, batch)
 		if c.err != nil {
 			return c
 		}
-		c.progress, c.numbered, c.err = o.store.commit(ctx, o.ref, o.guard, fit)
+		c.progress, c.numbered, c.err = o.store.commit(ctx, o.ref, o.guard, accepted)
 		if !fault.Is[*fault.PreconditionFailed](c.err) {
 			return c
 		}
 	}
 }
 
-func (o *owner) judgeBatch(ctx context.Context, batch []finished) (fit []sample.Sample, rejected []rejection, err error) {
+func (o *owner) validateBatch(ctx context.Context, batch []generatedSample) (accepted []sample.Sample, rejected []rejection, err error) {
 	if len(batch) == 0 {
 		return nil, nil, nil
 	}
 	all := make([]sample.Sample, 0, len(batch))
-	for _, f := range batch {
-		all = append(all, f.sample)
+	for _, g := range batch {
+		all = append(all, g.sample)
 	}
-	v, err := o.judge.prepareFor(ctx, o.ref.account, o.definition.Model, all)
+	v, err := o.policy.refreshFor(ctx, o.ref.account, o.definition.Model, all)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, s := range all {
-		if err := v.acceptable(s); err != nil {
+		if err := v.check(s); err != nil {
 			rejected = append(rejected, rejection{position: s.Slot.Position, err: err})
 			continue
 		}
-		fit = append(fit, s)
+		accepted = append(accepted, s)
 	}
-	return fit, rejected, nil
+	return accepted, rejected, nil
 }
 
 // handleCommitted processes the result of a commit. After a failure the batch
 // is put back for the next commit. If the failed commit took effect after all,
 // the progress shows it by then, so that no sample is committed twice.
-func (o *owner) takeCommitted(c committed, before sample.Progress, now time.Time) sample.Progress {
+func (o *owner) handleCommitted(c commitResult, before sample.Progress, now time.Time) sample.Progress {
 	o.committing = false
-	o.commitAt = now.Add(commitPeriod)
+	o.nextCommitAt = now.Add(commitInterval)
 	if c.err != nil {
 		o.ready = append(c.batch, o.ready...)
-		o.commitAt = now.Add(fault.RetryAfterOf(c.err, commitRetry))
+		o.nextCommitAt = now.Add(fault.RetryAfterOf(c.err, commitBackoff))
 		return before
 	}
 	for _, r := range c.rejected {
 		o.reject(r, now)
 	}
 	if len(c.numbered) > 0 {
-		o.account(c.numbered)
+		o.recordUsage(c.numbered)
 	}
 	o.plan.reconcile(c.progress)
-	if v, err := o.judge.known(o.ref.account, o.definition.Model); err == nil {
-		o.minimum = v.oldestUseful()
+	if v, err := o.policy.current(o.ref.account, o.definition.Model); err == nil {
+		o.minVersion = v.oldestAcceptable()
 	}
 	return c.progress
 }
@@ -130,7 +130,7 @@
 // recordUsage counts committed samples for metrics and billing. Only the tokens
 // of committed samples are billed. The tokens of hedges, failed attempts and
 // rejected samples are not charged to the account.
-func (o *owner) account(samples []sample.Sample) {
+func (o *owner) recordUsage(samples []sample.Sample) {
 	account := string(o.ref.account)
 	tokens := int64(0)
 	for _, s := range samples {
--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -14,9 +14,9 @@
 
 const (
 	// maxDeliveryBatches is the maximum number of batches in one answer.
-	deliveryBatches = 16
+	maxDeliveryBatches = 16
 	// pollInterval is how often a waiting pull reads the progress.
-	pollPeriod = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 )
 
 // Samples returns the samples after the pull's cursor, in order and without
@@ -32,7 +32,7 @@
 // sends or withdraws samples. A pull whose number is not higher than the
 // registered one fails with *fault.PullOvertaken and does none of these.
 func (m *Manager) Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error) {
-	r := ref{account: account, step: step}
+	r := stepRef{account: account, step: step}
 	deadline := time.Now().Add(pull.Wait)
 	for {
 		progress, _, err := m.store.progress(ctx, r)
@@ -46,7 +46,7 @@
 			pull.Number = progress.Pull + 1
 		}
 		if progress.Committed > pull.After {
-			return m.takeTurn(ctx, r, progress.Model, pull)
+			return m.registerPull(ctx, r, progress.Model, pull)
 		}
 		if !time.Now().Before(deadline) {
 			return nil, nil
@@ -54,12 +54,12 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.WithStack(&fault.CallerGone{})
-		case <-time.After(pollPeriod):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (m *Manager) takeTurn(ctx context.Context, r ref, model string, pull sample.Pull) ([]sample.Sample, error) {
+func (m *Manager) registerPull(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
 		if err := p.CheckCursor(pull.After); err != nil {
 			return p, false, err
@@ -78,13 +78,13 @@
 // miss a new version, and a stale sample would be delivered. Stale samples are
 // withdrawn first; then all samples are read and validated again, since more
 // may have become stale meanwhile.
-func (m *Manager) deliver(ctx context.Context, r ref, model string, pull sample.Pull) ([]sample.Sample, error) {
+func (m *Manager) deliver(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
 	for {
-		batches, err := m.store.batches(ctx, r, pull.After, deliveryBatches)
+		batches, err := m.store.batches(ctx, r, pull.After, maxDeliveryBatches)
 		if err != nil {
 			return nil, err
 		}
-		v, err := m.judge.prepare(ctx, r.account, model, time.Now())
+		v, err := m.policy.refresh(ctx, r.account, model, time.Now())
 		if err != nil {
 			return nil, err
 		}
@@ -93,7 +93,7 @@
 			return nil, err
 		}
 		if !withdrawn {
-			return m.delivered(r, batches, pull.After, v), nil
+			return m.collectSamples(r, batches, pull.After, v), nil
 		}
 	}
 }
@@ -101,9 +101,9 @@
 // withdrawStale withdraws stale samples, and reports whether the batches must
 // be read again. It considers only samples after the cursor: the trainer
 // already has the earlier ones.
-func (m *Manager) withdrawStale(ctx context.Context, r ref, batches []batch, pull sample.Pull, v verdict) (bool, error) {
+func (m *Manager) withdrawStale(ctx context.Context, r stepRef, batches []batch, pull sample.Pull, v validator) (bool, error) {
 	stale := func(s sample.Sample) bool {
-		return s.Number > pull.After && !s.Withdrawn && v.fresh(s) != nil
+		return s.Number > pull.After && !s.Withdrawn && v.checkStaleness(s) != nil
 	}
 	found := false
 	for _, b := range batches {
@@ -125,7 +125,7 @@
 		}
 		m.metrics.withdrawn.WithLabelValues(string(r.account)).Add(float64(count))
 		m.events.Emit(event.SamplesWithdrawn, event.Subject{Account: string(r.account), Step: r.step, Count: int64(count)})
-		m.begin(r)
+		m.startCampaign(r)
 	}
 	return found, nil
 }
@@ -140,7 +140,7 @@
 }
 
 // collectSamples returns the samples after the cursor and records their ages.
-func (m *Manager) delivered(r ref, batches []batch, after int64, v verdict) []sample.Sample {
+func (m *Manager) collectSamples(r stepRef, batches []batch, after int64, v validator) []sample.Sample {
 	var samples []sample.Sample
 	for _, b := range batches {
 		for _, s := range b.samples {
@@ -159,7 +159,7 @@
 // Ack acknowledges the samples up to a number. Acknowledged samples are never
 // withdrawn and never sent again.
 func (m *Manager) Ack(ctx context.Context, account contract.Account, step string, through int64) error {
-	r := ref{account: account, step: step}
+	r := stepRef{account: account, step: step}
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
 		next := p.Ack(through)
 		return next, next.Acked != p.Acked, nil
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -34,7 +34,7 @@
 
 // faultsByCall maps the index of a VM's call, counted from 0, to the fault that
 // is injected into it.
-type faultsOf map[int]platformtest.Fault
+type faultsByCall map[int]platformtest.Fault
 
 // testVM is a VM with injected faults in its calls to the store. It can be
 // killed.
@@ -48,9 +48,9 @@
 }
 
 // calls returns the VM's calls to the store so far.
-func (v *testVM) made() []platformtest.Step {
+func (v *testVM) calls() []platformtest.Step {
 	var own []platformtest.Step
-	for _, step := range v.cluster.world.Steps() {
+	for _, step := range v.cluster.platform.Steps() {
 		if step.Process == v.Name {
 			own = append(own, step)
 		}
@@ -62,19 +62,19 @@
 func (v *testVM) Campaign(ctx context.Context, name string, held func(context.Context, Guard) (bool, error)) error {
 	manager := lease.NewManager(v, v.Name, testTerm, v.manager.events)
 	return manager.Campaign(ctx, name, func(ctx context.Context, g lease.Guard) (bool, error) {
-		return held(ctx, believer{g})
+		return held(ctx, uncheckedGuard{g})
 	})
 }
 
 // uncheckedGuard never reports a lost lease. It stands for the worst case: a
 // holder that is paused between the check and its write, past the end of the
 // lease.
-type believer struct {
+type uncheckedGuard struct {
 	lease.Guard
 }
 
 // Check implements Guard.
-func (believer) Check() error { return nil }
+func (uncheckedGuard) Check() error { return nil }
 
 // Commit implements platform.Tables and counts the written rows.
 func (v *testVM) Commit(ctx context.Context, txn platform.Txn) error {
@@ -88,7 +88,7 @@
 		return v.cluster.workers.Workers()
 	}
 	workers := []Worker{{VM: v.Name, FailureDomain: v.Name, Runner: v.cluster.engine}}
-	for _, other := range v.cluster.all() {
+	for _, other := range v.cluster.startedVMs() {
 		if other != v && !other.Dead() {
 			workers = append(workers, Worker{VM: other.Name, FailureDomain: other.Name, Runner: v.cluster.engine})
 		}
@@ -102,10 +102,10 @@
 	weights *testWeights
 	// duration returns how long an attempt at a slot takes; attempt counts from
 	// 1.
-	time func(slot string, run int) time.Duration
+	duration func(slot string, attempt int) time.Duration
 	// corrupt changes a result before it is returned.
-	spoil func(request generate.Request, run int, result *generate.Result) error
-	runs  map[string]int
+	corrupt  func(request generate.Request, attempt int, result *generate.Result) error
+	attempts map[string]int
 	// tokens counts all generated tokens, including those of canceled attempts.
 	tokens int
 }
@@ -119,11 +119,11 @@
 // Generate implements generate.Runner.
 func (e *testEngine) Generate(ctx context.Context, request generate.Request, _ generate.Sink) (generate.Result, error) {
 	e.mu.Lock()
-	e.runs[request.Slot]++
-	run := e.runs[request.Slot]
+	e.attempts[request.Slot]++
+	attempt := e.attempts[request.Slot]
 	took := testTokens*testTokenTime + time.Duration(xxhash.Sum64String(request.Slot)%200)*time.Millisecond
-	if e.time != nil {
-		took = e.time(request.Slot, run)
+	if e.duration != nil {
+		took = e.duration(request.Slot, attempt)
 	}
 	e.mu.Unlock()
 	began := time.Now()
@@ -139,8 +139,8 @@
 		result.Tokens = append(result.Tokens, fmt.Sprintf(" %s-%d", request.Slot, i))
 	}
 	result.Spans = []generate.Span{{End: testTokens, Version: e.weights.now(), Upstream: "e1", Incarnation: "i1"}}
-	if e.spoil != nil {
-		if err := e.spoil(request, run, &result); err != nil {
+	if e.corrupt != nil {
+		if err := e.corrupt(request, attempt, &result); err != nil {
 			return generate.Result{}, err
 		}
 	}
@@ -213,13 +213,13 @@
 
 // cluster is a set of VMs with one store, in a synctest bubble.
 type cluster struct {
-	t       *testing.T
-	world   *platformtest.World
-	tables  *memory.Tables
-	engine  *testEngine
-	weights *testWeights
-	view    *contract.View
-	scorer  Scorer
+	t        *testing.T
+	platform *platformtest.World
+	tables   *memory.Tables
+	engine   *testEngine
+	weights  *testWeights
+	view     *contract.View
+	scorer   Scorer
 	// workers replaces the VMs' own lists of workers, unless it is nil.
 	workers Workers
 	// staleness is the bound of the contract.
@@ -228,10 +228,10 @@
 	// withoutHedging is passed to the managers.
 	withoutHedging bool
 
-	mu     sync.Mutex
-	script map[string]faultsOf
-	rows   int
-	used   usage.Figures
+	mu       sync.Mutex
+	injected map[string]faultsByCall
+	rows     int
+	used     usage.Figures
 }
 
 func (c *cluster) countWrites(rows int) {
@@ -244,7 +244,7 @@
 func (c *cluster) fault(step platformtest.Step) platformtest.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.script[step.Process][step.Index]
+	return c.injected[step.Process][step.Index]
 }
 
 // Add implements UsageRecorder.
@@ -263,7 +263,7 @@
 }
 
 // startedVMs returns the VMs that were started, dead ones included.
-func (c *cluster) all() []*testVM {
+func (c *cluster) startedVMs() []*testVM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.vms)
@@ -274,13 +274,13 @@
 	c := &cluster{
 		t:         t,
 		weights:   weights,
-		engine:    &testEngine{weights: weights, runs: make(map[string]int)},
+		engine:    &testEngine{weights: weights, attempts: make(map[string]int)},
 		view:      contract.NewView(),
 		staleness: staleness,
-		script:    make(map[string]faultsOf),
+		injected:  make(map[string]faultsByCall),
 	}
-	c.world = platformtest.NewWorld(c.fault)
-	c.tables = c.world.Rows
+	c.platform = platformtest.NewWorld(c.fault)
+	c.tables = c.platform.Rows
 	terms := contract.DefaultContract(testAccount)
 	terms.Staleness = staleness
 	next, err := contract.Empty().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
@@ -292,11 +292,11 @@
 }
 
 // start adds a VM and injects the faults into its calls to the store.
-func (c *cluster) start(name string, faults faultsOf) *testVM {
+func (c *cluster) start(name string, faults faultsByCall) *testVM {
 	c.mu.Lock()
-	c.script[name] = faults
+	c.injected[name] = faults
 	c.mu.Unlock()
-	v := &testVM{Process: c.world.Start(context.Background(), name), cluster: c, closed: make(chan struct{})}
+	v := &testVM{Process: c.platform.Start(context.Background(), name), cluster: c, closed: make(chan struct{})}
 	history := NewHistory(c.weights)
 	v.manager = NewManager(Config{
 		VM:             name,
@@ -327,10 +327,10 @@
 
 // stop kills all VMs, so that the bubble can end.
 func (c *cluster) stop() {
-	for _, v := range c.all() {
+	for _, v := range c.startedVMs() {
 		v.Kill()
 	}
-	for _, v := range c.all() {
+	for _, v := range c.startedVMs() {
 		<-v.closed
 	}
 	synctest.Wait()
@@ -347,62 +347,62 @@
 // trainer pulls a step by its cursor, from any VM that answers. It stores the
 // samples that it has received, as a trainer does that survives restarts.
 type trainer struct {
-	t       *testing.T
-	cluster *cluster
-	step    string
-	wanted  int
-	cursor  int64
-	taken   map[string]sample.Sample
-	numbers map[int64]sample.Sample
+	t        *testing.T
+	cluster  *cluster
+	step     string
+	total    int
+	cursor   int64
+	received map[string]sample.Sample
+	byNumber map[int64]sample.Sample
 	// tombstones counts the withdrawn samples.
 	tombstones int
 	// dropsReplies makes the trainer lose every second reply.
 	dropsReplies bool
 	// pullNumber is the number of the latest pull.
-	number    int64
-	pulls     int
-	published bool
+	pullNumber int64
+	pulls      int
+	published  bool
 }
 
 func newTrainer(c *cluster, step string, d sample.Definition) *trainer {
 	return &trainer{
-		t:       c.t,
-		cluster: c,
-		step:    step,
-		wanted:  d.Count(),
-		taken:   make(map[string]sample.Sample),
-		numbers: make(map[int64]sample.Sample),
+		t:        c.t,
+		cluster:  c,
+		step:     step,
+		total:    d.Count(),
+		received: make(map[string]sample.Sample),
+		byNumber: make(map[int64]sample.Sample),
 	}
 }
 
 // open opens the step through any VM.
 func (tr *trainer) open(d sample.Definition) {
-	tr.ask(func(m *Manager) error {
+	tr.callAny(func(m *Manager) error {
 		_, err := m.Open(context.Background(), testAccount, tr.step, d)
 		return err
 	})
 }
 
-// callAny calls the VMs in order, the first one first, until one succeeds.
-func (tr *trainer) ask(question func(m *Manager) error) {
+// callAny calls the VMs in the order of their start until one succeeds.
+func (tr *trainer) callAny(call func(m *Manager) error) {
 	deadline := time.Now().Add(20 * time.Minute)
 	for time.Now().Before(deadline) {
-		for _, v := range tr.cluster.all() {
+		for _, v := range tr.cluster.startedVMs() {
 			if v.Dead() {
 				continue
 			}
-			if err := question(v.manager); err == nil {
+			if err := call(v.manager); err == nil {
 				return
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	tr.t.Fatalf("no VM answered: %d of %d samples, cursor %d", len(tr.taken), tr.wanted, tr.cursor)
+	tr.t.Fatalf("no VM answered: %d of %d samples, cursor %d", len(tr.received), tr.total, tr.cursor)
 }
 
-// openAt opens the step through the only VM and waits until that VM owns it. A
-// VM that was started at the same moment could become the owner instead.
-func (tr *trainer) openAt(v *testVM, d sample.Definition) {
+// openOwnedBy opens the step through v, the only VM, and waits until v owns it.
+// A VM that was started at the same moment could become the owner instead.
+func (tr *trainer) openOwnedBy(v *testVM, d sample.Definition) {
 	tr.t.Helper()
 	tr.open(d)
 	time.Sleep(100 * time.Millisecond)
@@ -416,25 +416,26 @@
 // has the same content.
 func (tr *trainer) pull() []sample.Sample {
 	var got []sample.Sample
-	tr.ask(func(m *Manager) (err error) {
-		tr.number++
-		pull := sample.Pull{After: tr.cursor, Number: tr.number, Wait: time.Second}
+	tr.callAny(func(m *Manager) (err error) {
+		tr.pullNumber++
+		pull := sample.Pull{After: tr.cursor, Number: tr.pullNumber, Wait: time.Second}
 		got, err = m.Samples(context.Background(), testAccount, tr.step, pull)
 		return err
 	})
 	for _, s := range got {
-		if first, came := tr.numbers[s.Number]; !came {
-			tr.numbers[s.Number] = s
+		if first, ok := tr.byNumber[s.Number]; !ok {
+			tr.byNumber[s.Number] = s
 		} else if !s.Withdrawn && string(platform.EncodeValue(first)) != string(platform.EncodeValue(s)) {
-			tr.t.Fatalf("number %d came as %+v and as %+v", s.Number, first, s)
+			tr.t.Fatalf("number %d was delivered as %+v and as %+v", s.Number, first, s)
 		}
 	}
 	return got
 }
 
 // receive moves the cursor past the samples. It checks that they follow the
-// cursor without gaps, are fresh, and fill no slot twice.
-func (tr *trainer) take(samples []sample.Sample) {
+// cursor without gaps, are within the bound in versions, and fill no slot
+// twice.
+func (tr *trainer) receive(samples []sample.Sample) {
 	for _, s := range samples {
 		if s.Number != tr.cursor+1 {
 			tr.t.Fatalf("number %d follows %d", s.Number, tr.cursor)
@@ -445,17 +446,17 @@
 			continue
 		}
 		if bound := tr.cluster.staleness; tr.cluster.weights.now()-sample.OldestVersion(s.Spans) > bound.MaxVersions {
-			tr.t.Fatalf("sample %d of version %d came at version %d", s.Number, sample.OldestVersion(s.Spans), tr.cluster.weights.now())
+			tr.t.Fatalf("sample %d of version %d was delivered at version %d", s.Number, sample.OldestVersion(s.Spans), tr.cluster.weights.now())
 		}
-		if _, again := tr.taken[s.Slot.Name()]; again {
-			tr.t.Fatalf("slot %s came twice", s.Slot.Name())
+		if _, ok := tr.received[s.Slot.Name()]; ok {
+			tr.t.Fatalf("slot %s was delivered twice", s.Slot.Name())
 		}
-		tr.taken[s.Slot.Name()] = s
+		tr.received[s.Slot.Name()] = s
 	}
 }
 
 func (tr *trainer) ack() {
-	tr.ask(func(m *Manager) error {
+	tr.callAny(func(m *Manager) error {
 		return m.Ack(context.Background(), testAccount, tr.step, tr.cursor)
 	})
 }
@@ -463,7 +464,7 @@
 // loseReply simulates a lost reply. After the first reply with samples it
 // publishes a new weight version, so that these samples may be stale when they
 // are pulled again.
-func (tr *trainer) dropped(got []sample.Sample) {
+func (tr *trainer) loseReply(got []sample.Sample) {
 	if len(got) > 0 && !tr.published {
 		tr.published = true
 		tr.cluster.weights.publish()
@@ -474,17 +475,17 @@
 // virtual time.
 func (tr *trainer) finish() {
 	deadline := time.Now().Add(20 * time.Minute)
-	for len(tr.taken) < tr.wanted {
+	for len(tr.received) < tr.total {
 		if time.Now().After(deadline) {
-			tr.t.Fatalf("%d of %d samples came, cursor %d", len(tr.taken), tr.wanted, tr.cursor)
+			tr.t.Fatalf("%d of %d samples received, cursor %d", len(tr.received), tr.total, tr.cursor)
 		}
 		got := tr.pull()
 		tr.pulls++
 		if tr.dropsReplies && tr.pulls%2 == 1 {
-			tr.dropped(got)
+			tr.loseReply(got)
 			continue
 		}
-		tr.take(got)
+		tr.receive(got)
 		tr.ack()
 	}
 }
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -61,16 +61,16 @@
 
 // Manager opens, owns and delivers steps on one VM.
 type Manager struct {
-	vm      string
-	store   store
-	leases  Leases
-	workers Workers
-	judge   judge
-	scorer  Scorer
-	usage   UsageRecorder
-	events  *event.Recorder
-	metrics *metrics
-	period  func() time.Duration
+	vm             string
+	store          store
+	leases         Leases
+	workers        Workers
+	policy         stalenessPolicy
+	scorer         Scorer
+	usage          UsageRecorder
+	events         *event.Recorder
+	metrics        *metrics
+	searchInterval func() time.Duration
 
 	withoutHedging bool
 
@@ -79,7 +79,7 @@
 
 	mu        sync.Mutex
 	closed    bool
-	campaigns map[ref]campaign
+	campaigns map[stepRef]campaign
 	running   sync.WaitGroup
 }
 
@@ -97,16 +97,16 @@
 		store:          store{tables: c.Tables},
 		leases:         c.Leases,
 		workers:        c.Workers,
-		judge:          judge{view: c.View, versions: c.Versions},
+		policy:         stalenessPolicy{view: c.View, versions: c.Versions},
 		scorer:         c.Scorer,
 		usage:          c.Usage,
 		events:         c.Events,
 		metrics:        newMetrics(c.Registerer),
-		period:         c.Period,
+		searchInterval: c.Period,
 		withoutHedging: c.WithoutHedging,
 		ctx:            ctx,
 		cancel:         cancel,
-		campaigns:      make(map[ref]campaign),
+		campaigns:      make(map[stepRef]campaign),
 	}
 }
 
@@ -127,7 +127,7 @@
 	if err := definition.Check(); err != nil {
 		return sample.Status{}, err
 	}
-	r := ref{account: account, step: step}
+	r := stepRef{account: account, step: step}
 	err := m.store.open(ctx, r, definition)
 	if fault.Is[*fault.PreconditionFailed](err) {
 		return m.reopen(ctx, r, definition)
@@ -136,16 +136,16 @@
 		return sample.Status{}, err
 	}
 	m.events.Emit(event.StepOpened, event.Subject{Account: string(account), Step: step})
-	m.begin(r)
+	m.startCampaign(r)
 	return status(r, sample.NewProgress(definition)), nil
 }
 
-func (m *Manager) reopen(ctx context.Context, r ref, definition sample.Definition) (sample.Status, error) {
+func (m *Manager) reopen(ctx context.Context, r stepRef, definition sample.Definition) (sample.Status, error) {
 	first, err := m.store.definition(ctx, r)
 	if err != nil {
 		return sample.Status{}, err
 	}
-	if !same(first, definition) {
+	if !sameDefinition(first, definition) {
 		return sample.Status{}, errors.WithStack(&fault.StepMismatch{Step: r.step})
 	}
 	progress, _, err := m.store.progress(ctx, r)
@@ -155,7 +155,7 @@
 	return status(r, progress), nil
 }
 
-func status(r ref, p sample.Progress) sample.Status {
+func status(r stepRef, p sample.Progress) sample.Status {
 	return sample.Status{Step: r.step, Slots: p.Slots, Filled: p.Count(), Committed: p.Committed, Acked: p.Acked, Pull: p.Pull}
 }
 
@@ -164,30 +164,30 @@
 func (m *Manager) Run(ctx context.Context) {
 	for {
 		// A failed search leaves the campaigns as they are.
-		_ = m.search(ctx)
+		_ = m.syncCampaigns(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(m.period()):
+		case <-time.After(m.searchInterval()):
 		}
 	}
 }
 
-func (m *Manager) search(ctx context.Context) error {
+func (m *Manager) syncCampaigns(ctx context.Context) error {
 	began := time.Now()
 	open, err := m.store.openSteps(ctx)
 	if err != nil {
 		return err
 	}
 	live := m.liveVMs()
-	wanted := make(map[ref]bool, len(open))
+	wanted := make(map[stepRef]bool, len(open))
 	for _, r := range open {
 		wanted[r] = true
 		if isCandidate(r.path(), m.vm, live) {
-			m.begin(r)
+			m.startCampaign(r)
 		}
 	}
-	m.endOthers(wanted, began)
+	m.cancelObsolete(wanted, began)
 	return nil
 }
 
@@ -203,7 +203,7 @@
 // cancelObsolete cancels the campaigns for steps that are no longer open. It
 // leaves campaigns that began after the search, since the search may have
 // missed their steps.
-func (m *Manager) endOthers(wanted map[ref]bool, searched time.Time) {
+func (m *Manager) cancelObsolete(wanted map[stepRef]bool, searched time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for r, c := range m.campaigns {
@@ -214,7 +214,7 @@
 }
 
 // startCampaign starts a campaign for a step unless this VM already has one.
-func (m *Manager) begin(r ref) {
+func (m *Manager) startCampaign(r stepRef) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if _, running := m.campaigns[r]; running || m.closed {
@@ -223,17 +223,17 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	m.campaigns[r] = campaign{began: time.Now(), cancel: cancel}
 	m.running.Go(func() {
-		defer m.end(r)
+		defer m.endCampaign(r)
 		defer cancel()
 		// The lease's events report a failure of the campaign. The next search
 		// starts another one if the step is still open.
 		_ = m.leases.Campaign(ctx, r.leaseName(), func(ctx context.Context, g Guard) (bool, error) {
-			return m.own(ctx, r, g)
+			return m.runOwner(ctx, r, g)
 		})
 	})
 }
 
-func (m *Manager) end(r ref) {
+func (m *Manager) endCampaign(r stepRef) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.campaigns, r)
--- a/internal/rollout/matrix_test.go
+++ b/internal/rollout/matrix_test.go
@@ -15,7 +15,7 @@
 // runWithFaults runs one step to its end with faults injected into the first
 // two VMs and none into a third, and checks everything that the trainer and the
 // store show. It returns the calls of the first two VMs.
-func episode(t *testing.T, faultsA, faultsB faultsOf) (callsA, callsB []platformtest.Step) {
+func runWithFaults(t *testing.T, faultsA, faultsB faultsByCall) (callsA, callsB []platformtest.Step) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0, MaxSeconds: 3600})
 		defer c.stop()
@@ -27,13 +27,13 @@
 		tr.dropsReplies = true
 		tr.open(d)
 		tr.finish()
-		callsA, callsB = a.made(), b.made()
+		callsA, callsB = a.calls(), b.calls()
 		// Calls that a paused VM had in progress take effect after the step's
 		// end.
 		time.Sleep(2 * longPause)
 		checkStore(c, d)
 		if len(faultsA)+len(faultsB) == 0 && tr.tombstones == 0 {
-			t.Fatal("no sample went stale, so that the episode proves nothing about it")
+			t.Fatal("no sample became stale, so the run does not cover withdrawal")
 		}
 	})
 	return callsA, callsB
@@ -44,7 +44,7 @@
 func checkStore(c *cluster, d sample.Definition) {
 	c.t.Helper()
 	s := store{tables: c.tables}
-	r := ref{account: testAccount, step: "s"}
+	r := stepRef{account: testAccount, step: "s"}
 	progress, _, err := s.progress(c.t.Context(), r)
 	if err != nil || !progress.Complete() {
 		c.t.Fatalf("progress %+v, %v", progress, err)
@@ -56,15 +56,15 @@
 	next := int64(1)
 	slots := make(map[string]bool)
 	for _, b := range batches {
-		for _, kept := range b.samples {
-			if kept.Number != next {
-				c.t.Fatalf("number %d follows %d", kept.Number, next-1)
+		for _, got := range b.samples {
+			if got.Number != next {
+				c.t.Fatalf("number %d follows %d", got.Number, next-1)
 			}
 			next++
-			if !kept.Withdrawn && slots[kept.Slot.Name()] {
-				c.t.Fatalf("slot %s has two samples", kept.Slot.Name())
+			if !got.Withdrawn && slots[got.Slot.Name()] {
+				c.t.Fatalf("slot %s has two samples", got.Slot.Name())
 			}
-			slots[kept.Slot.Name()] = slots[kept.Slot.Name()] || !kept.Withdrawn
+			slots[got.Slot.Name()] = slots[got.Slot.Name()] || !got.Withdrawn
 		}
 	}
 	if next != progress.Committed+1 || len(slots) != d.Count() {
@@ -79,14 +79,14 @@
 	// longPause is long enough for the other VM to finish the step.
 	longPause = 4 * testTerm
 	// lateDelay delays the effect of a call until its caller has timed out.
-	lateBy = 4700 * time.Millisecond
+	lateDelay = 4700 * time.Millisecond
 )
 
 // faults lists the faults that are injected into each call.
 var faults = []platformtest.Fault{
 	{Kind: platformtest.LoseRequest},
 	{Kind: platformtest.LoseReply},
-	{Kind: platformtest.Late, For: lateBy},
+	{Kind: platformtest.Late, For: lateDelay},
 	{Kind: platformtest.KillBefore},
 	{Kind: platformtest.KillAfter},
 	{Kind: platformtest.PauseBefore, For: shortPause},
@@ -101,12 +101,12 @@
 // trainer also loses replies, and new weights make samples stale. The trainer
 // must still receive each slot's sample once, fresh, in numbers without gaps.
 func TestFaultAtEveryCall(t *testing.T) {
-	calls, _ := episode(t, nil, nil)
+	calls, _ := runWithFaults(t, nil, nil)
 	t.Logf("a run without faults makes %d calls", len(calls))
 	for at, call := range calls {
 		for _, f := range faults {
 			t.Run(fmt.Sprintf("%03d %s %s %s %s", at, call.Call, call.Subject, f.Kind, f.For), func(t *testing.T) {
-				episode(t, faultsOf{at: f}, nil)
+				runWithFaults(t, faultsByCall{at: f}, nil)
 			})
 		}
 	}
@@ -116,22 +116,22 @@
 // A second VM takes over after a fault at a write of the first VM, and has a
 // fault at one of its own writes.
 func TestPairsOfFaultsAtWrites(t *testing.T) {
-	calls, _ := episode(t, nil, nil)
+	calls, _ := runWithFaults(t, nil, nil)
 	firsts := []platformtest.Fault{{Kind: platformtest.KillAfter}, {Kind: platformtest.PauseBefore, For: shortPause}}
 	seconds := []platformtest.Fault{
 		{Kind: platformtest.LoseReply},
-		{Kind: platformtest.Late, For: lateBy},
+		{Kind: platformtest.Late, For: lateDelay},
 		{Kind: platformtest.KillAfter},
 		{Kind: platformtest.PauseBefore, For: shortPause},
 	}
-	for _, first := range writes(calls) {
+	for _, first := range writeIndexes(calls) {
 		for _, f := range firsts {
-			faultsA := faultsOf{first: f}
-			_, callsB := episode(t, faultsA, nil)
-			for _, second := range writes(callsB) {
+			faultsA := faultsByCall{first: f}
+			_, callsB := runWithFaults(t, faultsA, nil)
+			for _, second := range writeIndexes(callsB) {
 				for _, g := range seconds {
 					t.Run(fmt.Sprintf("%s at %d, then %s at %d", f.Kind, first, g.Kind, second), func(t *testing.T) {
-						episode(t, faultsA, faultsOf{second: g})
+						runWithFaults(t, faultsA, faultsByCall{second: g})
 					})
 				}
 			}
@@ -140,12 +140,12 @@
 }
 
 // writeIndexes returns the indexes of the calls that write rows of the step.
-func writes(calls []platformtest.Step) []int {
-	var numbers []int
+func writeIndexes(calls []platformtest.Step) []int {
+	var indexes []int
 	for _, call := range calls {
 		if call.Call == "commit" && !strings.HasPrefix(call.Subject, "lease/") {
-			numbers = append(numbers, call.Index)
+			indexes = append(indexes, call.Index)
 		}
 	}
-	return numbers
+	return indexes
 }
--- a/internal/rollout/measure_test.go
+++ b/internal/rollout/measure_test.go
@@ -26,17 +26,17 @@
 
 // stragglerDuration returns 1 to 3 s for most attempts, and 40 s more for one
 // first attempt in fifty, as on an engine that has become slow.
-func straggling(slot string, run int) time.Duration {
+func stragglerDuration(slot string, attempt int) time.Duration {
 	h := xxhash.Sum64String(slot)
 	took := time.Second + time.Duration(h%2000)*time.Millisecond
-	if run == 1 && h>>16%50 == 0 {
+	if attempt == 1 && h>>16%50 == 0 {
 		took += 40 * time.Second
 	}
 	return took
 }
 
 // measurement holds the figures of one step.
-type measured struct {
+type measurement struct {
 	took   time.Duration
 	idle   time.Duration
 	tokens int
@@ -51,11 +51,11 @@
 
 // measure runs one step on all VMs. The trainer spends trainTime on each sample
 // and pulls when it has none left. prepare may change the cluster.
-func measure(t *testing.T, bound contract.Staleness, trainTime time.Duration, prepare func(c *cluster)) (m measured) {
+func measure(t *testing.T, bound contract.Staleness, trainTime time.Duration, prepare func(c *cluster)) (m measurement) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, bound)
 		defer c.stop()
-		c.engine.time = straggling
+		c.engine.duration = stragglerDuration
 		prepare(c)
 		for n := range measureVMs {
 			c.start(fmt.Sprintf("vm-%d", n), nil)
@@ -65,7 +65,7 @@
 		began := time.Now()
 		tr.open(d)
 		readsBefore, writesBefore := c.tables.Counts()
-		for len(tr.taken) < tr.wanted {
+		for len(tr.received) < tr.total {
 			asked := time.Now()
 			got := tr.pull()
 			m.idle += time.Since(asked)
@@ -74,7 +74,7 @@
 					m.ages = append(m.ages, c.weights.age(s))
 				}
 			}
-			tr.take(got)
+			tr.receive(got)
 			tr.ack()
 			time.Sleep(time.Duration(len(got)) * trainTime)
 		}
@@ -91,7 +91,7 @@
 	const trainTime = 10 * time.Millisecond
 	plain := measure(t, noBound, trainTime, func(c *cluster) { c.withoutHedging = true })
 	hedged := measure(t, noBound, trainTime, func(*cluster) {})
-	report := func(name string, m measured) {
+	report := func(name string, m measurement) {
 		t.Logf("%-16s step %6.1f s  trainer idle %6.1f s  tokens %d (%+.1f%%)", name, m.took.Seconds(), m.idle.Seconds(),
 			m.tokens, 100*float64(m.tokens-m.count*testTokens)/float64(m.count*testTokens))
 	}
@@ -135,7 +135,7 @@
 			bound.MaxVersions, bound.MaxSeconds, quantile(versions, 0.5), quantile(versions, 0.99), quantile(versions, 1),
 			quantile(seconds, 0.5), quantile(seconds, 0.99), quantile(seconds, 1), m.withdrawn, m.took.Seconds())
 		if bound.MaxSeconds > 0 && quantile(seconds, 1) > float64(bound.MaxSeconds) {
-			t.Error("a sample came past the bound")
+			t.Error("a sample was delivered past the bound")
 		}
 	}
 }
@@ -154,18 +154,18 @@
 			c := newCluster(t, noBound)
 			defer c.stop()
 			c.withoutHedging = true
-			c.engine.time = func(slot string, _ int) time.Duration { return straggling(slot, 2) }
+			c.engine.duration = func(slot string, _ int) time.Duration { return stragglerDuration(slot, 2) }
 			owner := c.start("vm-0", nil)
 			d := testStep(measureGroups, measureSamples)
 			tr := newTrainer(c, "s", d)
-			tr.openAt(owner, d)
+			tr.openOwnedBy(owner, d)
 			for n := range measureVMs - 1 {
 				c.start(fmt.Sprintf("vm-%d", n+1), nil)
 			}
 			time.Sleep(after - 100*time.Millisecond)
 			owner.Kill()
 			synctest.Wait()
-			progress, _, err := store{tables: c.tables}.progress(t.Context(), ref{account: testAccount, step: "s"})
+			progress, _, err := store{tables: c.tables}.progress(t.Context(), stepRef{account: testAccount, step: "s"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -206,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
-		c.engine.time = func(slot string, run int) time.Duration { return 10 * straggling(slot, run) }
+		c.engine.duration = func(slot string, attempt int) time.Duration { return 10 * stragglerDuration(slot, attempt) }
 		for n := range measureVMs {
 			c.start(fmt.Sprintf("vm-%d", n), nil)
 		}
@@ -214,7 +214,7 @@
 		tr := newTrainer(c, "s", d)
 		tr.open(d)
 		tr.finish()
-		row, err := c.tables.Get(t.Context(), ref{account: testAccount, step: "s"}.progressKey())
+		row, err := c.tables.Get(t.Context(), stepRef{account: testAccount, step: "s"}.progressKey())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -19,22 +19,22 @@
 const (
 	// tickInterval is the maximum time between two scheduling rounds of an
 	// owner.
-	tickPeriod = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
 	// workersRefreshInterval is how often the list of workers is read.
-	workersPeriod = 250 * time.Millisecond
+	workersRefreshInterval = 250 * time.Millisecond
 )
 
 // generatedSample is a sample that is not committed yet.
-type finished struct {
+type generatedSample struct {
 	sample sample.Sample
 	prompt string
 }
 
 // outcome is the result of an attempt.
 type outcome struct {
-	run    *run
-	result generate.Result
-	err    error
+	attempt *attempt
+	result  generate.Result
+	err     error
 }
 
 // rejection is a sample that may not be committed, and the reason.
@@ -48,34 +48,34 @@
 // to it.
 type owner struct {
 	*Manager
-	ref        ref
+	ref        stepRef
 	guard      Guard
 	definition sample.Definition
 	plan       *plan
 
 	outcomes chan outcome
-	scores   chan scored
-	commits  chan committed
+	scores   chan scoringResult
+	commits  chan commitResult
 	// scoringSemaphore bounds the samples that are scored concurrently.
-	scoring chan struct{}
-	beside  sync.WaitGroup
+	scoringSemaphore chan struct{}
+	background       sync.WaitGroup
 
 	// ready holds the samples for the next commit.
-	ready []finished
+	ready []generatedSample
 	// committing is true while a commit is in progress.
 	committing bool
 	// nextCommitAt is the earliest time of the next commit.
-	commitAt time.Time
+	nextCommitAt time.Time
 	// nextWorkersRefreshAt is when to read the list of workers again.
-	workersAt time.Time
+	nextWorkersRefreshAt time.Time
 	// minVersion is the oldest version whose samples are within the bound.
-	minimum int64
+	minVersion int64
 }
 
 // runOwner runs a step as its owner until every slot has a sample, and reports
 // whether every slot has one. It returns early when ctx ends or another VM has
 // become the owner.
-func (m *Manager) own(ctx context.Context, r ref, guard Guard) (bool, error) {
+func (m *Manager) runOwner(ctx context.Context, r stepRef, guard Guard) (bool, error) {
 	definition, err := m.store.definition(ctx, r)
 	if err != nil {
 		return false, err
@@ -95,39 +95,39 @@
 	})
 	ctx, cancel := context.WithCancel(ctx)
 	o := &owner{
-		Manager:    m,
-		ref:        r,
-		guard:      guard,
-		definition: definition,
-		plan:       newPlan(r.step, definition, !m.withoutHedging),
-		outcomes:   make(chan outcome),
-		scores:     make(chan scored),
-		commits:    make(chan committed),
-		scoring:    make(chan struct{}, scoringWidth),
+		Manager:          m,
+		ref:              r,
+		guard:            guard,
+		definition:       definition,
+		plan:             newPlan(r.step, definition, !m.withoutHedging),
+		outcomes:         make(chan outcome),
+		scores:           make(chan scoringResult),
+		commits:          make(chan commitResult),
+		scoringSemaphore: make(chan struct{}, scoringConcurrency),
 	}
 	o.plan.reconcile(progress)
-	defer o.beside.Wait()
+	defer o.background.Wait()
 	defer cancel()
 	return o.loop(ctx, progress)
 }
 
 func (o *owner) loop(ctx context.Context, progress sample.Progress) (bool, error) {
-	ticker := time.NewTicker(tickPeriod)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for !progress.Complete() {
-		o.decide(ctx, time.Now())
+		o.schedule(ctx, time.Now())
 		select {
 		case <-ctx.Done():
 			return false, context.Cause(ctx)
 		case out := <-o.outcomes:
-			o.take(ctx, out, time.Now())
+			o.handleOutcome(ctx, out, time.Now())
 		case s := <-o.scores:
-			o.takeScored(s, time.Now())
+			o.handleScored(s, time.Now())
 		case c := <-o.commits:
 			if fault.Is[*fault.LeaseLost](c.err) {
 				return false, c.err
 			}
-			progress = o.takeCommitted(c, progress, time.Now())
+			progress = o.handleCommitted(c, progress, time.Now())
 		case <-ticker.C:
 		}
 	}
@@ -137,52 +137,52 @@
 
 // schedule cancels overdue attempts, and starts all attempts and commits that
 // can start now.
-func (o *owner) decide(ctx context.Context, now time.Time) {
-	o.renewWorkers(now)
-	for _, r := range o.plan.overdue(now) {
-		r.cancel()
-		o.plan.ended(r)
-		o.takeFailure(outcome{run: r, err: errors.WithStack(&fault.PeerUnavailable{VM: r.lane.worker.VM})}, now)
+func (o *owner) schedule(ctx context.Context, now time.Time) {
+	o.refreshWorkers(now)
+	for _, a := range o.plan.overdue(now) {
+		a.cancel()
+		o.plan.remove(a)
+		o.handleFailure(outcome{attempt: a, err: errors.WithStack(&fault.PeerUnavailable{VM: a.worker.info.VM})}, now)
 	}
-	for _, r := range o.plan.starts(now) {
-		o.begin(ctx, r)
+	for _, a := range o.plan.startPending(now) {
+		o.startAttempt(ctx, a)
 	}
-	for _, r := range o.plan.hedges(now) {
+	for _, a := range o.plan.startHedges(now) {
 		o.metrics.hedges.WithLabelValues(string(o.ref.account)).Inc()
-		o.emitSlot(event.SlotHedged, r, "")
-		o.begin(ctx, r)
+		o.emitSlotEvent(event.SlotHedged, a, "")
+		o.startAttempt(ctx, a)
 	}
 	o.flush(ctx, now)
 }
 
 // refreshWorkers updates the workers every workersRefreshInterval.
-func (o *owner) renewWorkers(now time.Time) {
-	if now.Before(o.workersAt) {
+func (o *owner) refreshWorkers(now time.Time) {
+	if now.Before(o.nextWorkersRefreshAt) {
 		return
 	}
-	o.workersAt = now.Add(workersPeriod)
-	for _, gone := range o.plan.lanes.replace(o.ref.step, o.workers.Workers()) {
-		o.plan.dropLane(gone)
+	o.nextWorkersRefreshAt = now.Add(workersRefreshInterval)
+	for _, removed := range o.plan.workerSet.update(o.ref.step, o.workers.Workers()) {
+		o.plan.removeWorker(removed)
 	}
 }
 
-func (o *owner) emitSlot(n event.Number, r *run, detail string) {
+func (o *owner) emitSlotEvent(n event.Number, a *attempt, detail string) {
 	o.events.Emit(n, event.Subject{
 		Account: string(o.ref.account),
 		Step:    o.ref.step,
-		Slot:    o.plan.slots[r.position].slot.Name(),
-		Peer:    r.lane.worker.VM,
+		Slot:    o.plan.slots[a.position].slot.Name(),
+		Peer:    a.worker.info.VM,
 		Detail:  detail,
 	})
 }
 
-func (o *owner) begin(ctx context.Context, r *run) {
-	ctx, r.cancel = context.WithCancel(ctx)
-	request := o.generation(o.plan.slots[r.position].slot)
-	runner := r.lane.worker.Runner
-	o.beside.Go(func() {
+func (o *owner) startAttempt(ctx context.Context, a *attempt) {
+	ctx, a.cancel = context.WithCancel(ctx)
+	request := o.newRequest(o.plan.slots[a.position].slot)
+	runner := a.worker.info.Runner
+	o.background.Go(func() {
 		result, err := runner.Generate(ctx, request, nil)
-		send(ctx, o.outcomes, outcome{run: r, result: result, err: err})
+		send(ctx, o.outcomes, outcome{attempt: a, result: result, err: err})
 	})
 }
 
@@ -195,7 +195,7 @@
 	}
 }
 
-func (o *owner) generation(slot sample.Slot) generate.Request {
+func (o *owner) newRequest(slot sample.Slot) generate.Request {
 	return generate.Request{
 		ID:         uuid.NewString(),
 		Account:    o.ref.account,
@@ -206,35 +206,35 @@
 		Seed:       int64(xxhash.Sum64String(o.ref.step+"/"+slot.Name()) >> 1),
 		Priority:   generate.Rollout,
 		Group:      o.ref.step + "/" + slot.Group,
-		MinVersion: o.minimum,
+		MinVersion: o.minVersion,
 		Step:       o.ref.step,
 		Slot:       slot.Name(),
 	}
 }
 
 // handleOutcome processes the end of an attempt.
-func (o *owner) take(ctx context.Context, out outcome, now time.Time) {
-	known, useful := o.plan.ended(out.run)
-	if !known {
+func (o *owner) handleOutcome(ctx context.Context, out outcome, now time.Time) {
+	found, needed := o.plan.remove(out.attempt)
+	if !found {
 		return
 	}
-	out.run.cancel()
+	out.attempt.cancel()
 	if out.err != nil {
-		o.takeFailure(out, now)
+		o.handleFailure(out, now)
 		return
 	}
-	out.run.lane.succeeded()
-	if !useful {
+	out.attempt.worker.recordSuccess()
+	if !needed {
 		return
 	}
-	slot := o.plan.slots[out.run.position].slot
-	f := finished{sample: sampleOf(slot, out.result), prompt: slot.Prompt}
-	o.plan.won(out.run, now)
+	slot := o.plan.slots[out.attempt.position].slot
+	g := generatedSample{sample: sampleOf(slot, out.result), prompt: slot.Prompt}
+	o.plan.markSucceeded(out.attempt, now)
 	if o.definition.Scorer == "" {
-		o.ready = append(o.ready, f)
+		o.ready = append(o.ready, g)
 		return
 	}
-	o.beside.Go(func() { o.score(ctx, f) })
+	o.background.Go(func() { o.score(ctx, g) })
 }
 
 func sampleOf(slot sample.Slot, result generate.Result) sample.Sample {
@@ -248,20 +248,20 @@
 // handleFailure decides by the error which part backs off after a failed
 // attempt. An unresponsive worker or one without capacity backs off as a whole
 // and gets a lower limit. After any other error only the slot backs off.
-func (o *owner) takeFailure(out outcome, now time.Time) {
-	l := out.run.lane
+func (o *owner) handleFailure(out outcome, now time.Time) {
+	w := out.attempt.worker
 	code := fault.CodeOf(out.err)
 	o.metrics.failures.WithLabelValues(string(code)).Inc()
 	switch code {
 	case fault.CodePeerUnavailable:
-		l.silent(now)
-		o.plan.slots[out.run.position].failures++
-		o.emitSlot(event.WorkerFailed, out.run, string(code))
+		w.recordUnresponsive(now)
+		o.plan.slots[out.attempt.position].failures++
+		o.emitSlotEvent(event.WorkerFailed, out.attempt, string(code))
 	case fault.CodeQueueFull, fault.CodeLimitExceeded, fault.CodeNoUpstream, fault.CodeDraining:
-		l.refused(now, fault.RetryAfterOf(out.err, 0))
+		w.recordRefusal(now, fault.RetryAfterOf(out.err, 0))
 	default:
-		if s := &o.plan.slots[out.run.position]; s.phase == pending {
-			o.plan.again(out.run.position, now)
+		if s := &o.plan.slots[out.attempt.position]; s.phase == pending {
+			o.plan.retry(out.attempt.position, now)
 		}
 	}
 }
@@ -275,5 +275,5 @@
 		Slot:    o.plan.slots[r.position].slot.Name(),
 		Detail:  r.err.Error(),
 	})
-	o.plan.again(r.position, now)
+	o.plan.retry(r.position, now)
 }
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -29,8 +29,8 @@
 // An engine restarts in mid-stream or reports no published version for its
 // tokens. The sample must be generated again: the trainer would otherwise learn
 // from tokens that belong to no known version.
-func TestUnattributableSamplesRunAgain(t *testing.T) {
-	spoils := map[string]func(*generate.Result){
+func TestUnattributableSamplesAreRegenerated(t *testing.T) {
+	corruptions := map[string]func(*generate.Result){
 		"no version":      func(r *generate.Result) { r.Spans[0].Version = 0 },
 		"never published": func(r *generate.Result) { r.Spans[0].Version = 99 },
 		"gap":             func(r *generate.Result) { r.Spans[0].Start = 1 },
@@ -41,22 +41,22 @@
 			}
 		},
 	}
-	for name, spoil := range spoils {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, noBound)
 				defer c.stop()
-				c.engine.spoil = func(request generate.Request, run int, result *generate.Result) error {
-					if request.Slot == "g0.0" && run <= 2 {
-						spoil(result)
+				c.engine.corrupt = func(request generate.Request, attempt int, result *generate.Result) error {
+					if request.Slot == "g0.0" && attempt <= 2 {
+						corrupt(result)
 					}
 					return nil
 				}
 				tr := runStep(c, testStep(2, 2))
-				if runs := c.engine.runs["g0.0"]; runs != 3 {
-					t.Errorf("the spoiled slot ran %d times", runs)
+				if attempts := c.engine.attempts["g0.0"]; attempts != 3 {
+					t.Errorf("the corrupted slot was generated %d times", attempts)
 				}
-				got := tr.taken["g0.0"]
+				got := tr.received["g0.0"]
 				if err := sample.Attribute(got.Slot, got.Tokens, got.Spans, 1); err != nil {
 					t.Error(err)
 				}
@@ -67,21 +67,21 @@
 
 // An engine has loaded a version that was published a moment ago and that this
 // VM has not read yet. The sample is valid and must not be rejected.
-func TestJustPublishedVersionIsKnown(t *testing.T) {
+func TestJustPublishedVersionIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
-		c.engine.spoil = func(request generate.Request, run int, _ *generate.Result) error {
+		c.engine.corrupt = func(request generate.Request, attempt int, _ *generate.Result) error {
 			if request.Slot == "g0.0" {
 				c.weights.publish()
 			}
 			return nil
 		}
-		c.engine.time = func(string, int) time.Duration { return 1530 * time.Millisecond }
+		c.engine.duration = func(string, int) time.Duration { return 1530 * time.Millisecond }
 		runStep(c, testStep(2, 2))
-		for slot, runs := range c.engine.runs {
-			if runs != 1 {
-				t.Errorf("slot %s ran %d times", slot, runs)
+		for slot, attempts := range c.engine.attempts {
+			if attempts != 1 {
+				t.Errorf("slot %s was generated %d times", slot, attempts)
 			}
 		}
 	})
@@ -134,11 +134,11 @@
 		c.weights.publish()
 		again := tr.pull()
 		if len(lost) != d.Count() || len(again) < d.Count() {
-			t.Fatalf("%d samples came, then %d", len(lost), len(again))
+			t.Fatalf("%d samples delivered, then %d", len(lost), len(again))
 		}
 		for i := range lost {
 			if again[i].Number != lost[i].Number || !again[i].Withdrawn || again[i].Text != "" || again[i].Spans != nil {
-				t.Errorf("%+v came again as %+v", lost[i], again[i])
+				t.Errorf("%+v was delivered again as %+v", lost[i], again[i])
 			}
 		}
 		tr.finish()
@@ -198,12 +198,12 @@
 		d := testStep(10, 2)
 		d.Scorer = "judge"
 		tr := runStep(c, d)
-		for slot, s := range tr.taken {
+		for slot, s := range tr.received {
 			if s.Score == nil || *s.Score != float64(len(s.Text)) {
 				t.Errorf("slot %s has score %v", slot, s.Score)
 			}
-			if c.engine.runs[slot] != 1 {
-				t.Errorf("slot %s was generated %d times", slot, c.engine.runs[slot])
+			if c.engine.attempts[slot] != 1 {
+				t.Errorf("slot %s was generated %d times", slot, c.engine.attempts[slot])
 			}
 		}
 		if took := time.Since(began); took > 80*time.Second {
@@ -228,7 +228,7 @@
 		d := testStep(2, 2)
 		d.Scorer = "judge"
 		tr := runStep(c, d)
-		for slot, s := range tr.taken {
+		for slot, s := range tr.received {
 			if sample.OldestVersion(s.Spans) != 2 {
 				t.Errorf("slot %s has version %d", slot, sample.OldestVersion(s.Spans))
 			}
@@ -268,7 +268,7 @@
 // on the list; or it is full or draining. Its slots must be generated
 // elsewhere, or the step would never end.
 func TestPeerFails(t *testing.T) {
-	ways := map[string]runnerFunc{
+	failures := map[string]runnerFunc{
 		"crashes": func(context.Context, generate.Request) (generate.Result, error) {
 			return generate.Result{}, errors.WithStack(&fault.PeerUnavailable{VM: "vm-b"})
 		},
@@ -287,7 +287,7 @@
 			return generate.Result{}, errors.WithStack(&fault.Remote{VM: "vm-b", RemoteCode: fault.CodeDraining})
 		},
 	}
-	for name, way := range ways {
+	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, noBound)
@@ -299,7 +299,7 @@
 				workers.set(own, Worker{VM: "vm-b", FailureDomain: "b", Runner: runnerFunc(
 					func(ctx context.Context, request generate.Request) (generate.Result, error) {
 						sent.Add(1)
-						return way(ctx, request)
+						return failure(ctx, request)
 					})})
 				c.workers = workers
 				c.start("vm-a", nil)
@@ -311,7 +311,7 @@
 				tr.open(d)
 				tr.finish()
 				if sent.Load() == 0 {
-					t.Fatal("the peer got no work, so that its failure proves nothing")
+					t.Fatal("the peer got no attempts, so its failure is not covered")
 				}
 			})
 		})
@@ -320,7 +320,7 @@
 
 // An owner must use the engines of every failure domain for a step. Using only
 // its own would leave most of the engines idle.
-func TestStepSpreadsOverVMs(t *testing.T) {
+func TestStepUsesEveryFailureDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
@@ -347,7 +347,7 @@
 		tr.finish()
 		for _, domain := range []string{"a", "b", "c"} {
 			if got[domain] < d.Count()/6 {
-				t.Errorf("failure domain %s ran %d of %d slots", domain, got[domain], d.Count())
+				t.Errorf("failure domain %s got %d attempts for %d slots", domain, got[domain], d.Count())
 			}
 		}
 	})
@@ -360,8 +360,8 @@
 		c := newCluster(t, noBound)
 		defer c.stop()
 		c.start("vm-b", nil)
-		c.engine.time = func(slot string, run int) time.Duration {
-			if slot == "g5.1" && run == 1 {
+		c.engine.duration = func(slot string, attempt int) time.Duration {
+			if slot == "g5.1" && attempt == 1 {
 				return 100 * time.Second
 			}
 			return time.Second
@@ -371,8 +371,8 @@
 		if took := time.Since(began); took > 5*time.Second {
 			t.Errorf("the step took %s", took)
 		}
-		if runs := c.engine.runs["g5.1"]; runs != 2 {
-			t.Errorf("the straggler ran %d times", runs)
+		if attempts := c.engine.attempts["g5.1"]; attempts != 2 {
+			t.Errorf("the straggler was generated %d times", attempts)
 		}
 	})
 }
@@ -384,7 +384,7 @@
 		c := newCluster(t, noBound)
 		defer c.stop()
 		c.start("vm-b", nil)
-		c.engine.time = func(slot string, run int) time.Duration {
+		c.engine.duration = func(slot string, attempt int) time.Duration {
 			if slot == "g0.0" {
 				return time.Second
 			}
@@ -392,12 +392,12 @@
 		}
 		d := testStep(10, 2)
 		runStep(c, d)
-		runs := 0
-		for _, n := range c.engine.runs {
-			runs += n
+		attempts := 0
+		for _, n := range c.engine.attempts {
+			attempts += n
 		}
-		if most := d.Count() * (100 + hedgePercent) / 100; runs <= d.Count() || runs > most {
-			t.Errorf("%d runs for %d slots", runs, d.Count())
+		if most := d.Count() * (100 + hedgePercent) / 100; attempts <= d.Count() || attempts > most {
+			t.Errorf("%d attempts for %d slots", attempts, d.Count())
 		}
 	})
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -25,7 +25,7 @@
 const (
 	// hedgeFactor is the multiple of the median duration after which an attempt
 	// is hedged.
-	hedgeAfter = 2
+	hedgeFactor = 2
 	// hedgePercent bounds the tokens spent on hedges, as a percentage of the
 	// maximum number of tokens of the step.
 	hedgePercent = 10
@@ -33,47 +33,47 @@
 	// attempt times out and its worker counts as unresponsive.
 	// minOverdueTimeout is the shortest such timeout. initialOverdueTimeout
 	// applies until an attempt has succeeded.
-	overdueAfter = 8
-	overdueMin   = 30 * time.Second
-	overdueFirst = 2 * time.Minute
+	overdueFactor         = 8
+	minOverdueTimeout     = 30 * time.Second
+	initialOverdueTimeout = 2 * time.Minute
 	// maxDoublings bounds the doubling of timeouts and backoffs that grow with
 	// failures.
 	maxDoublings = 8
 	// minSlotBackoff and maxSlotBackoff bound the backoff of a slot after an
 	// attempt without an accepted result, and the backoff between two calls to
 	// the scoring service.
-	slotRestMin = 100 * time.Millisecond
-	slotRestMax = 5 * time.Second
+	minSlotBackoff = 100 * time.Millisecond
+	maxSlotBackoff = 5 * time.Second
 )
 
 // attempt is one generation of a slot's sample on a worker.
-type run struct {
+type attempt struct {
 	id       int
 	position int
-	lane     *lane
+	worker   *workerState
 	began    time.Time
 	hedge    bool
 	cancel   func()
 }
 
 // slotState is the owner's state for one slot.
-type slotPlan struct {
-	slot  sample.Slot
-	phase phase
-	runs  []*run
+type slotState struct {
+	slot     sample.Slot
+	phase    phase
+	attempts []*attempt
 	// failures counts consecutive attempts without an accepted result.
 	failures int
-	restTill time.Time
+	retryAt  time.Time
 }
 
 // plan decides which slot is generated next and on which worker. It does no I/O
 // and reads no clock. It is not safe for concurrent use.
 type plan struct {
-	step  string
-	slots []slotPlan
-	lanes lanes
+	step      string
+	slots     []slotState
+	workerSet workerSet
 	// lastID is the ID of the latest attempt.
-	next int
+	lastID int
 	// durations holds the durations of successful attempts, sorted.
 	durations []time.Duration
 	hedging   bool
@@ -84,40 +84,40 @@
 }
 
 func newPlan(step string, d sample.Definition, hedging bool) *plan {
-	p := &plan{step: step, lanes: make(lanes), hedging: hedging, maxTokens: d.MaxTokens}
+	p := &plan{step: step, workerSet: make(workerSet), hedging: hedging, maxTokens: d.MaxTokens}
 	for _, s := range d.Slots() {
-		p.slots = append(p.slots, slotPlan{slot: s})
+		p.slots = append(p.slots, slotState{slot: s})
 	}
 	return p
 }
 
 // startPending starts attempts for pending slots while workers have capacity,
 // and returns the attempts.
-func (p *plan) starts(now time.Time) []*run {
-	var begun []*run
+func (p *plan) startPending(now time.Time) []*attempt {
+	var started []*attempt
 	for i := range p.slots {
 		s := &p.slots[i]
-		if s.phase != pending || now.Before(s.restTill) {
+		if s.phase != pending || now.Before(s.retryAt) {
 			continue
 		}
-		l := p.lanes.pick(p.group(s.slot), now, "")
-		if l == nil {
+		w := p.workerSet.pick(p.group(s.slot), now, "")
+		if w == nil {
 			break
 		}
-		begun = append(begun, p.begin(s, l, now, false))
+		started = append(started, p.startAttempt(s, w, now, false))
 	}
-	return begun
+	return started
 }
 
 func (p *plan) group(s sample.Slot) string { return p.step + "/" + s.Group }
 
-func (p *plan) begin(s *slotPlan, l *lane, now time.Time, hedge bool) *run {
-	p.next++
-	r := &run{id: p.next, position: s.slot.Position, lane: l, began: now, hedge: hedge}
-	l.running++
+func (p *plan) startAttempt(s *slotState, w *workerState, now time.Time, hedge bool) *attempt {
+	p.lastID++
+	a := &attempt{id: p.lastID, position: s.slot.Position, worker: w, began: now, hedge: hedge}
+	w.inFlight++
 	s.phase = running
-	s.runs = append(s.runs, r)
-	return r
+	s.attempts = append(s.attempts, a)
+	return a
 }
 
 // startHedges starts second attempts for the slots that delay the end of the
@@ -125,44 +125,44 @@
 // its first attempt makes better use of the capacity. Each hedge is charged
 // with the maximum number of tokens that it can generate, so that the budget
 // holds whatever the engines do.
-func (p *plan) hedges(now time.Time) []*run {
-	if !p.hedging || len(p.durations) == 0 || p.waiting() {
+func (p *plan) startHedges(now time.Time) []*attempt {
+	if !p.hedging || len(p.durations) == 0 || p.hasPending() {
 		return nil
 	}
-	limit := hedgeAfter * p.durations[len(p.durations)/2]
-	var begun []*run
-	for _, s := range p.slowest() {
-		if now.Sub(s.runs[0].began) < limit || !p.affordable() {
+	threshold := hedgeFactor * p.durations[len(p.durations)/2]
+	var started []*attempt
+	for _, s := range p.unhedged() {
+		if now.Sub(s.attempts[0].began) < threshold || !p.hasHedgeBudget() {
 			break
 		}
-		l := p.lanes.pick(p.group(s.slot), now, s.runs[0].lane.worker.VM)
-		if l == nil {
+		w := p.workerSet.pick(p.group(s.slot), now, s.attempts[0].worker.info.VM)
+		if w == nil {
 			break
 		}
 		p.hedgeTokens += int64(p.maxTokens)
-		begun = append(begun, p.begin(s, l, now, true))
+		started = append(started, p.startAttempt(s, w, now, true))
 	}
-	return begun
+	return started
 }
 
-func (p *plan) waiting() bool {
-	return slices.ContainsFunc(p.slots, func(s slotPlan) bool { return s.phase == pending })
+func (p *plan) hasPending() bool {
+	return slices.ContainsFunc(p.slots, func(s slotState) bool { return s.phase == pending })
 }
 
-func (p *plan) affordable() bool {
+func (p *plan) hasHedgeBudget() bool {
 	budget := int64(len(p.slots)) * int64(p.maxTokens) * hedgePercent / 100
 	return p.hedgeTokens+int64(p.maxTokens) <= budget
 }
 
 // unhedged returns the slots with a single attempt, the longest running first.
-func (p *plan) slowest() []*slotPlan {
-	var single []*slotPlan
+func (p *plan) unhedged() []*slotState {
+	var single []*slotState
 	for i := range p.slots {
-		if s := &p.slots[i]; s.phase == running && len(s.runs) == 1 {
+		if s := &p.slots[i]; s.phase == running && len(s.attempts) == 1 {
 			single = append(single, s)
 		}
 	}
-	slices.SortStableFunc(single, func(a, b *slotPlan) int { return a.runs[0].began.Compare(b.runs[0].began) })
+	slices.SortStableFunc(single, func(a, b *slotState) int { return a.attempts[0].began.Compare(b.attempts[0].began) })
 	return single
 }
 
@@ -171,70 +171,70 @@
 // connection may hang for minutes without an error. The step would stall for as
 // long. The timeout doubles with each failure of a slot, so that a generation
 // that really takes long succeeds in the end.
-func (p *plan) overdue(now time.Time) []*run {
-	limit := overdueFirst
+func (p *plan) overdue(now time.Time) []*attempt {
+	timeout := initialOverdueTimeout
 	if n := len(p.durations); n > 0 {
-		limit = max(overdueMin, overdueAfter*p.durations[n/2])
+		timeout = max(minOverdueTimeout, overdueFactor*p.durations[n/2])
 	}
-	var late []*run
+	var expired []*attempt
 	for i := range p.slots {
 		s := &p.slots[i]
-		for _, r := range s.runs {
-			if now.Sub(r.began) > limit<<min(s.failures, maxDoublings) {
-				late = append(late, r)
+		for _, a := range s.attempts {
+			if now.Sub(a.began) > timeout<<min(s.failures, maxDoublings) {
+				expired = append(expired, a)
 			}
 		}
 	}
-	return late
+	return expired
 }
 
 // remove removes an attempt from the plan. found is false for an attempt that
 // was canceled before, whose result must be ignored. needed is false when the
 // slot needs no result.
-func (p *plan) ended(r *run) (known, useful bool) {
-	s := &p.slots[r.position]
-	at := slices.Index(s.runs, r)
-	if at < 0 {
+func (p *plan) remove(a *attempt) (found, needed bool) {
+	s := &p.slots[a.position]
+	index := slices.Index(s.attempts, a)
+	if index < 0 {
 		return false, false
 	}
-	r.lane.running--
-	s.runs = slices.Delete(s.runs, at, at+1)
-	if len(s.runs) == 0 && s.phase == running {
+	a.worker.inFlight--
+	s.attempts = slices.Delete(s.attempts, index, index+1)
+	if len(s.attempts) == 0 && s.phase == running {
 		s.phase = pending
 	}
 	return true, s.phase == pending || s.phase == running
 }
 
-// succeed records that an attempt returned a result that its slot needs. It
-// cancels the slot's other attempts, so that they generate no more tokens.
-func (p *plan) won(r *run, now time.Time) {
-	s := &p.slots[r.position]
+// markSucceeded records that an attempt returned a result that its slot needs.
+// It cancels the slot's other attempts, so that they generate no more tokens.
+func (p *plan) markSucceeded(a *attempt, now time.Time) {
+	s := &p.slots[a.position]
 	s.phase = finishing
-	took := now.Sub(r.began)
-	at, _ := slices.BinarySearch(p.durations, took)
-	p.durations = slices.Insert(p.durations, at, took)
-	p.drop(s)
+	took := now.Sub(a.began)
+	index, _ := slices.BinarySearch(p.durations, took)
+	p.durations = slices.Insert(p.durations, index, took)
+	p.cancelAttempts(s)
 }
 
 // cancelAttempts cancels all attempts of a slot.
-func (p *plan) drop(s *slotPlan) {
-	for _, r := range s.runs {
-		r.lane.running--
-		r.cancel()
+func (p *plan) cancelAttempts(s *slotState) {
+	for _, a := range s.attempts {
+		a.worker.inFlight--
+		a.cancel()
 	}
-	s.runs = nil
+	s.attempts = nil
 }
 
 // removeWorker cancels the attempts on a removed worker. Their slots are
 // generated elsewhere at once, instead of waiting for an answer that may never
 // arrive.
-func (p *plan) dropLane(l *lane) {
+func (p *plan) removeWorker(w *workerState) {
 	for i := range p.slots {
 		s := &p.slots[i]
-		for _, r := range slices.Clone(s.runs) {
-			if r.lane == l {
-				r.cancel()
-				p.ended(r)
+		for _, a := range slices.Clone(s.attempts) {
+			if a.worker == w {
+				a.cancel()
+				p.remove(a)
 			}
 		}
 	}
@@ -243,11 +243,11 @@
 // retry makes a slot without an accepted result pending again. The backoff
 // grows with each failure, to limit the load on an engine that always
 // misreports.
-func (p *plan) again(position int, now time.Time) {
+func (p *plan) retry(position int, now time.Time) {
 	s := &p.slots[position]
-	p.drop(s)
+	p.cancelAttempts(s)
 	s.phase = pending
-	s.restTill = now.Add(min(slotRestMax, slotRestMin<<min(s.failures, maxDoublings)))
+	s.retryAt = now.Add(min(maxSlotBackoff, minSlotBackoff<<min(s.failures, maxDoublings)))
 	s.failures++
 }
 
@@ -259,7 +259,7 @@
 		s := &p.slots[i]
 		switch has := progress.Has(i); {
 		case has && s.phase != filled:
-			p.drop(s)
+			p.cancelAttempts(s)
 			s.phase = filled
 		case !has && s.phase == filled:
 			s.phase = pending
--- a/internal/rollout/pull_test.go
+++ b/internal/rollout/pull_test.go
@@ -35,34 +35,34 @@
 			current := c.view
 			c.view = contract.NewView()
 			c.view.Advance(current.Load())
-			slow := c.start("vm-a", faultsOf{paused: {Kind: platformtest.PauseBefore, For: shortPause}})
+			slow := c.start("vm-a", faultsByCall{paused: {Kind: platformtest.PauseBefore, For: shortPause}})
 			c.view = current
-			tr.number++
-			given := sample.Pull{Number: tr.number}
+			tr.pullNumber++
+			abandoned := sample.Pull{Number: tr.pullNumber}
 			answer := make(chan error, 1)
 			go func() {
-				_, err := slow.manager.Samples(t.Context(), testAccount, "s", given)
+				_, err := slow.manager.Samples(t.Context(), testAccount, "s", abandoned)
 				answer <- err
 			}()
 			time.Sleep(time.Second)
 			// The operator widens the bound, so that the old samples are within
 			// it.
 			widen(c)
-			tr.take(tr.pull())
+			tr.receive(tr.pull())
 			switch err := <-answer; {
 			case fault.Is[*fault.PullOvertaken](err):
 				overtaken++
 			case err != nil:
-				t.Errorf("the pull that was given up ended with %v", err)
+				t.Errorf("the abandoned pull failed with %v", err)
 			}
 			time.Sleep(2 * longPause)
-			tr.take(tr.pull())
+			tr.receive(tr.pull())
 			tr.finish()
 			checkStore(c, d)
 		})
 	}
 	if overtaken < 3 {
-		t.Errorf("only %d pulls were overtaken, so that the test says little", overtaken)
+		t.Errorf("only %d pulls were overtaken, too few to cover withdrawal", overtaken)
 	}
 }
 
@@ -81,7 +81,7 @@
 // A pull number is accepted once: a repeated pull is refused, and so is one
 // with a lower number than a later pull. A trainer that has lost its number
 // reads it from the step's status.
-func TestPullsTakeTurnsOnce(t *testing.T) {
+func TestPullNumberIsAcceptedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -18,11 +18,11 @@
 // An owner dies in the middle of a step. Without a takeover the trainer would
 // wait forever. A VM that ran the whole step again would waste engine time and
 // could deliver a slot twice.
-func TestOwnerDies(t *testing.T) {
+func TestTakeoverAfterOwnerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
-		c.engine.time = func(slot string, _ int) time.Duration {
+		c.engine.duration = func(slot string, _ int) time.Duration {
 			if slot == "g3.1" || slot == "g3.0" {
 				return 5 * time.Second
 			}
@@ -31,18 +31,18 @@
 		owner := c.start("vm-a", nil)
 		d := testStep(4, 2)
 		tr := newTrainer(c, "s", d)
-		tr.openAt(owner, d)
+		tr.openOwnedBy(owner, d)
 		c.start("vm-b", nil)
 		time.Sleep(2 * time.Second)
 		owner.Kill()
 		tr.finish()
-		for slot, runs := range c.engine.runs {
+		for slot, attempts := range c.engine.attempts {
 			want := 1
 			if slot == "g3.1" || slot == "g3.0" {
 				want = 2
 			}
-			if runs != want {
-				t.Errorf("slot %s ran %d times, want %d", slot, runs, want)
+			if attempts != want {
+				t.Errorf("slot %s was generated %d times, want %d", slot, attempts, want)
 			}
 		}
 	})
@@ -50,7 +50,7 @@
 
 // A VM opens a step and dies before any other VM knows of it. The trainer has
 // its reply and waits, so another VM must find and run the step.
-func TestOpenerDiesAtOnce(t *testing.T) {
+func TestStepRunsAfterOpenerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
@@ -110,7 +110,7 @@
 
 // Another client account guesses a step's name. It must not learn anything
 // about the step, whatever slashes the account or the name contains.
-func TestStepsOfAccountsAreApart(t *testing.T) {
+func TestStepsAreIsolatedByAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
@@ -119,7 +119,7 @@
 		tr := newTrainer(c, "a/b", d)
 		tr.open(d)
 		tr.finish()
-		for _, other := range []ref{{"brazicod", "a/b"}, {testAccount + "/a", "b"}} {
+		for _, other := range []stepRef{{"brazicod", "a/b"}, {testAccount + "/a", "b"}} {
 			if _, err := v.manager.Samples(t.Context(), other.account, other.step, sample.Pull{}); !fault.Is[*fault.StepUnknown](err) {
 				t.Errorf("%v gave %v", other, err)
 			}
@@ -138,15 +138,15 @@
 		d := testStep(8, 2)
 		tr := newTrainer(c, "s", d)
 		tr.open(d)
-		for len(tr.taken) < tr.wanted {
+		for len(tr.received) < tr.total {
 			lost := tr.pull()
 			again := tr.pull()
 			for i := range lost {
 				if string(platform.EncodeValue(lost[i])) != string(platform.EncodeValue(again[i])) {
-					t.Fatalf("%+v came again as %+v", lost[i], again[i])
+					t.Fatalf("%+v was delivered again as %+v", lost[i], again[i])
 				}
 			}
-			tr.take(again)
+			tr.receive(again)
 			tr.ack()
 		}
 	})
@@ -160,8 +160,8 @@
 		defer c.stop()
 		c.start("vm-a", nil)
 		c.start("vm-b", nil)
-		c.engine.time = func(slot string, run int) time.Duration {
-			if slot == "g5.1" && run == 1 {
+		c.engine.duration = func(slot string, attempt int) time.Duration {
+			if slot == "g5.1" && attempt == 1 {
 				return 100 * time.Second
 			}
 			return time.Second
@@ -178,7 +178,7 @@
 
 // A trainer pulls samples that it has acknowledged. The pull must fail: the
 // samples may be stale by now, and their slots are not generated again.
-func TestCursorBeforeTheConfirmed(t *testing.T) {
+func TestPullBeforeAcknowledgedFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
--- a/internal/rollout/scorer.go
+++ b/internal/rollout/scorer.go
@@ -80,12 +80,12 @@
 	if err != nil {
 		return 0, err
 	}
-	return readScore(grant.Upstream.ID, answer)
+	return parseScore(grant.Upstream.ID, answer)
 }
 
 // parseScore accepts only a complete, successful response that contains a
 // score. A missing score must not be read as a score of 0.
-func readScore(upstream string, answer service.Answer) (float64, error) {
+func parseScore(upstream string, answer service.Answer) (float64, error) {
 	var reply ScoreReply
 	if answer.Status != http.StatusOK || json.Unmarshal(answer.Body, &reply) != nil || reply.Score == nil {
 		return 0, errors.WithStack(&fault.UpstreamFailed{Upstream: upstream, Reason: "no score"})
--- a/internal/rollout/scorer_test.go
+++ b/internal/rollout/scorer_test.go
@@ -35,7 +35,7 @@
 // A scoring service answers with an error, with a truncated answer, or with an
 // answer without a score. A made-up score of 0 would teach the trainer that a
 // good answer is bad.
-func TestServiceScorerTakesOnlyScores(t *testing.T) {
+func TestServiceScorerRequiresScore(t *testing.T) {
 	cases := []struct {
 		name   string
 		status int
@@ -49,7 +49,7 @@
 		{name: "an error", status: http.StatusInternalServerError, body: `{"score":1}`, fails: true},
 		{name: "no score", status: http.StatusOK, body: `{}`, fails: true},
 		{name: "not JSON", status: http.StatusOK, body: `ok`, fails: true},
-		{name: "half an answer", status: http.StatusOK, body: `{"score":0.25}`, length: "4096", fails: true},
+		{name: "truncated answer", status: http.StatusOK, body: `{"score":0.25}`, length: "4096", fails: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -73,8 +73,8 @@
 				t.Fatal(err)
 			}
 			view.Advance(next)
-			place := &oneService{address: strings.TrimPrefix(server.URL, "http://")}
-			scorer := NewServiceScorer(view, place, service.NewClient())
+			dispatcher := &oneService{address: strings.TrimPrefix(server.URL, "http://")}
+			scorer := NewServiceScorer(view, dispatcher, service.NewClient())
 			want := ScoreRequest{Step: "s", Slot: sample.Slot{Group: "g", Index: 1, Position: 3}, Prompt: "p", Text: "t"}
 			score, err := scorer.Score(t.Context(), testAccount, "judge", want)
 			if c.fails != (err != nil) || score != c.score {
@@ -86,8 +86,8 @@
 			if got != want {
 				t.Errorf("the service got %+v", got)
 			}
-			if place.last.Account != testAccount || place.last.Pool.Service != "judge" || !place.last.Background {
-				t.Errorf("work %+v", place.last)
+			if dispatcher.last.Account != testAccount || dispatcher.last.Pool.Service != "judge" || !dispatcher.last.Background {
+				t.Errorf("work %+v", dispatcher.last)
 			}
 		})
 	}
--- a/internal/rollout/scoring.go
+++ b/internal/rollout/scoring.go
@@ -10,37 +10,37 @@
 )
 
 // scoringConcurrency is how many samples of a step are scored concurrently.
-const scoringWidth = 16
+const scoringConcurrency = 16
 
 // scoringResult is the result of scoring a sample.
-type scored struct {
-	finished finished
-	err      error
+type scoringResult struct {
+	generated generatedSample
+	err       error
 }
 
 // score scores a sample, and retries until the service answers. The sample
 // waits and is not generated again, so that an outage of the service costs only
 // time.
-func (o *owner) score(ctx context.Context, f finished) {
+func (o *owner) score(ctx context.Context, g generatedSample) {
 	select {
-	case o.scoring <- struct{}{}:
+	case o.scoringSemaphore <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
-	defer func() { <-o.scoring }()
-	err := o.scoreUntil(ctx, &f)
-	send(ctx, o.scores, scored{finished: f, err: err})
+	defer func() { <-o.scoringSemaphore }()
+	err := o.scoreWithRetries(ctx, &g)
+	send(ctx, o.scores, scoringResult{generated: g, err: err})
 }
 
 // scoreWithRetries fails only when ctx ends or the sample may no longer be
 // committed.
-func (o *owner) scoreUntil(ctx context.Context, f *finished) error {
-	request := ScoreRequest{Step: o.ref.step, Slot: f.sample.Slot, Prompt: f.prompt, Text: f.sample.Text}
-	tries := scoring.Tries{Pauses: scoring.Pauses{First: slotRestMin, Longest: slotRestMax}}
+func (o *owner) scoreWithRetries(ctx context.Context, g *generatedSample) error {
+	request := ScoreRequest{Step: o.ref.step, Slot: g.sample.Slot, Prompt: g.prompt, Text: g.sample.Text}
+	tries := scoring.Tries{Pauses: scoring.Pauses{First: minSlotBackoff, Longest: maxSlotBackoff}}
 	for {
 		score, err := o.scorer.Score(ctx, o.ref.account, o.definition.Scorer, request)
 		if err == nil {
-			f.sample.Score = &score
+			g.sample.Score = &score
 			return nil
 		}
 		o.metrics.failures.WithLabelValues("scoring_" + string(fault.CodeOf(err))).Inc()
@@ -49,20 +49,20 @@
 			return context.Cause(ctx)
 		case <-time.After(fault.RetryAfterOf(err, tries.Failed(err))):
 		}
-		v, err := o.judge.prepareFor(ctx, o.ref.account, o.definition.Model, []sample.Sample{f.sample})
+		v, err := o.policy.refreshFor(ctx, o.ref.account, o.definition.Model, []sample.Sample{g.sample})
 		if err != nil {
 			continue
 		}
-		if err := v.acceptable(f.sample); err != nil {
+		if err := v.check(g.sample); err != nil {
 			return err
 		}
 	}
 }
 
-func (o *owner) takeScored(s scored, now time.Time) {
+func (o *owner) handleScored(s scoringResult, now time.Time) {
 	if s.err != nil {
-		o.reject(rejection{position: s.finished.sample.Slot.Position, err: s.err}, now)
+		o.reject(rejection{position: s.generated.sample.Slot.Position, err: s.err}, now)
 		return
 	}
-	o.ready = append(o.ready, s.finished)
+	o.ready = append(o.ready, s.generated)
 }
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -16,7 +16,7 @@
 )
 
 // stepRef identifies a step of an account.
-type ref struct {
+type stepRef struct {
 	account contract.Account
 	step    string
 }
@@ -25,33 +25,33 @@
 
 // path escapes both names, so that steps of different accounts never share a
 // key.
-func (r ref) path() string {
+func (r stepRef) path() string {
 	return url.PathEscape(string(r.account)) + "/" + url.PathEscape(r.step)
 }
 
-func (r ref) stepKey() string { return "step/" + r.path() }
+func (r stepRef) stepKey() string { return "step/" + r.path() }
 
-func (r ref) progressKey() string { return "progress/" + r.path() }
+func (r stepRef) progressKey() string { return "progress/" + r.path() }
 
-func (r ref) openKey() string { return openPrefix + r.path() }
+func (r stepRef) openKey() string { return openPrefix + r.path() }
 
-func (r ref) batchPrefix() string { return "samples/" + r.path() + "/" }
+func (r stepRef) batchPrefix() string { return "samples/" + r.path() + "/" }
 
 // batchKey identifies a batch by its last number, so that a scan after the key
 // of a cursor finds the first batch that holds a later sample.
-func (r ref) batchKey(last int64) string { return fmt.Sprintf("%s%08d", r.batchPrefix(), last) }
+func (r stepRef) batchKey(last int64) string { return fmt.Sprintf("%s%08d", r.batchPrefix(), last) }
 
-func (r ref) leaseName() string { return "step/" + r.path() }
+func (r stepRef) leaseName() string { return "step/" + r.path() }
 
 // parseOpenKey parses the key of an open step.
-func refOf(openKey string) (ref, bool) {
+func parseOpenKey(openKey string) (stepRef, bool) {
 	account, step, found := strings.Cut(strings.TrimPrefix(openKey, openPrefix), "/")
 	accountName, err := url.PathUnescape(account)
 	if err != nil || !found {
-		return ref{}, false
+		return stepRef{}, false
 	}
 	stepName, err := url.PathUnescape(step)
-	return ref{account: contract.Account(accountName), step: stepName}, err == nil
+	return stepRef{account: contract.Account(accountName), step: stepName}, err == nil
 }
 
 // store reads and writes the rows of steps:
@@ -66,7 +66,7 @@
 
 // open writes a new step. It fails with *fault.PreconditionFailed if the step
 // exists.
-func (s store) open(ctx context.Context, r ref, definition sample.Definition) error {
+func (s store) open(ctx context.Context, r stepRef, definition sample.Definition) error {
 	return platform.CommitSurely(ctx, s.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
 		Preconditions: []platform.Precondition{{Key: r.stepKey()}},
@@ -80,7 +80,7 @@
 
 // definition reads the definition of a step. It fails with *fault.StepUnknown
 // for a step that was never opened.
-func (s store) definition(ctx context.Context, r ref) (sample.Definition, error) {
+func (s store) definition(ctx context.Context, r stepRef) (sample.Definition, error) {
 	var definition sample.Definition
 	_, err := s.read(ctx, r, r.stepKey(), &definition)
 	return definition, err
@@ -88,13 +88,13 @@
 
 // progress reads the progress of a step. It fails with *fault.StepUnknown for a
 // step that was never opened.
-func (s store) progress(ctx context.Context, r ref) (sample.Progress, platform.Row, error) {
+func (s store) progress(ctx context.Context, r stepRef) (sample.Progress, platform.Row, error) {
 	var progress sample.Progress
 	row, err := s.read(ctx, r, r.progressKey(), &progress)
 	return progress, row, err
 }
 
-func (s store) read(ctx context.Context, r ref, key string, into any) (platform.Row, error) {
+func (s store) read(ctx context.Context, r stepRef, key string, dest any) (platform.Row, error) {
 	row, err := s.tables.Get(ctx, key)
 	if err != nil {
 		return row, err
@@ -102,13 +102,13 @@
 	if !row.Exists() {
 		return row, errors.WithStack(&fault.StepUnknown{Step: r.step})
 	}
-	return row, row.Decode(into)
+	return row, row.Decode(dest)
 }
 
 // update applies change to the progress, and retries while other writers change
 // the progress concurrently. change returns the new progress and whether it
 // must be written.
-func (s store) update(ctx context.Context, r ref, change func(sample.Progress) (sample.Progress, bool, error)) (sample.Progress, error) {
+func (s store) update(ctx context.Context, r stepRef, change func(sample.Progress) (sample.Progress, bool, error)) (sample.Progress, error) {
 	for {
 		progress, row, err := s.progress(ctx, r)
 		if err != nil {
@@ -134,7 +134,7 @@
 // requires the row version of the progress that was read: when another writer
 // commits, withdraws or claims in between, commit fails with
 // *fault.PreconditionFailed and writes nothing.
-func (s store) commit(ctx context.Context, r ref, guard Guard, samples []sample.Sample) (sample.Progress, []sample.Sample, error) {
+func (s store) commit(ctx context.Context, r stepRef, guard Guard, samples []sample.Sample) (sample.Progress, []sample.Sample, error) {
 	progress, row, err := s.progress(ctx, r)
 	if err != nil {
 		return progress, nil, err
@@ -170,7 +170,7 @@
 }
 
 // batches returns up to limit batches that hold samples after a number.
-func (s store) batches(ctx context.Context, r ref, after int64, limit int) ([]batch, error) {
+func (s store) batches(ctx context.Context, r stepRef, after int64, limit int) ([]batch, error) {
 	rows, err := s.tables.Scan(ctx, r.batchPrefix(), r.batchKey(after), limit)
 	if err != nil {
 		return nil, err
@@ -190,7 +190,7 @@
 // their slots, on behalf of a pull. It fails with *fault.PreconditionFailed
 // when the batch or the progress has changed since it was read, and with
 // *fault.PullOvertaken when a later pull has registered its number.
-func (s store) withdraw(ctx context.Context, r ref, pull int64, b batch, stale func(sample.Sample) bool) (int, error) {
+func (s store) withdraw(ctx context.Context, r stepRef, pull int64, b batch, stale func(sample.Sample) bool) (int, error) {
 	progress, row, err := s.progress(ctx, r)
 	if err != nil {
 		return 0, err
@@ -199,14 +199,14 @@
 		return 0, err
 	}
 	count := 0
-	kept := append([]sample.Sample(nil), b.samples...)
-	for i, candidate := range kept {
+	updated := append([]sample.Sample(nil), b.samples...)
+	for i, candidate := range updated {
 		if !stale(candidate) {
 			continue
 		}
-		next, did := progress.Withdraw(candidate)
-		if did {
-			progress, kept[i] = next, candidate.Tombstone()
+		next, ok := progress.Withdraw(candidate)
+		if ok {
+			progress, updated[i] = next, candidate.Tombstone()
 			count++
 		}
 	}
@@ -220,7 +220,7 @@
 			{Key: row.Key, Version: row.Version},
 		},
 		Writes: []platform.Write{
-			{Key: b.row.Key, Value: platform.EncodeValue(kept)},
+			{Key: b.row.Key, Value: platform.EncodeValue(updated)},
 			{Key: row.Key, Value: platform.EncodeValue(progress)},
 			{Key: r.openKey(), Value: []byte{}},
 		},
@@ -228,28 +228,28 @@
 }
 
 // openPageSize is how many open steps one scan reads.
-const openPage = 256
+const openPageSize = 256
 
 // openSteps lists the steps that have a slot without a sample.
-func (s store) openSteps(ctx context.Context) ([]ref, error) {
-	var open []ref
+func (s store) openSteps(ctx context.Context) ([]stepRef, error) {
+	var open []stepRef
 	for after := ""; ; {
-		rows, err := s.tables.Scan(ctx, openPrefix, after, openPage)
+		rows, err := s.tables.Scan(ctx, openPrefix, after, openPageSize)
 		if err != nil {
 			return nil, err
 		}
 		for _, row := range rows {
 			after = row.Key
-			if r, ok := refOf(row.Key); ok {
+			if r, ok := parseOpenKey(row.Key); ok {
 				open = append(open, r)
 			}
 		}
-		if len(rows) < openPage {
+		if len(rows) < openPageSize {
 			return open, nil
 		}
 	}
 }
 
-func same(a, b sample.Definition) bool {
+func sameDefinition(a, b sample.Definition) bool {
 	return bytes.Equal(platform.EncodeValue(a), platform.EncodeValue(b))
 }
--- a/internal/rollout/judge.go
+++ b/internal/rollout/validator.go
@@ -13,14 +13,14 @@
 
 // stalenessPolicy creates validators from the contracts in force and the
 // published weight versions.
-type judge struct {
+type stalenessPolicy struct {
 	view     *contract.View
 	versions Versions
 }
 
 // bound returns the staleness bound of the account's contract in force.
-func (j judge) bound(account contract.Account) (sample.Bound, error) {
-	c, known := j.view.Load().Contracts[account]
+func (p stalenessPolicy) bound(account contract.Account) (sample.Bound, error) {
+	c, known := p.view.Load().Contracts[account]
 	if !known {
 		return sample.Bound{}, errors.WithStack(&fault.AccountUnknown{Account: string(account)})
 	}
@@ -31,7 +31,7 @@
 }
 
 // validator checks samples of one model against one staleness bound.
-type verdict struct {
+type validator struct {
 	versions Versions
 	model    string
 	bound    sample.Bound
@@ -42,36 +42,36 @@
 // weight store that began after since. It fails with *fault.StoreUnavailable
 // when they are unknown. The samples must then wait: they are neither delivered
 // nor dropped.
-func (j judge) prepare(ctx context.Context, account contract.Account, model string, since time.Time) (verdict, error) {
-	if err := j.versions.Refresh(ctx, since); err != nil {
-		return verdict{}, err
+func (p stalenessPolicy) refresh(ctx context.Context, account contract.Account, model string, since time.Time) (validator, error) {
+	if err := p.versions.Refresh(ctx, since); err != nil {
+		return validator{}, err
 	}
-	return j.known(account, model)
+	return p.current(account, model)
 }
 
 // current returns a validator with the versions known so far, without a read.
-func (j judge) known(account contract.Account, model string) (verdict, error) {
-	bound, err := j.bound(account)
+func (p stalenessPolicy) current(account contract.Account, model string) (validator, error) {
+	bound, err := p.bound(account)
 	if err != nil {
-		return verdict{}, err
+		return validator{}, err
 	}
-	latest, known := j.versions.Latest(model)
+	latest, known := p.versions.Latest(model)
 	if !known {
-		return verdict{}, errors.WithStack(&fault.StoreUnavailable{Operation: "weights of " + model})
+		return validator{}, errors.WithStack(&fault.StoreUnavailable{Operation: "weights of " + model})
 	}
-	return verdict{versions: j.versions, model: model, bound: bound, latest: latest}, nil
+	return validator{versions: p.versions, model: model, bound: bound, latest: latest}, nil
 }
 
 // refreshFor returns a validator for newly generated samples. An engine may
 // have loaded a version that was published after the last read. The weight
 // store is then read again, because the version would otherwise count as never
 // published.
-func (j judge) prepareFor(ctx context.Context, account contract.Account, model string, samples []sample.Sample) (verdict, error) {
-	v, err := j.prepare(ctx, account, model, time.Now().Add(-readingAge))
+func (p stalenessPolicy) refreshFor(ctx context.Context, account contract.Account, model string, samples []sample.Sample) (validator, error) {
+	v, err := p.refresh(ctx, account, model, time.Now().Add(-maxReadAge))
 	if err != nil || newestVersion(samples) <= v.latest {
 		return v, err
 	}
-	return j.prepare(ctx, account, model, time.Now())
+	return p.refresh(ctx, account, model, time.Now())
 }
 
 func newestVersion(samples []sample.Sample) int64 {
@@ -85,7 +85,7 @@
 }
 
 // age returns the current age of a sample.
-func (v verdict) age(s sample.Sample) sample.Age {
+func (v validator) age(s sample.Sample) sample.Age {
 	oldest := sample.OldestVersion(s.Spans)
 	at, known := v.versions.SupersededAt(v.model, oldest)
 	return sample.AgeOf(oldest, sample.Supersession{Latest: v.latest, At: at, Known: known}, time.Now())
@@ -93,16 +93,16 @@
 
 // checkStaleness fails with *fault.SampleStale for a sample that exceeds the
 // bound.
-func (v verdict) fresh(s sample.Sample) error { return v.bound.Check(s.Slot, v.age(s)) }
+func (v validator) checkStaleness(s sample.Sample) error { return v.bound.Check(s.Slot, v.age(s)) }
 
 // check fails with *fault.SampleUnattributable or *fault.SampleStale.
-func (v verdict) acceptable(s sample.Sample) error {
+func (v validator) check(s sample.Sample) error {
 	if err := sample.Attribute(s.Slot, s.Tokens, s.Spans, v.latest); err != nil {
 		return err
 	}
-	return v.fresh(s)
+	return v.checkStaleness(s)
 }
 
 // oldestAcceptable returns the oldest version whose samples are within the
 // bound.
-func (v verdict) oldestUseful() int64 { return max(0, v.latest-v.bound.Versions) }
+func (v validator) oldestAcceptable() int64 { return max(0, v.latest-v.bound.Versions) }
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -29,7 +29,7 @@
 const (
 	// maxReadAge is the maximum age of the read of the weight store by which a
 	// sample is validated for its commit. Its delivery requires a new read.
-	readingAge = time.Second
+	maxReadAge = time.Second
 	// historyLength is how many versions of a model are remembered. A sample
 	// that is further behind exceeds any sensible bound.
 	historyLength = 1024
@@ -42,7 +42,7 @@
 
 	// refreshMu serializes reads of the weight store, so that callers that wait
 	// for a read share it.
-	reading sync.Mutex
+	refreshMu sync.Mutex
 
 	mu     sync.Mutex
 	readAt time.Time
@@ -53,8 +53,8 @@
 type modelHistory struct {
 	latest int64
 	// confirmedAt is the start of the last read that returned latest.
-	shownAt    time.Time
-	superseded map[int64]time.Time
+	confirmedAt time.Time
+	superseded  map[int64]time.Time
 }
 
 // NewHistory returns an empty history.
@@ -64,8 +64,8 @@
 
 // Refresh implements Versions.
 func (h *History) Refresh(ctx context.Context, since time.Time) error {
-	h.reading.Lock()
-	defer h.reading.Unlock()
+	h.refreshMu.Lock()
+	defer h.refreshMu.Unlock()
 	if h.readSince(since) {
 		return nil
 	}
@@ -78,7 +78,7 @@
 	defer h.mu.Unlock()
 	h.readAt = began
 	for _, published := range list {
-		h.note(published, began)
+		h.record(published, began)
 	}
 	return nil
 }
@@ -94,7 +94,7 @@
 // of the previous read counts as the time of publication. With the time of the
 // discovery, a sample would look younger than it is, and a stale one would pass
 // as fresh.
-func (h *History) note(published platform.WeightVersion, began time.Time) {
+func (h *History) record(published platform.WeightVersion, began time.Time) {
 	m, seen := h.models[published.Model]
 	if !seen {
 		m = &modelHistory{latest: published.Version, superseded: make(map[int64]time.Time)}
@@ -105,10 +105,10 @@
 		return
 	}
 	for v := m.latest; v < published.Version; v++ {
-		m.superseded[v] = m.shownAt
+		m.superseded[v] = m.confirmedAt
 		delete(m.superseded, v-historyLength)
 	}
-	m.latest, m.shownAt = published.Version, began
+	m.latest, m.confirmedAt = published.Version, began
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -12,7 +12,7 @@
 // A VM reads a new version some time after it was published. If the age counted
 // from that read, a sample would look younger than it is and could be delivered
 // past the bound in seconds.
-func TestSupersessionCountsFromTheEarliestTime(t *testing.T) {
+func TestSupersessionUsesEarliestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 4, at: time.Now()}
 		h := NewHistory(weights)
@@ -51,7 +51,7 @@
 
 // A read that began before a pull may miss a version that was published since.
 // It must not be used for the pull, or a stale sample would be delivered.
-func TestRefreshReadsAnew(t *testing.T) {
+func TestRefreshReadsAfterSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 1, at: time.Now()}
 		h := NewHistory(weights)
@@ -67,10 +67,10 @@
 		}
 		weights.setDown(true)
 		if err := h.Refresh(t.Context(), time.Now()); !fault.Is[*fault.StoreUnavailable](err) {
-			t.Fatalf("a silent weight store gave %v", err)
+			t.Fatalf("an unavailable weight store gave %v", err)
 		}
 		if err := h.Refresh(t.Context(), time.Now().Add(-time.Second)); err != nil {
-			t.Fatalf("a reading that is new enough gave %v", err)
+			t.Fatalf("a read that is recent enough gave %v", err)
 		}
 	})
 }
