--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -13,24 +13,26 @@
 )
 
 const (
-	// deliveryBatches is how many batches one answer holds at most.
-	deliveryBatches = 16
-	// pollPeriod is how often a waiting pull reads the progress.
-	pollPeriod = 100 * time.Millisecond
+	// maxDeliveryBatches is the maximum number of batches in one answer.
+	maxDeliveryBatches = 16
+	// pollInterval is how often a waiting pull reads the progress.
+	pollInterval = 100 * time.Millisecond
 )
 
 // Samples returns the samples after the pull's cursor, in order and without
-// gaps, and waits for the first.
+// gaps. If there are none, it waits up to pull.Wait for the first.
 //
-// The same number always has the same content, or a tombstone once the sample
-// went stale before the trainer confirmed it. The tombstone is in the store
-// before it is sent, so that no later answer of any VM holds the content.
+// A number always has the same content, or a tombstone if the sample became
+// stale before the trainer acknowledged it. The tombstone is written to the
+// store before it is sent, so that no later answer of any VM contains the
+// content.
 //
-// A pull that the trainer gave up may still run on a VM that was paused. Each
-// pull therefore takes its turn in the store before it judges, sends or
-// withdraws anything, and one that was overtaken does none of these.
+// A pull that the trainer has abandoned may still run on a VM that was paused.
+// Each pull therefore registers its number in the progress before it validates,
+// sends or withdraws samples. A pull whose number is not higher than the
+// registered one fails with *fault.PullOvertaken and does none of these.
 func (m *Manager) Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error) {
-	r := ref{account: account, step: step}
+	r := stepRef{account: account, step: step}
 	deadline := time.Now().Add(pull.Wait)
 	for {
 		progress, _, err := m.store.progress(ctx, r)
@@ -44,7 +46,7 @@
 			pull.Number = progress.Pull + 1
 		}
 		if progress.Committed > pull.After {
-			return m.takeTurn(ctx, r, progress.Model, pull)
+			return m.registerPull(ctx, r, progress.Model, pull)
 		}
 		if !time.Now().Before(deadline) {
 			return nil, nil
@@ -52,12 +54,12 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.WithStack(&fault.CallerGone{})
-		case <-time.After(pollPeriod):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (m *Manager) takeTurn(ctx context.Context, r ref, model string, pull sample.Pull) ([]sample.Sample, error) {
+func (m *Manager) registerPull(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
 		if err := p.CheckCursor(pull.After); err != nil {
 			return p, false, err
@@ -71,17 +73,18 @@
 	return m.deliver(ctx, r, model, pull)
 }
 
-// deliver reads and judges the samples after a number. The judgement rests on a
-// reading of the weight store that began after the pull: with an older one, a
-// sample could go out that a new version had made stale. Stale samples are
-// withdrawn first; then all are read and judged again, since time has passed.
-func (m *Manager) deliver(ctx context.Context, r ref, model string, pull sample.Pull) ([]sample.Sample, error) {
+// deliver reads and validates the samples after the cursor. The validation uses
+// a read of the weight store that began after the pull: an older read could
+// miss a new version, and a stale sample would be delivered. Stale samples are
+// withdrawn first; then all samples are read and validated again, since more
+// may have become stale meanwhile.
+func (m *Manager) deliver(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
 	for {
-		batches, err := m.store.batches(ctx, r, pull.After, deliveryBatches)
+		batches, err := m.store.batches(ctx, r, pull.After, maxDeliveryBatches)
 		if err != nil {
 			return nil, err
 		}
-		v, err := m.judge.prepare(ctx, r.account, model, time.Now())
+		v, err := m.policy.refresh(ctx, r.account, model, time.Now())
 		if err != nil {
 			return nil, err
 		}
@@ -90,17 +93,17 @@
 			return nil, err
 		}
 		if !withdrawn {
-			return m.delivered(r, batches, pull.After, v), nil
+			return m.collectSamples(r, batches, pull.After, v), nil
 		}
 	}
 }
 
-// withdrawStale withdraws what may not be passed on, and reports whether the
-// batches must be read again. Only samples after the cursor are looked at: the
-// trainer has those before it.
-func (m *Manager) withdrawStale(ctx context.Context, r ref, batches []batch, pull sample.Pull, v verdict) (bool, error) {
+// withdrawStale withdraws stale samples, and reports whether the batches must
+// be read again. It considers only samples after the cursor: the trainer
+// already has the earlier ones.
+func (m *Manager) withdrawStale(ctx context.Context, r stepRef, batches []batch, pull sample.Pull, v validator) (bool, error) {
 	stale := func(s sample.Sample) bool {
-		return s.Number > pull.After && !s.Withdrawn && v.fresh(s) != nil
+		return s.Number > pull.After && !s.Withdrawn && v.checkStaleness(s) != nil
 	}
 	found := false
 	for _, b := range batches {
@@ -116,13 +119,13 @@
 			return false, err
 		}
 		if count == 0 {
-			// The trainer confirmed the samples since the pull began, so that
-			// this pull was given up by its caller.
+			// The trainer has acknowledged these samples since the pull began,
+			// so that it no longer waits for this pull.
 			return false, errors.WithStack(&fault.CallerGone{})
 		}
 		m.metrics.withdrawn.WithLabelValues(string(r.account)).Add(float64(count))
 		m.events.Emit(event.SamplesWithdrawn, event.Subject{Account: string(r.account), Step: r.step, Count: int64(count)})
-		m.begin(r)
+		m.startCampaign(r)
 	}
 	return found, nil
 }
@@ -136,8 +139,8 @@
 	return false
 }
 
-// delivered returns the samples after the cursor and records their ages.
-func (m *Manager) delivered(r ref, batches []batch, after int64, v verdict) []sample.Sample {
+// collectSamples returns the samples after the cursor and records their ages.
+func (m *Manager) collectSamples(r stepRef, batches []batch, after int64, v validator) []sample.Sample {
 	var samples []sample.Sample
 	for _, b := range batches {
 		for _, s := range b.samples {
@@ -153,10 +156,10 @@
 	return samples
 }
 
-// Ack confirms the samples up to a number. They are never withdrawn after that
-// and never sent again.
+// Ack acknowledges the samples up to a number. Acknowledged samples are never
+// withdrawn and never sent again.
 func (m *Manager) Ack(ctx context.Context, account contract.Account, step string, through int64) error {
-	r := ref{account: account, step: step}
+	r := stepRef{account: account, step: step}
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
 		next := p.Ack(through)
 		return next, next.Acked != p.Acked, nil
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -32,23 +32,25 @@
 	testTerm                     = 10 * time.Second
 )
 
-// faultsOf chooses the faults of one VM by the number of its call from 0.
-type faultsOf map[int]platformtest.Fault
+// faultsByCall maps the index of a VM's call, counted from 0, to the fault that
+// is injected into it.
+type faultsByCall map[int]platformtest.Fault
 
-// testVM is one VM: its calls to the store fail as told, and it can be killed.
+// testVM is a VM with injected faults in its calls to the store. It can be
+// killed.
 type testVM struct {
 	*platformtest.Process
 	cluster *cluster
 	manager *Manager
 	loops   sync.WaitGroup
-	// closed is closed when all of the VM's work has ended.
+	// closed is closed when all goroutines of the VM have ended.
 	closed chan struct{}
 }
 
-// made returns the VM's calls to the store so far.
-func (v *testVM) made() []platformtest.Step {
+// calls returns the VM's calls to the store so far.
+func (v *testVM) calls() []platformtest.Step {
 	var own []platformtest.Step
-	for _, step := range v.cluster.world.Steps() {
+	for _, step := range v.cluster.platform.Steps() {
 		if step.Process == v.Name {
 			own = append(own, step)
 		}
@@ -60,20 +62,21 @@
 func (v *testVM) Campaign(ctx context.Context, name string, held func(context.Context, Guard) (bool, error)) error {
 	manager := lease.NewManager(v, v.Name, testTerm, v.manager.events)
 	return manager.Campaign(ctx, name, func(ctx context.Context, g lease.Guard) (bool, error) {
-		return held(ctx, believer{g})
+		return held(ctx, uncheckedGuard{g})
 	})
 }
 
-// believer believes in its lease past the term, as the worst holder does that
-// is paused between the check and its write.
-type believer struct {
+// uncheckedGuard never reports a lost lease. It stands for the worst case: a
+// holder that is paused between the check and its write, past the end of the
+// lease.
+type uncheckedGuard struct {
 	lease.Guard
 }
 
 // Check implements Guard.
-func (believer) Check() error { return nil }
+func (uncheckedGuard) Check() error { return nil }
 
-// Commit implements platform.Tables and counts the rows.
+// Commit implements platform.Tables and counts the written rows.
 func (v *testVM) Commit(ctx context.Context, txn platform.Txn) error {
 	v.cluster.countWrites(len(txn.Writes))
 	return v.Process.Commit(ctx, txn)
@@ -85,7 +88,7 @@
 		return v.cluster.workers.Workers()
 	}
 	workers := []Worker{{VM: v.Name, FailureDomain: v.Name, Runner: v.cluster.engine}}
-	for _, other := range v.cluster.all() {
+	for _, other := range v.cluster.startedVMs() {
 		if other != v && !other.Dead() {
 			workers = append(workers, Worker{VM: other.Name, FailureDomain: other.Name, Runner: v.cluster.engine})
 		}
@@ -93,33 +96,34 @@
 	return workers
 }
 
-// testEngine generates answers in virtual time.
+// testEngine is a fake engine that generates answers in virtual time.
 type testEngine struct {
 	mu      sync.Mutex
 	weights *testWeights
-	// time returns how long a run of a slot takes; run counts from 1.
-	time func(slot string, run int) time.Duration
-	// spoil changes a result before it is returned.
-	spoil func(request generate.Request, run int, result *generate.Result) error
-	runs  map[string]int
-	// tokens counts everything that was generated, cancelled runs included.
+	// duration returns how long an attempt at a slot takes; attempt counts from
+	// 1.
+	duration func(slot string, attempt int) time.Duration
+	// corrupt changes a result before it is returned.
+	corrupt  func(request generate.Request, attempt int, result *generate.Result) error
+	attempts map[string]int
+	// tokens counts all generated tokens, including those of canceled attempts.
 	tokens int
 }
 
 const (
 	testTokens = 8
-	// testTokenTime is what a token takes.
+	// testTokenTime is the time to generate one token.
 	testTokenTime = 50 * time.Millisecond
 )
 
 // Generate implements generate.Runner.
 func (e *testEngine) Generate(ctx context.Context, request generate.Request, _ generate.Sink) (generate.Result, error) {
 	e.mu.Lock()
-	e.runs[request.Slot]++
-	run := e.runs[request.Slot]
+	e.attempts[request.Slot]++
+	attempt := e.attempts[request.Slot]
 	took := testTokens*testTokenTime + time.Duration(xxhash.Sum64String(request.Slot)%200)*time.Millisecond
-	if e.time != nil {
-		took = e.time(request.Slot, run)
+	if e.duration != nil {
+		took = e.duration(request.Slot, attempt)
 	}
 	e.mu.Unlock()
 	began := time.Now()
@@ -135,8 +139,8 @@
 		result.Tokens = append(result.Tokens, fmt.Sprintf(" %s-%d", request.Slot, i))
 	}
 	result.Spans = []generate.Span{{End: testTokens, Version: e.weights.now(), Upstream: "e1", Incarnation: "i1"}}
-	if e.spoil != nil {
-		if err := e.spoil(request, run, &result); err != nil {
+	if e.corrupt != nil {
+		if err := e.corrupt(request, attempt, &result); err != nil {
 			return generate.Result{}, err
 		}
 	}
@@ -155,12 +159,12 @@
 	return e.tokens
 }
 
-// testWeights is the weight store.
+// testWeights is a fake weight store.
 type testWeights struct {
 	mu      sync.Mutex
 	version int64
 	at      time.Time
-	// publishedAt holds the times of version 2 and later.
+	// publishedAt holds the publication times of version 2 and later.
 	publishedAt []time.Time
 	down        bool
 }
@@ -179,7 +183,7 @@
 	w.publishedAt = append(w.publishedAt, w.at)
 }
 
-// age returns a sample's true age now.
+// age returns a sample's actual age now.
 func (w *testWeights) age(s sample.Sample) sample.Age {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -207,27 +211,27 @@
 	return []platform.WeightVersion{{Model: testModel, Version: w.version, PublishedAt: w.at}}, nil
 }
 
-// cluster is a set of VMs around one store, in a synctest bubble.
+// cluster is a set of VMs with one store, in a synctest bubble.
 type cluster struct {
-	t       *testing.T
-	world   *platformtest.World
-	tables  *memory.Tables
-	engine  *testEngine
-	weights *testWeights
-	view    *contract.View
-	scorer  Scorer
-	// workers replaces the VMs' lists of workers.
+	t        *testing.T
+	platform *platformtest.World
+	tables   *memory.Tables
+	engine   *testEngine
+	weights  *testWeights
+	view     *contract.View
+	scorer   Scorer
+	// workers replaces the VMs' own lists of workers, unless it is nil.
 	workers Workers
-	// staleness is the contract's bound.
+	// staleness is the bound of the contract.
 	staleness contract.Staleness
 	vms       []*testVM
-	// withoutHedging is passed on to the managers.
+	// withoutHedging is passed to the managers.
 	withoutHedging bool
 
-	mu     sync.Mutex
-	script map[string]faultsOf
-	rows   int
-	used   usage.Figures
+	mu       sync.Mutex
+	injected map[string]faultsByCall
+	rows     int
+	used     usage.Figures
 }
 
 func (c *cluster) countWrites(rows int) {
@@ -236,11 +240,11 @@
 	c.rows += rows
 }
 
-// fault is the script of the world.
+// fault returns the fault to inject into a call to the store.
 func (c *cluster) fault(step platformtest.Step) platformtest.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.script[step.Process][step.Index]
+	return c.injected[step.Process][step.Index]
 }
 
 // Add implements UsageRecorder.
@@ -258,8 +262,8 @@
 	return c.rows
 }
 
-// all returns the VMs that were started.
-func (c *cluster) all() []*testVM {
+// startedVMs returns the VMs that were started, dead ones included.
+func (c *cluster) startedVMs() []*testVM {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.vms)
@@ -270,13 +274,13 @@
 	c := &cluster{
 		t:         t,
 		weights:   weights,
-		engine:    &testEngine{weights: weights, runs: make(map[string]int)},
+		engine:    &testEngine{weights: weights, attempts: make(map[string]int)},
 		view:      contract.NewView(),
 		staleness: staleness,
-		script:    make(map[string]faultsOf),
+		injected:  make(map[string]faultsByCall),
 	}
-	c.world = platformtest.NewWorld(c.fault)
-	c.tables = c.world.Rows
+	c.platform = platformtest.NewWorld(c.fault)
+	c.tables = c.platform.Rows
 	terms := contract.DefaultContract(testAccount)
 	terms.Staleness = staleness
 	next, err := contract.Empty().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
@@ -287,12 +291,12 @@
 	return c
 }
 
-// start adds a VM whose calls to the store suffer the faults.
-func (c *cluster) start(name string, faults faultsOf) *testVM {
+// start adds a VM and injects the faults into its calls to the store.
+func (c *cluster) start(name string, faults faultsByCall) *testVM {
 	c.mu.Lock()
-	c.script[name] = faults
+	c.injected[name] = faults
 	c.mu.Unlock()
-	v := &testVM{Process: c.world.Start(context.Background(), name), cluster: c, closed: make(chan struct{})}
+	v := &testVM{Process: c.platform.Start(context.Background(), name), cluster: c, closed: make(chan struct{})}
 	history := NewHistory(c.weights)
 	v.manager = NewManager(Config{
 		VM:             name,
@@ -321,12 +325,12 @@
 	return v
 }
 
-// stop ends all VMs, so that the bubble can end.
+// stop kills all VMs, so that the bubble can end.
 func (c *cluster) stop() {
-	for _, v := range c.all() {
+	for _, v := range c.startedVMs() {
 		v.Kill()
 	}
-	for _, v := range c.all() {
+	for _, v := range c.startedVMs() {
 		<-v.closed
 	}
 	synctest.Wait()
@@ -340,65 +344,65 @@
 	return d
 }
 
-// trainer pulls a step by its cursor, from any VM that answers, as the brief's
-// trainers do. It keeps what it has taken over restarts.
+// trainer pulls a step by its cursor, from any VM that answers. It stores the
+// samples that it has received, as a trainer does that survives restarts.
 type trainer struct {
-	t       *testing.T
-	cluster *cluster
-	step    string
-	wanted  int
-	cursor  int64
-	taken   map[string]sample.Sample
-	numbers map[int64]sample.Sample
+	t        *testing.T
+	cluster  *cluster
+	step     string
+	total    int
+	cursor   int64
+	received map[string]sample.Sample
+	byNumber map[int64]sample.Sample
 	// tombstones counts the withdrawn samples.
 	tombstones int
-	// dropsReplies makes every second answer get lost on its way.
+	// dropsReplies makes the trainer lose every second reply.
 	dropsReplies bool
-	// number is that of the latest pull.
-	number    int64
-	pulls     int
-	published bool
+	// pullNumber is the number of the latest pull.
+	pullNumber int64
+	pulls      int
+	published  bool
 }
 
 func newTrainer(c *cluster, step string, d sample.Definition) *trainer {
 	return &trainer{
-		t:       c.t,
-		cluster: c,
-		step:    step,
-		wanted:  d.Count(),
-		taken:   make(map[string]sample.Sample),
-		numbers: make(map[int64]sample.Sample),
+		t:        c.t,
+		cluster:  c,
+		step:     step,
+		total:    d.Count(),
+		received: make(map[string]sample.Sample),
+		byNumber: make(map[int64]sample.Sample),
 	}
 }
 
 // open opens the step through any VM.
 func (tr *trainer) open(d sample.Definition) {
-	tr.ask(func(m *Manager) error {
+	tr.callAny(func(m *Manager) error {
 		_, err := m.Open(context.Background(), testAccount, tr.step, d)
 		return err
 	})
 }
 
-// ask tries the VMs in turn, the first first, until one answers.
-func (tr *trainer) ask(question func(m *Manager) error) {
+// callAny calls the VMs in the order of their start until one succeeds.
+func (tr *trainer) callAny(call func(m *Manager) error) {
 	deadline := time.Now().Add(20 * time.Minute)
 	for time.Now().Before(deadline) {
-		for _, v := range tr.cluster.all() {
+		for _, v := range tr.cluster.startedVMs() {
 			if v.Dead() {
 				continue
 			}
-			if err := question(v.manager); err == nil {
+			if err := call(v.manager); err == nil {
 				return
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	tr.t.Fatalf("no VM answered: %d of %d samples, cursor %d", len(tr.taken), tr.wanted, tr.cursor)
+	tr.t.Fatalf("no VM answered: %d of %d samples, cursor %d", len(tr.received), tr.total, tr.cursor)
 }
 
-// openAt opens the step through the only VM and waits until that VM owns it; a
-// VM that was started at the same moment could take the step first.
-func (tr *trainer) openAt(v *testVM, d sample.Definition) {
+// openOwnedBy opens the step through v, the only VM, and waits until v owns it.
+// A VM that was started at the same moment could become the owner instead.
+func (tr *trainer) openOwnedBy(v *testVM, d sample.Definition) {
 	tr.t.Helper()
 	tr.open(d)
 	time.Sleep(100 * time.Millisecond)
@@ -408,27 +412,30 @@
 	}
 }
 
-// pull takes one answer.
+// pull returns the samples after the cursor, and checks that a number always
+// has the same content.
 func (tr *trainer) pull() []sample.Sample {
 	var got []sample.Sample
-	tr.ask(func(m *Manager) (err error) {
-		tr.number++
-		pull := sample.Pull{After: tr.cursor, Number: tr.number, Wait: time.Second}
+	tr.callAny(func(m *Manager) (err error) {
+		tr.pullNumber++
+		pull := sample.Pull{After: tr.cursor, Number: tr.pullNumber, Wait: time.Second}
 		got, err = m.Samples(context.Background(), testAccount, tr.step, pull)
 		return err
 	})
 	for _, s := range got {
-		if first, came := tr.numbers[s.Number]; !came {
-			tr.numbers[s.Number] = s
+		if first, ok := tr.byNumber[s.Number]; !ok {
+			tr.byNumber[s.Number] = s
 		} else if !s.Withdrawn && string(platform.EncodeValue(first)) != string(platform.EncodeValue(s)) {
-			tr.t.Fatalf("number %d came as %+v and as %+v", s.Number, first, s)
+			tr.t.Fatalf("number %d was delivered as %+v and as %+v", s.Number, first, s)
 		}
 	}
 	return got
 }
 
-// take moves the cursor over the samples and checks that they are the next.
-func (tr *trainer) take(samples []sample.Sample) {
+// receive moves the cursor past the samples. It checks that they follow the
+// cursor without gaps, are within the bound in versions, and fill no slot
+// twice.
+func (tr *trainer) receive(samples []sample.Sample) {
 	for _, s := range samples {
 		if s.Number != tr.cursor+1 {
 			tr.t.Fatalf("number %d follows %d", s.Number, tr.cursor)
@@ -439,45 +446,46 @@
 			continue
 		}
 		if bound := tr.cluster.staleness; tr.cluster.weights.now()-sample.OldestVersion(s.Spans) > bound.MaxVersions {
-			tr.t.Fatalf("sample %d of version %d came at version %d", s.Number, sample.OldestVersion(s.Spans), tr.cluster.weights.now())
+			tr.t.Fatalf("sample %d of version %d was delivered at version %d", s.Number, sample.OldestVersion(s.Spans), tr.cluster.weights.now())
 		}
-		if _, again := tr.taken[s.Slot.Name()]; again {
-			tr.t.Fatalf("slot %s came twice", s.Slot.Name())
+		if _, ok := tr.received[s.Slot.Name()]; ok {
+			tr.t.Fatalf("slot %s was delivered twice", s.Slot.Name())
 		}
-		tr.taken[s.Slot.Name()] = s
+		tr.received[s.Slot.Name()] = s
 	}
 }
 
 func (tr *trainer) ack() {
-	tr.ask(func(m *Manager) error {
+	tr.callAny(func(m *Manager) error {
 		return m.Ack(context.Background(), testAccount, tr.step, tr.cursor)
 	})
 }
 
-// dropped loses an answer. The first one that held samples is followed by a new
-// weight version, so that its samples may be stale when they are asked for again.
-func (tr *trainer) dropped(got []sample.Sample) {
+// loseReply simulates a lost reply. After the first reply with samples it
+// publishes a new weight version, so that these samples may be stale when they
+// are pulled again.
+func (tr *trainer) loseReply(got []sample.Sample) {
 	if len(got) > 0 && !tr.published {
 		tr.published = true
 		tr.cluster.weights.publish()
 	}
 }
 
-// finish pulls until every slot's sample has come, within a bound in virtual
-// time.
+// finish pulls until a sample of every slot has arrived, within a timeout in
+// virtual time.
 func (tr *trainer) finish() {
 	deadline := time.Now().Add(20 * time.Minute)
-	for len(tr.taken) < tr.wanted {
+	for len(tr.received) < tr.total {
 		if time.Now().After(deadline) {
-			tr.t.Fatalf("%d of %d samples came, cursor %d", len(tr.taken), tr.wanted, tr.cursor)
+			tr.t.Fatalf("%d of %d samples received, cursor %d", len(tr.received), tr.total, tr.cursor)
 		}
 		got := tr.pull()
 		tr.pulls++
 		if tr.dropsReplies && tr.pulls%2 == 1 {
-			tr.dropped(got)
+			tr.loseReply(got)
 			continue
 		}
-		tr.take(got)
+		tr.receive(got)
 		tr.ack()
 	}
 }
--- a/internal/rollout/measure_test.go
+++ b/internal/rollout/measure_test.go
@@ -24,19 +24,19 @@
 	measureSamples = 8
 )
 
-// straggling gives most runs 1 to 3 s, and one first run in fifty 40 s more, as
-// on an engine that has become slow.
-func straggling(slot string, run int) time.Duration {
+// stragglerDuration returns 1 to 3 s for most attempts, and 40 s more for one
+// first attempt in fifty, as on an engine that has become slow.
+func stragglerDuration(slot string, attempt int) time.Duration {
 	h := xxhash.Sum64String(slot)
 	took := time.Second + time.Duration(h%2000)*time.Millisecond
-	if run == 1 && h>>16%50 == 0 {
+	if attempt == 1 && h>>16%50 == 0 {
 		took += 40 * time.Second
 	}
 	return took
 }
 
-// measured is what one step showed.
-type measured struct {
+// measurement holds the figures of one step.
+type measurement struct {
 	took   time.Duration
 	idle   time.Duration
 	tokens int
@@ -49,13 +49,13 @@
 	withdrawn int
 }
 
-// measure runs one step on all VMs. The trainer works trainTime on each sample
-// and pulls when it has nothing left. prepare may change the cluster.
-func measure(t *testing.T, bound contract.Staleness, trainTime time.Duration, prepare func(c *cluster)) (m measured) {
+// measure runs one step on all VMs. The trainer spends trainTime on each sample
+// and pulls when it has none left. prepare may change the cluster.
+func measure(t *testing.T, bound contract.Staleness, trainTime time.Duration, prepare func(c *cluster)) (m measurement) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, bound)
 		defer c.stop()
-		c.engine.time = straggling
+		c.engine.duration = stragglerDuration
 		prepare(c)
 		for n := range measureVMs {
 			c.start(fmt.Sprintf("vm-%d", n), nil)
@@ -65,7 +65,7 @@
 		began := time.Now()
 		tr.open(d)
 		readsBefore, writesBefore := c.tables.Counts()
-		for len(tr.taken) < tr.wanted {
+		for len(tr.received) < tr.total {
 			asked := time.Now()
 			got := tr.pull()
 			m.idle += time.Since(asked)
@@ -74,7 +74,7 @@
 					m.ages = append(m.ages, c.weights.age(s))
 				}
 			}
-			tr.take(got)
+			tr.receive(got)
 			tr.ack()
 			time.Sleep(time.Duration(len(got)) * trainTime)
 		}
@@ -85,12 +85,13 @@
 	return m
 }
 
-// Stragglers stall a step: figures with and without hedging, in one run.
+// Stragglers delay the end of a step. Measures one step without and one with
+// hedging.
 func TestMeasureHedging(t *testing.T) {
 	const trainTime = 10 * time.Millisecond
 	plain := measure(t, noBound, trainTime, func(c *cluster) { c.withoutHedging = true })
 	hedged := measure(t, noBound, trainTime, func(*cluster) {})
-	report := func(name string, m measured) {
+	report := func(name string, m measurement) {
 		t.Logf("%-16s step %6.1f s  trainer idle %6.1f s  tokens %d (%+.1f%%)", name, m.took.Seconds(), m.idle.Seconds(),
 			m.tokens, 100*float64(m.tokens-m.count*testTokens)/float64(m.count*testTokens))
 	}
@@ -101,8 +102,8 @@
 	}
 }
 
-// Figures of the store's load for each sample. The plain way commits each
-// sample on its own, with a row each for slot, sample and step.
+// Measures the load on the store per sample. The baseline commits each sample
+// in a transaction of its own, with a row each for slot, sample and step.
 func TestMeasureStoreWrites(t *testing.T) {
 	m := measure(t, noBound, 0, func(*cluster) {})
 	perSample := func(n int) float64 { return float64(n) / float64(m.count) }
@@ -113,8 +114,9 @@
 	}
 }
 
-// New weights come every 20 s while a slow trainer works through the samples:
-// ages at delivery under the contract's bound, and without any bound.
+// New weights are published every 20 s while a slow trainer processes the
+// samples. Measures the ages at delivery under a staleness bound, and without
+// any bound.
 func TestMeasureSampleAge(t *testing.T) {
 	publishing := func(c *cluster) {
 		for n := range 10 {
@@ -133,7 +135,7 @@
 			bound.MaxVersions, bound.MaxSeconds, quantile(versions, 0.5), quantile(versions, 0.99), quantile(versions, 1),
 			quantile(seconds, 0.5), quantile(seconds, 0.99), quantile(seconds, 1), m.withdrawn, m.took.Seconds())
 		if bound.MaxSeconds > 0 && quantile(seconds, 1) > float64(bound.MaxSeconds) {
-			t.Error("a sample came past the bound")
+			t.Error("a sample was delivered past the bound")
 		}
 	}
 }
@@ -143,27 +145,27 @@
 	return sorted[int(math.Ceil(q*float64(len(sorted))))-1]
 }
 
-// An owner dies in the middle of a step: tokens generated again by re-running
-// only the slots without a committed sample, against what whole groups or the
-// whole step would take at the same moment.
+// An owner dies in the middle of a step. Measures the tokens that are generated
+// again for the slots without a committed sample, and compares them with what
+// whole groups or the whole step would take at the same moment.
 func TestMeasureRecovery(t *testing.T) {
 	for _, after := range []time.Duration{2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			c := newCluster(t, noBound)
 			defer c.stop()
 			c.withoutHedging = true
-			c.engine.time = func(slot string, _ int) time.Duration { return straggling(slot, 2) }
+			c.engine.duration = func(slot string, _ int) time.Duration { return stragglerDuration(slot, 2) }
 			owner := c.start("vm-0", nil)
 			d := testStep(measureGroups, measureSamples)
 			tr := newTrainer(c, "s", d)
-			tr.openAt(owner, d)
+			tr.openOwnedBy(owner, d)
 			for n := range measureVMs - 1 {
 				c.start(fmt.Sprintf("vm-%d", n+1), nil)
 			}
 			time.Sleep(after - 100*time.Millisecond)
 			owner.Kill()
 			synctest.Wait()
-			progress, _, err := store{tables: c.tables}.progress(t.Context(), ref{account: testAccount, step: "s"})
+			progress, _, err := store{tables: c.tables}.progress(t.Context(), stepRef{account: testAccount, step: "s"})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -180,7 +182,7 @@
 	}
 }
 
-// missing counts the slots without a sample and the groups that have one.
+// missing counts the slots without a sample, and the groups with such a slot.
 func missing(d sample.Definition, p sample.Progress) (slots, groups int) {
 	names := make(map[string]bool)
 	for _, s := range d.Slots() {
@@ -192,9 +194,9 @@
 	return slots, len(names)
 }
 
-// The largest step on one owner: processor time for each sample, and the size
-// of the row that every commit replaces. The time holds the whole test, the
-// engines, the trainer and the store included, so that it bounds the owner's.
+// Measures the largest step: processor time per sample, and the size of the row
+// that every commit replaces. The time includes the whole test with engines,
+// trainer and store, so it is an upper bound for the owner.
 func TestMeasureOwnerCost(t *testing.T) {
 	var before, after syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &before); err != nil {
@@ -204,7 +206,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
-		c.engine.time = func(slot string, run int) time.Duration { return 10 * straggling(slot, run) }
+		c.engine.duration = func(slot string, attempt int) time.Duration { return 10 * stragglerDuration(slot, attempt) }
 		for n := range measureVMs {
 			c.start(fmt.Sprintf("vm-%d", n), nil)
 		}
@@ -212,7 +214,7 @@
 		tr := newTrainer(c, "s", d)
 		tr.open(d)
 		tr.finish()
-		row, err := c.tables.Get(t.Context(), ref{account: testAccount, step: "s"}.progressKey())
+		row, err := c.tables.Get(t.Context(), stepRef{account: testAccount, step: "s"}.progressKey())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -26,11 +26,11 @@
 	return tr
 }
 
-// An engine restarts in mid-stream or names no version for what it produced.
-// The sample must be generated again; delivered, it would teach the trainer
-// from tokens that nobody can attribute.
-func TestUnattributableSamplesRunAgain(t *testing.T) {
-	spoils := map[string]func(*generate.Result){
+// An engine restarts in mid-stream or reports no published version for its
+// tokens. The sample must be generated again: the trainer would otherwise learn
+// from tokens that belong to no known version.
+func TestUnattributableSamplesAreRegenerated(t *testing.T) {
+	corruptions := map[string]func(*generate.Result){
 		"no version":      func(r *generate.Result) { r.Spans[0].Version = 0 },
 		"never published": func(r *generate.Result) { r.Spans[0].Version = 99 },
 		"gap":             func(r *generate.Result) { r.Spans[0].Start = 1 },
@@ -41,22 +41,22 @@
 			}
 		},
 	}
-	for name, spoil := range spoils {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, noBound)
 				defer c.stop()
-				c.engine.spoil = func(request generate.Request, run int, result *generate.Result) error {
-					if request.Slot == "g0.0" && run <= 2 {
-						spoil(result)
+				c.engine.corrupt = func(request generate.Request, attempt int, result *generate.Result) error {
+					if request.Slot == "g0.0" && attempt <= 2 {
+						corrupt(result)
 					}
 					return nil
 				}
 				tr := runStep(c, testStep(2, 2))
-				if runs := c.engine.runs["g0.0"]; runs != 3 {
-					t.Errorf("the spoiled slot ran %d times", runs)
+				if attempts := c.engine.attempts["g0.0"]; attempts != 3 {
+					t.Errorf("the corrupted slot was generated %d times", attempts)
 				}
-				got := tr.taken["g0.0"]
+				got := tr.received["g0.0"]
 				if err := sample.Attribute(got.Slot, got.Tokens, got.Spans, 1); err != nil {
 					t.Error(err)
 				}
@@ -65,30 +65,30 @@
 	}
 }
 
-// An engine has loaded a version that was published a moment ago, which this VM
-// has not heard of yet. The sample is right and must not be thrown away.
-func TestJustPublishedVersionIsKnown(t *testing.T) {
+// An engine has loaded a version that was published a moment ago and that this
+// VM has not read yet. The sample is valid and must not be rejected.
+func TestJustPublishedVersionIsAccepted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
-		c.engine.spoil = func(request generate.Request, run int, _ *generate.Result) error {
+		c.engine.corrupt = func(request generate.Request, attempt int, _ *generate.Result) error {
 			if request.Slot == "g0.0" {
 				c.weights.publish()
 			}
 			return nil
 		}
-		c.engine.time = func(string, int) time.Duration { return 1530 * time.Millisecond }
+		c.engine.duration = func(string, int) time.Duration { return 1530 * time.Millisecond }
 		runStep(c, testStep(2, 2))
-		for slot, runs := range c.engine.runs {
-			if runs != 1 {
-				t.Errorf("slot %s ran %d times", slot, runs)
+		for slot, attempts := range c.engine.attempts {
+			if attempts != 1 {
+				t.Errorf("slot %s was generated %d times", slot, attempts)
 			}
 		}
 	})
 }
 
-// New weights come while samples wait for a slow trainer. They must not reach
-// it late, and the step must still become whole.
+// New weights are published while samples wait for a slow trainer. Samples past
+// the bound must not be delivered, and the step must still be completed.
 func TestStaleBeforeDelivery(t *testing.T) {
 	bounds := map[string]contract.Staleness{
 		"versions": {MaxVersions: 1},
@@ -117,9 +117,9 @@
 	}
 }
 
-// A reply is lost, new weights come, and the trainer asks again. What it gets
-// now must be fresh, and the old sample must never come again; otherwise it
-// would be late, or the slot would come twice.
+// A reply is lost, new weights are published, and the trainer pulls again. It
+// must receive tombstones for the old samples and never their content;
+// otherwise it would receive stale samples, or a slot twice.
 func TestStaleAtRedelivery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -134,19 +134,19 @@
 		c.weights.publish()
 		again := tr.pull()
 		if len(lost) != d.Count() || len(again) < d.Count() {
-			t.Fatalf("%d samples came, then %d", len(lost), len(again))
+			t.Fatalf("%d samples delivered, then %d", len(lost), len(again))
 		}
 		for i := range lost {
 			if again[i].Number != lost[i].Number || !again[i].Withdrawn || again[i].Text != "" || again[i].Spans != nil {
-				t.Errorf("%+v came again as %+v", lost[i], again[i])
+				t.Errorf("%+v was delivered again as %+v", lost[i], again[i])
 			}
 		}
 		tr.finish()
 	})
 }
 
-// The weight store is silent. Whether a sample is still fresh can't be said, so
-// that it must wait; it must be neither delivered nor thrown away.
+// While the weight store is unavailable, it is unknown whether a sample is
+// fresh. The sample must wait, and be neither delivered nor dropped.
 func TestWeightStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -169,7 +169,7 @@
 	})
 }
 
-// testScorer is a scoring service that is down at first.
+// testScorer is a fake scoring service that is unavailable until upAt.
 type testScorer struct {
 	upAt  time.Time
 	calls atomic.Int64
@@ -185,9 +185,9 @@
 	return float64(len(request.Text)), nil
 }
 
-// The scoring service is down for a minute in mid-step. The step must only take
-// longer: no sample is lost, doubled, delivered without its score, or generated
-// a second time.
+// The scoring service is unavailable for a minute during a step. The step must
+// only take longer: no sample is lost, duplicated, delivered without its score,
+// or generated a second time.
 func TestScorerDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
@@ -198,26 +198,27 @@
 		d := testStep(10, 2)
 		d.Scorer = "judge"
 		tr := runStep(c, d)
-		for slot, s := range tr.taken {
+		for slot, s := range tr.received {
 			if s.Score == nil || *s.Score != float64(len(s.Text)) {
 				t.Errorf("slot %s has score %v", slot, s.Score)
 			}
-			if c.engine.runs[slot] != 1 {
-				t.Errorf("slot %s was generated %d times", slot, c.engine.runs[slot])
+			if c.engine.attempts[slot] != 1 {
+				t.Errorf("slot %s was generated %d times", slot, c.engine.attempts[slot])
 			}
 		}
 		if took := time.Since(began); took > 80*time.Second {
 			t.Errorf("the step took %s", took)
 		}
-		// Each waiting sample tries again at most every slotRestMax.
+		// Each waiting sample is retried at most once per maxSlotBackoff, after
+		// the first shorter backoffs.
 		if calls := scorer.calls.Load(); calls > 400 {
 			t.Errorf("%d calls to the scorer", calls)
 		}
 	})
 }
 
-// Samples wait for a scoring service for so long that they go stale. They must
-// be generated again with the weights of the day.
+// Samples wait for the scoring service until they are stale. They must be
+// generated again with the current weights.
 func TestStaleWhileScoring(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0})
@@ -227,7 +228,7 @@
 		d := testStep(2, 2)
 		d.Scorer = "judge"
 		tr := runStep(c, d)
-		for slot, s := range tr.taken {
+		for slot, s := range tr.received {
 			if sample.OldestVersion(s.Spans) != 2 {
 				t.Errorf("slot %s has version %d", slot, sample.OldestVersion(s.Spans))
 			}
@@ -235,7 +236,7 @@
 	})
 }
 
-// peers is a list of workers that a test changes.
+// peers is a list of workers that a test can change.
 type peers struct {
 	mu   sync.Mutex
 	list []Worker
@@ -254,7 +255,7 @@
 	p.list = list
 }
 
-// runnerFunc is a generate.Runner.
+// runnerFunc is a function that implements generate.Runner.
 type runnerFunc func(ctx context.Context, request generate.Request) (generate.Result, error)
 
 // Generate implements generate.Runner.
@@ -262,11 +263,12 @@
 	return f(ctx, request)
 }
 
-// A peer that works for the owner crashes, freezes without a sign and drops out
-// of the platform's list later, or is cut off from the owner alone and stays on
-// the list. Its slots must run elsewhere; a step would hang on them for ever.
+// A peer that runs attempts for the owner crashes, hangs and is removed from
+// the platform's list later, or is unreachable from the owner alone and stays
+// on the list; or it is full or draining. Its slots must be generated
+// elsewhere, or the step would never end.
 func TestPeerFails(t *testing.T) {
-	ways := map[string]runnerFunc{
+	failures := map[string]runnerFunc{
 		"crashes": func(context.Context, generate.Request) (generate.Result, error) {
 			return generate.Result{}, errors.WithStack(&fault.PeerUnavailable{VM: "vm-b"})
 		},
@@ -285,7 +287,7 @@
 			return generate.Result{}, errors.WithStack(&fault.Remote{VM: "vm-b", RemoteCode: fault.CodeDraining})
 		},
 	}
-	for name, way := range ways {
+	for name, failure := range failures {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newCluster(t, noBound)
@@ -297,7 +299,7 @@
 				workers.set(own, Worker{VM: "vm-b", FailureDomain: "b", Runner: runnerFunc(
 					func(ctx context.Context, request generate.Request) (generate.Result, error) {
 						sent.Add(1)
-						return way(ctx, request)
+						return failure(ctx, request)
 					})})
 				c.workers = workers
 				c.start("vm-a", nil)
@@ -309,16 +311,16 @@
 				tr.open(d)
 				tr.finish()
 				if sent.Load() == 0 {
-					t.Fatal("the peer got no work, so that its failure proves nothing")
+					t.Fatal("the peer got no attempts, so its failure is not covered")
 				}
 			})
 		})
 	}
 }
 
-// Engines of every failure domain must work on a step: an owner that kept its
-// slots to itself would leave most of the engines idle.
-func TestStepSpreadsOverVMs(t *testing.T) {
+// An owner must use the engines of every failure domain for a step. Using only
+// its own would leave most of the engines idle.
+func TestStepUsesEveryFailureDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
@@ -345,21 +347,21 @@
 		tr.finish()
 		for _, domain := range []string{"a", "b", "c"} {
 			if got[domain] < d.Count()/6 {
-				t.Errorf("failure domain %s ran %d of %d slots", domain, got[domain], d.Count())
+				t.Errorf("failure domain %s got %d attempts for %d slots", domain, got[domain], d.Count())
 			}
 		}
 	})
 }
 
-// One slot sits on an engine that has become a hundred times slower. It holds
-// up the whole step, unless another engine runs it as well.
+// An engine that has become a hundred times slower holds one slot and delays
+// the whole step, unless another engine generates the slot as well.
 func TestStragglerIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
 		c.start("vm-b", nil)
-		c.engine.time = func(slot string, run int) time.Duration {
-			if slot == "g5.1" && run == 1 {
+		c.engine.duration = func(slot string, attempt int) time.Duration {
+			if slot == "g5.1" && attempt == 1 {
 				return 100 * time.Second
 			}
 			return time.Second
@@ -369,20 +371,20 @@
 		if took := time.Since(began); took > 5*time.Second {
 			t.Errorf("the step took %s", took)
 		}
-		if runs := c.engine.runs["g5.1"]; runs != 2 {
-			t.Errorf("the straggler ran %d times", runs)
+		if attempts := c.engine.attempts["g5.1"]; attempts != 2 {
+			t.Errorf("the straggler was generated %d times", attempts)
 		}
 	})
 }
 
-// Every engine is slow by turns, so that every slot looks like a straggler.
-// Hedging all of them would double the load of engines that are busy already.
+// All engines are slow, so that every slot looks like a straggler. Hedging all
+// of them would double the load of engines that are already busy.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
 		c.start("vm-b", nil)
-		c.engine.time = func(slot string, run int) time.Duration {
+		c.engine.duration = func(slot string, attempt int) time.Duration {
 			if slot == "g0.0" {
 				return time.Second
 			}
@@ -390,12 +392,12 @@
 		}
 		d := testStep(10, 2)
 		runStep(c, d)
-		runs := 0
-		for _, n := range c.engine.runs {
-			runs += n
+		attempts := 0
+		for _, n := range c.engine.attempts {
+			attempts += n
 		}
-		if most := d.Count() * (100 + hedgePercent) / 100; runs <= d.Count() || runs > most {
-			t.Errorf("%d runs for %d slots", runs, d.Count())
+		if most := d.Count() * (100 + hedgePercent) / 100; attempts <= d.Count() || attempts > most {
+			t.Errorf("%d attempts for %d slots", attempts, d.Count())
 		}
 	})
 }
--- a/internal/rollout/pull_test.go
+++ b/internal/rollout/pull_test.go
@@ -11,13 +11,14 @@
 	"dogwoodpond/internal/sample"
 )
 
-// A trainer pulls from a VM that is paused, gives up, and gets its samples from
-// another VM. Then the first VM goes on, and by what it knows these samples are
-// stale. If it withdrew them now, their slots would run again and come to the
-// trainer a second time.
+// A pull at a paused VM times out, and the trainer gets its samples from
+// another VM. The first VM then continues, and by its older contract these
+// samples are stale. If it withdrew them, their slots would be generated again
+// and delivered a second time.
 func TestOvertakenPullWithdrawsNothing(t *testing.T) {
-	// The VM's calls of its pull, after a search: progress, turn, batches,
-	// progress for the withdrawal, the withdrawal itself.
+	// The paused VM's calls for its pull, after a search: progress,
+	// registration of the pull, batches, progress for the withdrawal, the
+	// withdrawal itself.
 	overtaken := 0
 	for paused := range 8 {
 		synctest.Test(t, func(t *testing.T) {
@@ -30,41 +31,42 @@
 			time.Sleep(5 * time.Second)
 			c.weights.publish()
 
-			// vm-a does not hear of the operator's edit.
+			// vm-a does not receive the operator's edit.
 			current := c.view
 			c.view = contract.NewView()
 			c.view.Advance(current.Load())
-			slow := c.start("vm-a", faultsOf{paused: {Kind: platformtest.PauseBefore, For: shortPause}})
+			slow := c.start("vm-a", faultsByCall{paused: {Kind: platformtest.PauseBefore, For: shortPause}})
 			c.view = current
-			tr.number++
-			given := sample.Pull{Number: tr.number}
+			tr.pullNumber++
+			abandoned := sample.Pull{Number: tr.pullNumber}
 			answer := make(chan error, 1)
 			go func() {
-				_, err := slow.manager.Samples(t.Context(), testAccount, "s", given)
+				_, err := slow.manager.Samples(t.Context(), testAccount, "s", abandoned)
 				answer <- err
 			}()
 			time.Sleep(time.Second)
-			// The operator widens the bound, so that the old samples will do.
+			// The operator widens the bound, so that the old samples are within
+			// it.
 			widen(c)
-			tr.take(tr.pull())
+			tr.receive(tr.pull())
 			switch err := <-answer; {
 			case fault.Is[*fault.PullOvertaken](err):
 				overtaken++
 			case err != nil:
-				t.Errorf("the pull that was given up ended with %v", err)
+				t.Errorf("the abandoned pull failed with %v", err)
 			}
 			time.Sleep(2 * longPause)
-			tr.take(tr.pull())
+			tr.receive(tr.pull())
 			tr.finish()
 			checkStore(c, d)
 		})
 	}
 	if overtaken < 3 {
-		t.Errorf("only %d pulls were overtaken, so that the test says little", overtaken)
+		t.Errorf("only %d pulls were overtaken, too few to cover withdrawal", overtaken)
 	}
 }
 
-// widen puts a contract in force that lets samples be ten versions behind.
+// widen puts a contract in force by which samples may be ten versions behind.
 func widen(c *cluster) {
 	c.staleness = contract.Staleness{MaxVersions: 10}
 	terms := contract.DefaultContract(testAccount)
@@ -76,10 +78,10 @@
 	c.view.Advance(next)
 }
 
-// A repeated request of a pull that had its turn is refused, and so is one that
-// comes after a later pull; a trainer that has lost its number learns it from
-// the step's status.
-func TestPullsTakeTurnsOnce(t *testing.T) {
+// A pull number is accepted once: a repeated pull is refused, and so is one
+// with a lower number than a later pull. A trainer that has lost its number
+// reads it from the step's status.
+func TestPullNumberIsAcceptedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -9,10 +9,10 @@
 	"dogwoodpond/internal/fault"
 )
 
-// A VM hears of a new version some time after it was published. If it counted
-// from its discovery, a sample would look younger than it is and could reach
-// its trainer past the bound in seconds.
-func TestSupersessionCountsFromTheEarliestTime(t *testing.T) {
+// A VM reads a new version some time after it was published. If the age counted
+// from that read, a sample would look younger than it is and could be delivered
+// past the bound in seconds.
+func TestSupersessionUsesEarliestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 4, at: time.Now()}
 		h := NewHistory(weights)
@@ -49,9 +49,9 @@
 	})
 }
 
-// A reading that began before a sample was asked for may miss a version that
-// was published since. It must not serve, or a stale sample would go out.
-func TestRefreshReadsAnew(t *testing.T) {
+// A read that began before a pull may miss a version that was published since.
+// It must not be used for the pull, or a stale sample would be delivered.
+func TestRefreshReadsAfterSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 1, at: time.Now()}
 		h := NewHistory(weights)
@@ -67,16 +67,16 @@
 		}
 		weights.setDown(true)
 		if err := h.Refresh(t.Context(), time.Now()); !fault.Is[*fault.StoreUnavailable](err) {
-			t.Fatalf("a silent weight store gave %v", err)
+			t.Fatalf("an unavailable weight store gave %v", err)
 		}
 		if err := h.Refresh(t.Context(), time.Now().Add(-time.Second)); err != nil {
-			t.Fatalf("a reading that is new enough gave %v", err)
+			t.Fatalf("a read that is recent enough gave %v", err)
 		}
 	})
 }
 
-// The weight store answers an older list after a newer one, as a replica that
-// lags does. The history must not move back.
+// The weight store returns an older list after a newer one, as a lagging
+// replica does. The history must not go back.
 func TestHistoryNeverMovesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 3, at: time.Now()}
