--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Residency says to which failure domains a request's data may go. The zero value sets no
-// limit. It is immutable.
+// Residency limits the failure domains to which a request's data may be sent. The zero
+// value sets no limit. It is immutable.
 type Residency struct {
-	// limits are lists of failure domains; each of them binds.
+	// limits holds lists of failure domains. A domain must be in all of them.
 	limits [][]string
 }
 
-// ResideIn returns the residency in a list of failure domains; an empty list allows none.
+// ResideIn returns the residency that allows the given failure domains; an empty list
+// allows none.
 func ResideIn(domains []string) Residency { return Residency{limits: [][]string{domains}} }
 
-// And returns the residency under which both bind.
+// And returns the residency that allows the failure domains that both allow.
 func (r Residency) And(other Residency) Residency {
 	switch {
 	case len(other.limits) == 0:
@@ -23,10 +24,10 @@
 	return Residency{limits: slices.Concat(r.limits, other.limits)}
 }
 
-// Limited reports whether any failure domain may be ruled out.
+// Limited reports whether the residency sets any limit.
 func (r Residency) Limited() bool { return len(r.limits) > 0 }
 
-// Allows reports whether data may go to a failure domain.
+// Allows reports whether data may be sent to a failure domain.
 func (r Residency) Allows(domain string) bool {
 	for _, limit := range r.limits {
 		if !slices.Contains(limit, domain) {
--- a/internal/route/residency_test.go
+++ b/internal/route/residency_test.go
@@ -6,9 +6,9 @@
 	"testing/quick"
 )
 
-// Guards against data in a failure domain that one of two limits rules out.
-func TestBothLimitsBind(t *testing.T) {
-	binds := func(a, b []string, domain string, limited bool) bool {
+// Guards against sending data to a failure domain that one of two limits excludes.
+func TestAndAppliesBothLimits(t *testing.T) {
+	applied := func(a, b []string, domain string, limited bool) bool {
 		one, other := ResideIn(a), Residency{}
 		want := slices.Contains(a, domain)
 		if limited {
@@ -17,7 +17,7 @@
 		}
 		return one.And(other).Allows(domain) == want && other.And(one).Allows(domain) == want
 	}
-	if err := quick.Check(binds, nil); err != nil {
+	if err := quick.Check(applied, nil); err != nil {
 		t.Error(err)
 	}
 	one := ResideIn([]string{"x", "y"})
@@ -25,9 +25,9 @@
 		t.Errorf("both limits allow x %v, y %v, z %v", r.Allows("x"), r.Allows("y"), r.Allows("z"))
 	}
 	if r := ResideIn(nil); !r.Limited() || r.Allows("x") {
-		t.Error("a limit without failure domains allows one")
+		t.Error("an empty list of failure domains sets no limit or allows one")
 	}
 	if r := (Residency{}); r.Limited() || !r.Allows("x") {
-		t.Error("no limit forbids a failure domain")
+		t.Error("the zero value is limited or excludes a failure domain")
 	}
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,7 +1,7 @@
-// Package route is the aggregate of the operators' configuration: which service
-// a request goes to, what may be repeated, how long it may take, and which client
-// account a key belongs to. A Snapshot is immutable; a request uses one snapshot
-// from its start to its end.
+// Package route is the aggregate of the operators' configuration: which service a
+// request is routed to, whether it may run more than once, how long it may take, and
+// which client account a key belongs to. A Snapshot is immutable; a request uses one
+// snapshot from start to end.
 package route
 
 import (
@@ -16,19 +16,19 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Kind says what may be repeated.
+// Kind says how the requests of a route run and whether they may run more than once.
 type Kind string
 
 // The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// AtMostOnce requests run once at most for each ID.
+	// AtMostOnce requests run at most once for each request ID.
 	AtMostOnce Kind = "at-most-once"
-	// Stream responses are events; a stream runs at most once unless the route
-	// is Resumable.
+	// Stream requests are answered by a stream of events and run at most once, unless
+	// the route is Resumable.
 	Stream Kind = "stream"
-	// Steps are submitted whole and run later.
+	// Steps requests submit a step, which runs later.
 	Steps Kind = "steps"
 )
 
@@ -38,26 +38,26 @@
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the longest time that a request may take.
 	Timeout time.Duration
-	// Objective is the latency within which a response is fully useful.
+	// Objective is the target latency; a response within it is fully useful.
 	Objective time.Duration
-	// Priority ranks the route; 0 is the highest.
+	// Priority is the priority of the route; 0 is the highest.
 	Priority int
-	// Split lists the services of the route with their weights.
+	// Split lists the services of the route and their weights.
 	Split []Share
-	// Attempts is how many upstreams one request may be sent to.
+	// Attempts is the largest number of upstreams that one request may be sent to.
 	Attempts int
-	// Anonymous requests need no key.
+	// Anonymous is true when requests need no key.
 	Anonymous bool
-	// Resumable streams may go on at another upstream.
+	// Resumable is true when streams may continue at another upstream.
 	Resumable bool
-	// RunObjective is how long after its submission a step should be whole, and
-	// GiveUp when its items may be given up. Both are for steps.
+	// RunObjective is how long after its submission a step should be complete, and
+	// GiveUp how long after it the step's items may be abandoned. Both are for steps.
 	RunObjective, GiveUp time.Duration
-	// SingleVersion wants each sample from one version of the weights.
+	// SingleVersion requires that each sample comes from one weight version.
 	SingleVersion bool
-	// Residency limits where the requests of the route may go.
+	// Residency limits the failure domains of the requests of the route.
 	Residency Residency
 }
 
@@ -72,8 +72,8 @@
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service picks the service for a request. The choice depends on the ID alone,
-// so that every attempt of a request and every VM choose alike.
+// Service returns the service for a request. The choice depends only on the request ID,
+// so that it is the same for every attempt and on every VM.
 func (r *Route) Service(requestID string) string {
 	total := 0
 	for _, s := range r.Split {
@@ -93,54 +93,56 @@
 	return ""
 }
 
-// Service is one group of upstreams.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name string
-	// HealthPath answers health checks.
+	// HealthPath is the path for health checks.
 	HealthPath string
-	// Connections bounds the connections to one upstream over all callers.
+	// Connections is the largest number of connections to one upstream, summed over all
+	// callers.
 	Connections int
-	// Warmup is how long an upstream is cold after its start, and ColdRate how many
-	// requests a second it bears then.
+	// Warmup is how long an upstream is cold after its start. ColdRate is the number of
+	// requests per second that it can handle while cold.
 	Warmup   time.Duration
 	ColdRate float64
 	// Engine is set for model engines.
 	Engine *Engine
-	// Scale is set where upstreams can be ordered.
+	// Scale is set when upstreams can be ordered.
 	Scale *Scale
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int
-	// KVTokens is the memory of one engine in tokens.
+	// KVTokens is the size of the KV cache of one engine in tokens.
 	KVTokens int
 	Models   []string
 }
 
-// Scale bounds the orders for upstreams, in each failure domain.
+// Scale limits the upstreams that are ordered in each failure domain.
 type Scale struct {
 	Minimum, Maximum int
 	Boot             time.Duration
-	// ReclaimablePrice is the price of reclaimable upstreams as a part of that
-	// of the others; 0 means that there are none.
+	// ReclaimablePrice is the price of a reclaimable upstream relative to that of
+	// another one; 0 means that reclaimable upstreams can't be ordered.
 	ReclaimablePrice float64
 	Prices           map[string]float64
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits for requests of callers.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Account is one client account with its keys.
+// Account is a client account with its keys.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority ranks the account; nil means that its routes' priorities hold.
+	// Priority is the priority of the account's requests; nil means that the priority
+	// of the route applies.
 	Priority *int
-	// Residency limits where the account's requests may go.
+	// Residency limits the failure domains of the account's requests.
 	Residency Residency
 }
 
@@ -149,20 +151,20 @@
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts are in the order of their names. Keyed is false when the
-	// configuration knows no accounts at all, and then no key is asked for.
+	// Accounts are sorted by name. Keyed is false when the configuration has no
+	// accounts at all; then no key is required.
 	Accounts []Account
 	Keyed    bool
 
 	byHost map[string][]*Route
 	byKey  map[string]string
 	routes []*Route
-	// residencies holds the limits of the accounts that have any.
-	residencies map[string]Residency
-	resident    bool
+	// residencies holds the residencies of the accounts that set a limit.
+	residencies        map[string]Residency
+	hasResidencyLimits bool
 }
 
-// NewSnapshot indexes a configuration. keyed tells whether it names accounts.
+// NewSnapshot indexes a configuration. keyed says whether it has accounts.
 func NewSnapshot(version int64, routes []*Route, services map[string]*Service, limits Limits, accounts []Account, keyed bool) *Snapshot {
 	s := &Snapshot{
 		Version:  version,
@@ -177,7 +179,7 @@
 		residencies: make(map[string]Residency),
 	}
 	for _, r := range routes {
-		s.resident = s.resident || r.Residency.Limited()
+		s.hasResidencyLimits = s.hasResidencyLimits || r.Residency.Limited()
 		host := strings.ToLower(r.Host)
 		s.byHost[host] = append(s.byHost[host], r)
 	}
@@ -190,25 +192,26 @@
 		}
 		if a.Residency.Limited() {
 			s.residencies[a.Name] = a.Residency
-			s.resident = true
+			s.hasResidencyLimits = true
 		}
 	}
 	return s
 }
 
-// Residency returns where a request of a route and an account may go: both limits bind.
+// Residency returns the residency of a request: the limits of its route and of its account
+// both apply.
 func (s *Snapshot) Residency(r *Route, account string) Residency {
 	return r.Residency.And(s.residencies[account])
 }
 
-// Resident reports whether any route or account limits where its requests may go.
-func (s *Snapshot) Resident() bool { return s.resident }
+// Resident reports whether any route or account has a limited residency.
+func (s *Snapshot) Resident() bool { return s.hasResidencyLimits }
 
 // Routes returns all routes.
 func (s *Snapshot) Routes() []*Route { return s.routes }
 
-// Match returns the route of a host whose prefix is the longest that begins the
-// path. It fails with *fault.RouteUnknown.
+// Match returns the route of a host with the longest prefix of the path. It fails with
+// *fault.RouteUnknown.
 func (s *Snapshot) Match(host, path string) (*Route, error) {
 	for _, r := range s.byHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -218,8 +221,8 @@
 	return nil, errors.WithStack(&fault.RouteUnknown{})
 }
 
-// StepsRoute returns a route for steps of a host, under which the steps of that
-// host may be read. ok is false when the host has none.
+// StepsRoute returns a route of kind Steps of a host, through which the steps of the host
+// can be read. ok is false when the host has none.
 func (s *Snapshot) StepsRoute(host string) (r *Route, ok bool) {
 	for _, r := range s.byHost[strings.ToLower(host)] {
 		if r.Kind == Steps {
@@ -229,8 +232,9 @@
 	return nil, false
 }
 
-// Authenticate returns the client account of a key. Anonymous routes need none.
-// It fails with *fault.KeyMissing or *fault.KeyInvalid.
+// Authenticate returns the client account of a key. The account is empty when an anonymous
+// route, or a configuration without accounts, is used without a known key. Authenticate
+// fails with *fault.KeyMissing or *fault.KeyInvalid.
 func (s *Snapshot) Authenticate(r *Route, key string) (account string, err error) {
 	if account, ok := s.byKey[key]; ok && key != "" {
 		return account, nil
@@ -244,7 +248,7 @@
 	return "", errors.WithStack(&fault.KeyInvalid{})
 }
 
-// View holds the snapshot in force. It is safe for concurrent use.
+// View holds the current snapshot. It is safe for concurrent use.
 type View struct {
 	current atomic.Pointer[Snapshot]
 }
@@ -252,19 +256,19 @@
 // NewView returns a view without a snapshot.
 func NewView() *View { return &View{} }
 
-// Load returns the snapshot in force, or nil before the first.
+// Load returns the current snapshot, or nil before the first.
 func (v *View) Load() *Snapshot { return v.current.Load() }
 
-// Offer puts a snapshot in force if it is newer than the present one, and
-// reports whether it did. Versions never go back within the life of a process: a
-// late answer of the store or of a peer would otherwise bring withdrawn keys back.
+// Offer replaces the current snapshot if s is newer, and reports whether it did. Versions
+// never decrease within an incarnation: a late answer of the store or of a peer would
+// otherwise make withdrawn keys valid again.
 func (v *View) Offer(s *Snapshot) bool {
 	for {
-		present := v.current.Load()
-		if present != nil && present.Version >= s.Version {
+		previous := v.current.Load()
+		if previous != nil && previous.Version >= s.Version {
 			return false
 		}
-		if v.current.CompareAndSwap(present, s) {
+		if v.current.CompareAndSwap(previous, s) {
 			return true
 		}
 	}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -49,32 +49,33 @@
 	}
 }
 
-// A late answer of the store, or of a peer that is behind, brings an old version.
-// Put in force, it would bring withdrawn keys back.
-func TestViewNeverGoesBack(t *testing.T) {
+// Guards against an old version of the configuration that replaces a newer one and makes
+// withdrawn keys valid again. It comes from a late answer of the store, or from a peer with
+// an old version.
+func TestViewRejectsOlderVersions(t *testing.T) {
 	v := NewView()
 	if !v.Offer(snapshot(5)) || v.Offer(snapshot(4)) || v.Offer(snapshot(5)) {
-		t.Error("an older or equal version was taken, or the first one was not")
+		t.Error("an older or equal version was accepted, or the first one was not")
 	}
 	if v.Load().Version != 5 {
-		t.Errorf("version %d is in force", v.Load().Version)
+		t.Errorf("the current version is %d, want 5", v.Load().Version)
 	}
 }
 
-// Each attempt of a request has to go to the same service, on every VM, and the
-// weights have to hold over many requests.
-func TestSplitIsFixedForARequest(t *testing.T) {
+// Guards against attempts of one request that are sent to different services, and against a
+// split that differs from the weights over many requests.
+func TestSplitIsFixedPerRequest(t *testing.T) {
 	r := snapshot(1).Routes()[1]
 	counts := map[string]int{}
 	for i := range 4000 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26%26)) + string(rune('a'+i/676))
 		service := r.Service(id)
 		if r.Service(id) != service {
-			t.Fatal("a request's service changes")
+			t.Fatal("the service of a request changes")
 		}
 		counts[service]++
 	}
 	if counts["s"] < 2700 || counts["s"] > 3300 {
-		t.Errorf("of 4000 requests, 3 of 4 should go to s: %v", counts)
+		t.Errorf("of 4000 requests, 3 of 4 should be routed to s: %v", counts)
 	}
 }
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -9,49 +9,48 @@
 
 // Request is one attempt at an upstream.
 type Request struct {
-	// ID is the request's ID, which the upstream repeats in its answer.
+	// ID is the request's ID, which the upstream echoes in its response.
 	ID string
 	// Method, URI and Host are the caller's, unchanged.
 	Method, URI, Host string
-	// Header holds what is passed on of the caller's header.
+	// Header holds the caller's header fields that are forwarded.
 	Header http.Header
 	Body   []byte
-	// Left is how much of the request's time is left; 0 sets no limit.
+	// Left is the time until the request's deadline; 0 means no deadline.
 	Left time.Duration
 	// Account is the client account that the request runs for.
 	Account string
-	// ResumeAfter is the ID of the last event that is already at hand; the
-	// upstream goes on behind it. Empty starts anew.
+	// ResumeAfter is the ID of the last event that was received; the upstream
+	// continues the stream after it. Empty starts a new stream.
 	ResumeAfter string
 }
 
-// Response is an upstream's answer to one attempt, as far as its header. Body
-// must be closed; it fails when the answer breaks off before its end.
+// Response is an upstream's response to one attempt, up to the end of its header.
+// Body must be closed; reading it fails when the response is truncated.
 type Response struct {
 	Status int
-	// Header holds what is passed on to the caller.
+	// Header holds the header fields that are forwarded to the caller.
 	Header http.Header
-	// NotRun is true when the upstream says that it did not run the request.
+	// NotRun is true when the upstream reports that it did not run the request.
 	NotRun bool
-	// Digest is the upstream's digest of its answer; empty when it gave none.
+	// Digest is the upstream's digest of its response; empty when it sent none.
 	Digest string
-	// Length is the length of the body; -1 when it is not known.
+	// Length is the length of the body in bytes; -1 when it is unknown.
 	Length int64
 	// Framed is false when only the end of the connection ends the body, so that
-	// an answer that broke off looks whole.
+	// a truncated response looks complete.
 	Framed bool
 	Body   io.ReadCloser
-	// Version is the version of the weights at the start of the answer, 0 when
-	// the upstream has none. VersionField names the field of a stream's event
-	// that tells of a change.
+	// Version is the weight version at the start of the response, 0 when the
+	// upstream has none. VersionField names the field of a stream's event that
+	// reports a change of the version.
 	Version      int64
 	VersionField string
 }
 
-// Caller sends attempts to upstreams. It fails with *fault.UpstreamFailed whose
-// mark tells whether the request may have run. An answer that belongs to another
-// request, or that lacks the upstream's digest though it claims success, is a
-// failure.
+// Caller sends attempts to upstreams. Call fails with *fault.UpstreamFailed, whose
+// mark says whether the request may have run. A response that belongs to another
+// request, or that reports success without the upstream's digest, is a failure.
 type Caller interface {
 	Call(ctx context.Context, e *Entry, request *Request) (*Response, error)
 }
--- a/internal/target/choose.go
+++ b/internal/target/choose.go
@@ -7,31 +7,33 @@
 	"dogwoodpond/internal/route"
 )
 
-// The weights by which plain requests choose, in parts of an upstream's slots. They
-// answer a load under which an upstream has several free slots: then the own failure
-// domain is best, since its upstreams stay reachable when the domain is cut off. An
-// upstream that is much busier or slower loses against one in another domain.
+// Cost terms for the choice of an upstream for a plain request, as fractions of the
+// upstream's slots. They are meant for a load under which an upstream has several free
+// slots. Upstreams in this VM's failure domain are then preferred, since they stay
+// reachable when the domain is cut off. One that is much busier or slower costs more than
+// an upstream in another domain.
 const (
 	otherDomainCost = 0.35
-	slowFrom        = 2.0
+	slowThreshold   = 2.0
 	slowCost        = 0.8
-	// coldCost sends requests to an upstream that warms up only when the others are full.
+	// coldCost makes a warming upstream a choice only when the others are full.
 	coldCost = 1.0
 )
 
-// Want says what a plain request asks of an upstream.
+// Want holds the criteria by which an upstream is chosen for a plain request.
 type Want struct {
 	Service string
 	// Domain is the failure domain of this VM.
 	Domain string
-	// Residency limits the failure domains.
+	// Residency limits the failure domains of the upstream.
 	Residency route.Residency
-	// Skip are the upstreams that are left out.
+	// Skip lists upstreams that are not considered.
 	Skip []*Entry
 }
 
-// Choose returns the upstream that a plain request should go to, or nil. Suspect
-// upstreams come last: refusing a request that one of them might serve helps nobody.
+// Choose returns the upstream with the lowest cost for a plain request, or nil if there
+// is none. A suspect upstream is chosen only when no other is left: it may still serve the
+// request, which would otherwise be refused.
 func (r *Roster) Choose(w Want, now time.Time) *Entry {
 	usable := r.Usable(w.Service, now)
 	median := MedianSpeed(usable, now)
@@ -48,8 +50,9 @@
 	return best
 }
 
-// Reserve is Choose, and counts the request to the upstream as Begin does. The upstreams
-// that were passed over because others were quicker are left out.
+// Reserve chooses an upstream as Choose does and counts the request as in flight, like
+// TryBegin. If concurrent requests have used up the upstream's admission limit since it was
+// chosen, Reserve chooses again without it.
 func (r *Roster) Reserve(w Want) *Entry {
 	for {
 		e := r.Choose(w, time.Now())
@@ -65,15 +68,15 @@
 	if e.Info().FailureDomain != domain {
 		cost += otherDomainCost
 	}
-	if s := slowness(e, median, now); s > slowFrom {
+	if s := slowness(e, median, now); s > slowThreshold {
 		cost += slowCost
 	}
 	if e.Cold(now) {
 		cost += coldCost
 	}
 	if e.Suspect(now) {
-		const behindAllOthers = 100
-		cost += behindAllOthers
+		const suspectCost = 100
+		cost += suspectCost
 	}
 	return cost
 }
--- a/internal/target/evacuation.go
+++ b/internal/target/evacuation.go
@@ -6,17 +6,17 @@
 	"dogwoodpond/internal/event"
 )
 
-// Evacuated reports whether the upstreams of a failure domain are to get nothing.
+// Evacuated reports whether a failure domain is evacuated: its upstreams get no requests.
 func (r *Roster) Evacuated(domain string) bool { return (*r.evacuated.Load())[domain] }
 
-// Evacuate stops all traffic to the upstreams of a failure domain. What runs there comes
-// to its end.
+// Evacuate stops new requests to the upstreams of a failure domain. Requests in flight are
+// not cancelled.
 func (r *Roster) Evacuate(domain string) { r.setEvacuated(domain, true) }
 
 // Restore ends the evacuation of a failure domain.
 func (r *Roster) Restore(domain string) { r.setEvacuated(domain, false) }
 
-// ReplaceEvacuated takes all evacuated failure domains.
+// ReplaceEvacuated replaces the set of evacuated failure domains.
 func (r *Roster) ReplaceEvacuated(domains []string) {
 	wanted := make(map[string]bool, len(domains))
 	for _, domain := range domains {
@@ -44,15 +44,16 @@
 		delete(now, domain)
 	}
 	r.evacuated.Store(&now)
-	r.events.Emit(number, event.Subject{Detail: domain, Count: int64(r.countIn(domain))})
+	r.events.Emit(number, event.Subject{Detail: domain, Count: int64(r.countUpstreams(domain))})
 }
 
-// countIn returns how many upstreams are known in a failure domain.
-func (r *Roster) countIn(domain string) int {
+// countUpstreams returns the number of listed upstreams in a failure domain. The
+// caller holds r.mu.
+func (r *Roster) countUpstreams(domain string) int {
 	n := 0
-	for _, lives := range r.lives {
-		for _, e := range lives {
-			if e.Info().FailureDomain == domain && !e.gone.Load() {
+	for _, incarnations := range r.incarnations {
+		for _, e := range incarnations {
+			if e.Info().FailureDomain == domain && !e.unlisted.Load() {
 				n++
 			}
 		}
@@ -60,5 +61,5 @@
 	return n
 }
 
-// EvacuatedDomains returns how many failure domains are evacuated.
+// EvacuatedDomains returns the number of evacuated failure domains.
 func (r *Roster) EvacuatedDomains() int { return len(*r.evacuated.Load()) }
--- a/internal/target/instance.go
+++ b/internal/target/instance.go
@@ -1,5 +1,5 @@
-// Package target knows the upstream instances of the services: which may get
-// work, how loaded and how fast each is, and which one a request goes to next.
+// Package target tracks the upstream instances of the services: which of them may
+// get requests, their load and speed, and which one a request is sent to.
 package target
 
 import (
@@ -10,49 +10,51 @@
 	"time"
 )
 
-// Instance is what an upstream says of itself. It is immutable.
+// Instance is what an upstream publishes about itself. It is immutable.
 type Instance struct {
 	ID            string
 	Service       string
 	Address       string
 	FailureDomain string
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the upstream runs at once.
 	Slots int
-	// Leaving upstreams get no new work.
+	// Leaving is true when the upstream must get no new requests.
 	Leaving bool
-	// Reclaimable upstreams may be taken away at short notice.
+	// Reclaimable is true when the platform may stop the upstream at short notice.
 	Reclaimable bool
-	// Started tells restarts under one ID apart; Unix milliseconds.
+	// Started distinguishes incarnations with the same ID; Unix milliseconds.
 	Started int64
-	// Versions are the versions of the models that it has loaded.
+	// Versions holds the weight version of each loaded model.
 	Versions map[string]int64
-	// ColdFor is how much longer it stays cold after its start.
+	// ColdFor is how much longer the upstream stays cold after its start.
 	ColdFor time.Duration
 }
 
 const (
-	// lingerTime is how long an upstream that vanished from the list without
-	// notice may still get work when there is no other: entries that lapse while
-	// the store is away come back, and work must stop soon after a removal.
-	lingerTime = 1700 * time.Millisecond
-	// firstSuspicion is how long an upstream rests after one failure; it doubles
-	// with each further failure up to longestSuspicion. A crashed upstream's entry
-	// lapses a little later, so a longer rest gains nothing.
-	firstSuspicion   = 300 * time.Millisecond
-	longestSuspicion = 2400 * time.Millisecond
-	// loadLife is how long a reported load counts.
-	loadLife = 500 * time.Millisecond
-	// speedWeight is the weight of a new measurement in the averages of speed.
-	speedWeight = 0.25
-	// usualWeight is the weight of a new measurement in the average over a long time.
-	usualWeight = 0.05
-	// speedLife is how long a measured speed counts without a new one, after
-	// which a slow upstream is tried again.
-	speedLife = 4 * time.Second
+	// unlistedGracePeriod is how long an upstream that disappeared from the list
+	// without notice may still get requests when no listed one is usable. Entries
+	// that expire during an outage of the store come back, but an upstream that was
+	// removed must soon get no more requests.
+	unlistedGracePeriod = 1700 * time.Millisecond
+	// suspectBackoff is how long an upstream is suspect after one failure. It doubles
+	// with each further failure up to maxSuspectBackoff. The entry of a crashed
+	// upstream expires soon after, so a longer backoff gains nothing.
+	suspectBackoff    = 300 * time.Millisecond
+	maxSuspectBackoff = 2400 * time.Millisecond
+	// loadTTL is how long a reported load is used.
+	loadTTL = 500 * time.Millisecond
+	// unitTimeWeight is the weight of a new measurement in the short-term average
+	// duration of a unit of work.
+	unitTimeWeight = 0.25
+	// longTermWeight is the weight of a new measurement in the long-term average.
+	longTermWeight = 0.05
+	// unitTimeTTL is how long the short-term average is used without a new
+	// measurement. After that, a slow upstream is tried again.
+	unitTimeTTL = 4 * time.Second
 )
 
-// Entry is an upstream in the roster with what this VM learnt of it. It is safe
-// for concurrent use.
+// Entry is one incarnation of an upstream in the roster, with what this VM has
+// observed of it. It is safe for concurrent use.
 type Entry struct {
 	info   atomic.Pointer[Instance]
 	roster *Roster
@@ -60,125 +62,127 @@
 	inFlight     atomic.Int32
 	suspectUntil atomic.Int64
 	failures     atomic.Int32
-	goneUntil    atomic.Int64
-	gone         atomic.Bool
-	// dropped entries are in no list any more. It belongs to the roster's lock.
-	dropped bool
-
-	mu      sync.Mutex
-	load    Load
-	loadOwn int32
-	loadAt  time.Time
-	speed   float64
-	speedAt time.Time
-	// usual is the average speed over a long time.
-	usual    float64
-	learnt   map[string]int64
-	swapping map[string]time.Time
-	// admission limits what is sent while the upstream warms up.
+	graceUntil   atomic.Int64
+	unlisted     atomic.Bool
+	// evicted is true when no list holds the entry any more. The roster's mu guards it.
+	evicted bool
+
+	mu         sync.Mutex
+	load       Load
+	ownAtLoad  int32
+	loadAt     time.Time
+	unitTime   float64
+	unitTimeAt time.Time
+	// longTermUnitTime is the long-term average duration of a unit of work.
+	longTermUnitTime float64
+	observedVersions map[string]int64
+	unavailableUntil map[string]time.Time
+	// admission limits the requests while the upstream warms up.
 	admission admission
 }
 
-// Load is what an upstream reports of its work.
+// Load is the load that an upstream reports.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
 func newEntry(roster *Roster, info Instance) *Entry {
-	e := &Entry{roster: roster, learnt: make(map[string]int64), swapping: make(map[string]time.Time)}
+	e := &Entry{roster: roster, observedVersions: make(map[string]int64), unavailableUntil: make(map[string]time.Time)}
 	e.info.Store(&info)
 	return e
 }
 
-// Info returns what the upstream said last.
+// Info returns what the upstream published last.
 func (e *Entry) Info() *Instance { return e.info.Load() }
 
-// InFlight returns how many requests of this VM the upstream has.
+// InFlight returns the number of this VM's requests in flight at the upstream.
 func (e *Entry) InFlight() int { return int(e.inFlight.Load()) }
 
-// Begin counts a request to the upstream; End takes it back.
+// Begin counts a request to the upstream as in flight until End is called.
 func (e *Entry) Begin() {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission.count(now)
+	e.admission.record(now)
 	e.inFlight.Add(1)
 }
 
 // End ends a request that Begin counted.
 func (e *Entry) End() { e.inFlight.Add(-1) }
 
-// Usable reports whether the upstream may get new work at now.
+// Usable reports whether the upstream may get new requests at now.
 func (e *Entry) Usable(now time.Time) bool {
 	if e.Info().Leaving {
 		return false
 	}
-	return !e.gone.Load() || now.UnixNano() < e.goneUntil.Load()
+	return !e.unlisted.Load() || now.UnixNano() < e.graceUntil.Load()
 }
 
 // Listed reports whether the upstream is in the platform's list and not leaving.
-func (e *Entry) Listed() bool { return !e.gone.Load() && !e.Info().Leaving }
+func (e *Entry) Listed() bool { return !e.unlisted.Load() && !e.Info().Leaving }
 
-// Suspect reports whether the upstream failed a moment ago.
+// Suspect reports whether the backoff after a failed attempt has not ended yet.
 func (e *Entry) Suspect(now time.Time) bool { return now.UnixNano() < e.suspectUntil.Load() }
 
-// Failed notes that the upstream failed an attempt, and returns how long it
-// rests.
+// Failed records that the upstream failed an attempt, and returns how long the
+// upstream is suspect.
 func (e *Entry) Failed(now time.Time) time.Duration {
 	n := e.failures.Add(1)
-	rest := min(firstSuspicion<<min(n-1, 4), longestSuspicion)
-	e.suspectUntil.Store(now.Add(rest).UnixNano())
-	return rest
+	backoff := min(suspectBackoff<<min(n-1, 4), maxSuspectBackoff)
+	e.suspectUntil.Store(now.Add(backoff).UnixNano())
+	return backoff
 }
 
-// Succeeded notes that the upstream did well.
+// Succeeded records a successful attempt. The upstream is no longer suspect.
 func (e *Entry) Succeeded() {
 	now := time.Now()
 	e.mu.Lock()
-	e.admission.answered(now)
+	e.admission.noteAnswer(now)
 	e.mu.Unlock()
 	e.failures.Store(0)
 	e.suspectUntil.Store(0)
 }
 
-// Misaddressed notes that another upstream answered at the address.
+// Misaddressed records that another upstream answered at the entry's address. The
+// entry counts as unlisted, without a grace period.
 func (e *Entry) Misaddressed() {
-	e.goneUntil.Store(0)
-	e.gone.Store(true)
+	e.graceUntil.Store(0)
+	e.unlisted.Store(true)
 }
 
-// NoteLoad takes the load that came with an answer.
+// NoteLoad records the load that a response reported.
 func (e *Entry) NoteLoad(load Load, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission.answered(now)
-	e.load, e.loadOwn, e.loadAt = load, e.inFlight.Load(), now
+	e.admission.noteAnswer(now)
+	e.load, e.ownAtLoad, e.loadAt = load, e.inFlight.Load(), now
 }
 
-// LoadKnown reports whether the upstream told its load a moment ago.
+// LoadKnown reports whether the upstream reported its load within loadTTL.
 func (e *Entry) LoadKnown(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.knowsLoad(now)
+	return e.loadKnownLocked(now)
 }
 
-// knowsLoad is LoadKnown for those that hold the lock.
-func (e *Entry) knowsLoad(now time.Time) bool {
-	return !e.loadAt.IsZero() && now.Sub(e.loadAt) <= loadLife
+// loadKnownLocked is LoadKnown for callers that hold e.mu.
+func (e *Entry) loadKnownLocked(now time.Time) bool {
+	return !e.loadAt.IsZero() && now.Sub(e.loadAt) <= loadTTL
 }
 
-// Foreign estimates how many requests of other VMs the upstream has.
+// Foreign estimates the number of other VMs' requests at the upstream; 0 when its load
+// is unknown.
 func (e *Entry) Foreign(now time.Time) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.knowsLoad(now) {
+	if !e.loadKnownLocked(now) {
 		return 0
 	}
-	foreign := e.load.Running + e.load.Waiting - int(e.loadOwn)
+	foreign := e.load.Running + e.load.Waiting - int(e.ownAtLoad)
 	return max(0, foreign)
 }
 
-// Slots returns how many requests the upstream runs at once, at least 1.
+// Slots returns the number of requests that the upstream runs at once, at least 1.
 func (e *Entry) Slots() int {
 	if s := e.Info().Slots; s > 0 {
 		return s
@@ -186,97 +190,101 @@
 	return 1
 }
 
-// Free returns how many more requests the upstream has room for.
+// Free returns the number of free slots. It is negative when requests exceed the slots.
 func (e *Entry) Free(now time.Time) int {
 	return e.Slots() - e.InFlight() - e.Foreign(now)
 }
 
-// NoteSpeed takes a measured duration of one unit of work: a whole plain
+// NoteSpeed records the measured duration of one unit of work: a complete plain
 // request, or one event of a stream.
 func (e *Entry) NoteSpeed(took time.Duration, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.usual == 0 {
-		e.usual = float64(took)
+	if e.longTermUnitTime == 0 {
+		e.longTermUnitTime = float64(took)
 	}
-	e.usual += usualWeight * (float64(took) - e.usual)
-	if e.speed == 0 || now.Sub(e.speedAt) > speedLife {
-		e.speed = float64(took)
+	e.longTermUnitTime += longTermWeight * (float64(took) - e.longTermUnitTime)
+	if e.unitTime == 0 || now.Sub(e.unitTimeAt) > unitTimeTTL {
+		e.unitTime = float64(took)
 	} else {
-		e.speed += speedWeight * (float64(took) - e.speed)
+		e.unitTime += unitTimeWeight * (float64(took) - e.unitTime)
 	}
-	e.speedAt = now
+	e.unitTimeAt = now
 }
 
-// Speed returns the average duration of a unit of work; 0 when not known.
+// Speed returns the short-term average duration of a unit of work; 0 when unknown.
 func (e *Entry) Speed(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.speedAt) > speedLife {
+	if now.Sub(e.unitTimeAt) > unitTimeTTL {
 		return 0
 	}
-	return time.Duration(e.speed)
+	return time.Duration(e.unitTime)
 }
 
-// Pace returns the expected duration of a unit of work: the measured speed, or, when
-// that is old, what is usual for the upstream; 0 when nothing is known.
+// Pace returns the expected duration of a unit of work: the short-term average, or the
+// long-term average when there was no recent measurement; 0 when neither is known.
 func (e *Entry) Pace(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now.Sub(e.speedAt) <= speedLife {
-		return time.Duration(e.speed)
+	if now.Sub(e.unitTimeAt) <= unitTimeTTL {
+		return time.Duration(e.unitTime)
 	}
-	return time.Duration(e.usual)
+	return time.Duration(e.longTermUnitTime)
 }
 
-// Version returns the newest version that the upstream is known to have of a
-// model; 0 when not known.
+// Version returns the newest weight version that the upstream is known to have of a
+// model; 0 when unknown.
 func (e *Entry) Version(model string) int64 {
 	listed := e.Info().Versions[model]
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(listed, e.learnt[model])
+	return max(listed, e.observedVersions[model])
 }
 
-// NoteVersion takes a version that an answer or a report showed. The list lags
-// behind by about a second, so this is usually newer.
+// NoteVersion records a weight version that a response or a report showed. It is
+// usually newer than the version in the list, which lags by about a second.
 func (e *Entry) NoteVersion(model string, version int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if version > e.learnt[model] {
-		e.learnt[model] = version
+	if version > e.observedVersions[model] {
+		e.observedVersions[model] = version
 	}
 }
 
-// NoteSwap notes that the upstream takes no requests of a model until a time.
+// NoteSwap records that the upstream is to get no requests for a model until a time:
+// it is loading a weight version, or has refused a request.
 func (e *Entry) NoteSwap(model string, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.swapping[model] = until
+	e.unavailableUntil[model] = until
 }
 
-// Swapping reports whether the upstream is loading a version of a model.
+// Swapping reports whether the upstream gets no requests for a model for now, as set by
+// NoteSwap.
 func (e *Entry) Swapping(model string, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return now.Before(e.swapping[model])
+	return now.Before(e.unavailableUntil[model])
 }
 
-// MedianSpeed returns the lower median of the known speeds; 0 when none is known.
+// MedianSpeed returns the lower median of the known values of Speed; 0 when there are
+// none.
 func MedianSpeed(entries []*Entry, now time.Time) time.Duration {
 	return median(entries, func(e *Entry) time.Duration { return e.Speed(now) })
 }
 
-// MedianPace returns the lower median of the known paces; 0 when none is known.
+// MedianPace returns the lower median of the known values of Pace; 0 when there are
+// none.
 func MedianPace(entries []*Entry, now time.Time) time.Duration {
 	return median(entries, func(e *Entry) time.Duration { return e.Pace(now) })
 }
 
-func median(entries []*Entry, of func(*Entry) time.Duration) time.Duration {
+func median(entries []*Entry, value func(*Entry) time.Duration) time.Duration {
 	var known []time.Duration
 	for _, e := range entries {
-		if s := of(e); s > 0 {
-			known = append(known, s)
+		if d := value(e); d > 0 {
+			known = append(known, d)
 		}
 	}
 	if len(known) == 0 {
@@ -286,12 +294,12 @@
 	return known[(len(known)-1)/2]
 }
 
-// slowness returns how many times slower the upstream is than the median, at
-// least 1.
+// slowness returns the ratio of the upstream's duration of a unit of work to the
+// median, at least 1.
 func slowness(e *Entry, median time.Duration, now time.Time) float64 {
-	speed := e.Speed(now)
-	if median == 0 || speed == 0 {
+	unitTime := e.Speed(now)
+	if median == 0 || unitTime == 0 {
 		return 1
 	}
-	return math.Max(1, float64(speed)/float64(median))
+	return math.Max(1, float64(unitTime)/float64(median))
 }
--- a/internal/target/roster.go
+++ b/internal/target/roster.go
@@ -11,70 +11,71 @@
 	"dogwoodpond/internal/event"
 )
 
-// Roster holds the upstreams of all services. Reads take no lock. The cost of a change
-// doesn't depend on how many upstreams there are, but for the copy of one service's list
-// when an upstream joins or leaves it.
+// Roster holds the upstreams of all services. Reads of the lists take no lock. The cost
+// of a change does not depend on the number of upstreams, except that the list of a
+// service is copied when an upstream is added or removed.
 type Roster struct {
 	events *event.Recorder
 
 	mu sync.Mutex
-	// lives holds the entries by the upstream's ID: one for each life that is listed or
-	// still in use.
-	lives map[string][]*Entry
-	// gone are the entries that are no longer listed.
-	gone    map[*Entry]bool
+	// incarnations holds the entries by upstream ID: one for each incarnation that is
+	// listed or still in use.
+	incarnations map[string][]*Entry
+	// unlisted holds the entries that are no longer listed.
+	unlisted map[*Entry]bool
+	// current holds the published lists by service. They are never changed in place.
 	current atomic.Pointer[map[string][]*Entry]
-	// slowStarts are the bounds of the services whose upstreams warm up.
+	// slowStarts holds the bounds of the services whose upstreams warm up.
 	slowStarts map[string]SlowStart
 
-	// reached is when the list was known to be complete last, in Unix nanoseconds.
-	reached atomic.Int64
-	// turn tells whether this VM is the one that may use a cold upstream.
-	turn atomic.Pointer[func(*Entry) bool]
-	// evacuated are the failure domains whose upstreams get nothing.
+	// completeAt is when the list was last known to be complete, in Unix nanoseconds.
+	completeAt atomic.Int64
+	// coldSender reports whether this VM may send requests to a cold upstream.
+	coldSender atomic.Pointer[func(*Entry) bool]
+	// evacuated holds the failure domains whose upstreams get no requests.
 	evacuated atomic.Pointer[map[string]bool]
 }
 
-// Change is one change of the platform's list.
+// Change is one change to the platform's list of upstreams.
 type Change struct {
 	id   string
 	info *Instance
 }
 
-// Listed is the change by which an upstream is listed, or its entry replaced.
+// Listed returns the change that adds an upstream or replaces its information.
 func Listed(info Instance) Change { return Change{id: info.ID, info: &info} }
 
-// Unlisted is the change by which an upstream's entry vanishes.
+// Unlisted returns the change that removes an upstream.
 func Unlisted(id string) Change { return Change{id: id} }
 
 // NewRoster returns an empty roster.
 func NewRoster(events *event.Recorder) *Roster {
-	r := &Roster{events: events, lives: make(map[string][]*Entry), gone: make(map[*Entry]bool)}
+	r := &Roster{events: events, incarnations: make(map[string][]*Entry), unlisted: make(map[*Entry]bool)}
 	r.current.Store(&map[string][]*Entry{})
 	r.evacuated.Store(&map[string]bool{})
 	r.Reached()
 	return r
 }
 
-// Reached notes that the platform's list answered: what it holds is known here.
-func (r *Roster) Reached() { r.reached.Store(time.Now().UnixNano()) }
+// Reached records that the platform's list was read and the roster is up to date.
+func (r *Roster) Reached() { r.completeAt.Store(time.Now().UnixNano()) }
 
-// stale reports whether changes of the list may have gone unnoticed for long.
+// stale reports whether the list was last read more than staleAfter ago.
 func (r *Roster) stale(now time.Time) bool {
-	return now.UnixNano()-r.reached.Load() > int64(staleAfter)
+	return now.UnixNano()-r.completeAt.Load() > int64(staleAfter)
 }
 
-// TakeTurns sets what tells whether this VM is the one that may use a cold upstream. It
-// must be called before the roster is used.
-func (r *Roster) TakeTurns(turn func(*Entry) bool) { r.turn.Store(&turn) }
+// TakeTurns sets the function that reports whether this VM may send requests to a cold
+// upstream; without one it may. It must be called before the roster is used.
+func (r *Roster) TakeTurns(coldSender func(*Entry) bool) { r.coldSender.Store(&coldSender) }
 
-func (r *Roster) isFirst(e *Entry) bool {
-	turn := r.turn.Load()
-	return turn == nil || (*turn)(e)
+func (r *Roster) isColdSender(e *Entry) bool {
+	coldSender := r.coldSender.Load()
+	return coldSender == nil || (*coldSender)(e)
 }
 
-// SetSlowStarts sets the bounds of the services whose upstreams warm up; the upstreams of
-// all others have none.
+// SetSlowStarts sets the bounds of the services whose upstreams warm up. Upstreams of
+// other services have no bound.
 func (r *Roster) SetSlowStarts(bounds map[string]SlowStart) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,14 +83,14 @@
 		return
 	}
 	r.slowStarts = maps.Clone(bounds)
-	for _, lives := range r.lives {
-		for _, e := range lives {
+	for _, incarnations := range r.incarnations {
+		for _, e := range incarnations {
 			e.setSlowStart(r.slowStarts[e.Info().Service])
 		}
 	}
 }
 
-// Replace takes a whole list.
+// Replace replaces all upstreams by those of a complete list.
 func (r *Roster) Replace(list []Instance) {
 	listed := make(map[string]bool, len(list))
 	changes := make([]Change, 0, len(list))
@@ -99,7 +100,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id := range r.lives {
+	for id := range r.incarnations {
 		if !listed[id] {
 			changes = append(changes, Unlisted(id))
 		}
@@ -107,7 +108,7 @@
 	r.apply(changes)
 }
 
-// Apply takes changes in their order. The lists are published once for all of them.
+// Apply applies changes in order and publishes the new lists once.
 func (r *Roster) Apply(changes ...Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,25 +119,25 @@
 	touched, now := make(touchedServices), time.Now()
 	for _, c := range changes {
 		if c.info == nil {
-			for _, e := range r.lives[c.id] {
-				r.leave(e)
+			for _, e := range r.incarnations[c.id] {
+				r.unlist(e)
 			}
 			continue
 		}
-		r.list(*c.info, touched, now)
+		r.upsert(*c.info, touched, now)
 	}
-	r.drop(touched, now)
+	r.evict(touched, now)
 	r.publish(touched)
 }
 
-// touchedServices are the services whose lists change.
+// touchedServices holds the changes to the lists of services.
 type touchedServices map[string]*listChange
 
-// listChange is what one batch of changes does to the list of a service.
+// listChange is the effect of one batch of changes on the list of a service.
 type listChange struct {
-	joined []*Entry
-	// left is true when an entry left the list.
-	left bool
+	added []*Entry
+	// removed is true when an entry was removed from the list.
+	removed bool
 }
 
 func (t touchedServices) of(service string) *listChange {
@@ -146,26 +147,26 @@
 	return t[service]
 }
 
-func (t touchedServices) join(service string, e *Entry) {
+func (t touchedServices) add(service string, e *Entry) {
 	c := t.of(service)
-	c.joined = append(c.joined, e)
+	c.added = append(c.added, e)
 }
 
-func (t touchedServices) leave(service string) { t.of(service).left = true }
+func (t touchedServices) remove(service string) { t.of(service).removed = true }
 
-// list takes an upstream's entry. An upstream that starts again under its old ID knows
-// nothing of before, so that each life has an entry of its own.
-func (r *Roster) list(info Instance, touched touchedServices, now time.Time) {
-	for _, e := range r.lives[info.ID] {
+// upsert adds or updates the entry of an upstream. An upstream that restarts with the same
+// ID has lost its state, so each incarnation has its own entry.
+func (r *Roster) upsert(info Instance, touched touchedServices, now time.Time) {
+	for _, e := range r.incarnations[info.ID] {
 		known := e.Info()
 		if known.Started != info.Started {
 			continue
 		}
 		e.noteListed(info.ColdFor, now)
-		if e.gone.Swap(false) {
-			delete(r.gone, e)
+		if e.unlisted.Swap(false) {
+			delete(r.unlisted, e)
 		}
-		if same(known, &info) {
+		if sameContent(known, &info) {
 			return
 		}
 		if info.Leaving && !known.Leaving {
@@ -173,66 +174,68 @@
 		}
 		e.info.Store(&info)
 		if known.Service != info.Service {
-			touched.leave(known.Service)
-			touched.join(info.Service, e)
+			touched.remove(known.Service)
+			touched.add(info.Service, e)
 			e.setSlowStart(r.slowStarts[info.Service])
 		}
 		return
 	}
-	for _, earlier := range r.lives[info.ID] {
+	for _, earlier := range r.incarnations[info.ID] {
 		earlier.Misaddressed()
-		r.gone[earlier] = true
+		r.unlisted[earlier] = true
 	}
 	e := newEntry(r, info)
 	e.setSlowStart(r.slowStarts[info.Service])
 	e.noteListed(info.ColdFor, now)
-	r.lives[info.ID] = append(r.lives[info.ID], e)
-	touched.join(info.Service, e)
+	r.incarnations[info.ID] = append(r.incarnations[info.ID], e)
+	touched.add(info.Service, e)
 	r.events.Emit(event.UpstreamListed, event.Subject{Upstream: info.ID, Detail: info.Service + " at " + info.Address})
 }
 
-// same reports whether two entries of one life of an upstream say the same.
-func same(a, b *Instance) bool {
+// sameContent reports whether two listings of one incarnation have the same content.
+// Started is equal, and ColdFor is recorded separately.
+func sameContent(a, b *Instance) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.FailureDomain == b.FailureDomain &&
 		a.Slots == b.Slots && a.Leaving == b.Leaving && a.Reclaimable == b.Reclaimable && maps.Equal(a.Versions, b.Versions)
 }
 
-// leave starts the short time in which an unlisted upstream may still be used.
-func (r *Roster) leave(e *Entry) {
-	r.gone[e] = true
-	if e.gone.Load() {
+// unlist starts the grace period in which an unlisted upstream may still be used.
+func (r *Roster) unlist(e *Entry) {
+	r.unlisted[e] = true
+	if e.unlisted.Load() {
 		return
 	}
-	e.goneUntil.Store(time.Now().Add(lingerTime).UnixNano())
-	e.gone.Store(true)
+	e.graceUntil.Store(time.Now().Add(unlistedGracePeriod).UnixNano())
+	e.unlisted.Store(true)
 	r.events.Emit(event.UpstreamUnlisted, event.Subject{Upstream: e.Info().ID, Detail: e.Info().Service})
 }
 
-// drop forgets the entries that are gone and unused.
-func (r *Roster) drop(touched touchedServices, now time.Time) {
-	for e := range r.gone {
-		if now.UnixNano() <= e.goneUntil.Load() || e.InFlight() > 0 {
+// evict removes unlisted entries whose grace period is over and that have no requests in
+// flight.
+func (r *Roster) evict(touched touchedServices, now time.Time) {
+	for e := range r.unlisted {
+		if now.UnixNano() <= e.graceUntil.Load() || e.InFlight() > 0 {
 			continue
 		}
 		info := e.Info()
-		delete(r.gone, e)
-		r.lives[info.ID] = slices.DeleteFunc(r.lives[info.ID], func(other *Entry) bool { return other == e })
-		if len(r.lives[info.ID]) == 0 {
-			delete(r.lives, info.ID)
+		delete(r.unlisted, e)
+		r.incarnations[info.ID] = slices.DeleteFunc(r.incarnations[info.ID], func(other *Entry) bool { return other == e })
+		if len(r.incarnations[info.ID]) == 0 {
+			delete(r.incarnations, info.ID)
 		}
-		e.dropped = true
-		touched.leave(info.Service)
+		e.evicted = true
+		touched.remove(info.Service)
 	}
 }
 
-// publish makes the new lists of the touched services visible.
+// publish makes the new lists of the touched services visible to readers.
 func (r *Roster) publish(touched touchedServices) {
 	if len(touched) == 0 {
 		return
 	}
 	services := maps.Clone(*r.current.Load())
 	for service, change := range touched {
-		services[service] = change.after(services[service], service)
+		services[service] = change.applyTo(services[service], service)
 		if len(services[service]) == 0 {
 			delete(services, service)
 		}
@@ -240,16 +243,16 @@
 	r.current.Store(&services)
 }
 
-// after returns the list of a service after the change, in the order of IDs. The list
-// before stays as it is: readers hold it.
-func (c *listChange) after(before []*Entry, service string) []*Entry {
-	list := make([]*Entry, len(before), len(before)+len(c.joined))
+// applyTo returns the changed list of a service, sorted by ID. It doesn't modify before,
+// which readers may hold.
+func (c *listChange) applyTo(before []*Entry, service string) []*Entry {
+	list := make([]*Entry, len(before), len(before)+len(c.added))
 	copy(list, before)
-	if c.left {
-		list = slices.DeleteFunc(list, func(e *Entry) bool { return e.dropped || e.Info().Service != service })
+	if c.removed {
+		list = slices.DeleteFunc(list, func(e *Entry) bool { return e.evicted || e.Info().Service != service })
 	}
-	for _, e := range c.joined {
-		if e.dropped || e.Info().Service != service || slices.Contains(list, e) {
+	for _, e := range c.added {
+		if e.evicted || e.Info().Service != service || slices.Contains(list, e) {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(list, e, byID)
@@ -260,11 +263,11 @@
 
 func byID(a, b *Entry) int { return strings.Compare(a.Info().ID, b.Info().ID) }
 
-// Life returns the entry of one life of an upstream, or nil.
+// Life returns the entry of one incarnation of an upstream, or nil.
 func (r *Roster) Life(id string, started int64) *Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.lives[id] {
+	for _, e := range r.incarnations[id] {
 		if e.Info().Started == started {
 			return e
 		}
@@ -272,30 +275,31 @@
 	return nil
 }
 
-// Service returns the upstreams of a service, also those that are leaving.
+// Service returns the upstreams of a service, including those that are leaving or
+// unlisted.
 func (r *Roster) Service(name string) []*Entry { return (*r.current.Load())[name] }
 
-// Known reports whether any upstream is known.
+// Known reports whether the roster has any upstream.
 func (r *Roster) Known() bool { return len(*r.current.Load()) > 0 }
 
-// Usable returns the upstreams of a service that may get work, the listed ones
-// if there are any: one that vanished from the list has most likely crashed. Those of
-// evacuated failure domains get none.
+// Usable returns the upstreams of a service that may get requests. Unlisted ones are
+// returned only when no listed one is usable, since an upstream that disappeared from the
+// list has most likely crashed. Upstreams of evacuated failure domains are left out.
 func (r *Roster) Usable(service string, now time.Time) []*Entry {
 	all := r.Service(service)
 	listed := make([]*Entry, 0, len(all))
-	var lingering []*Entry
+	var unlisted []*Entry
 	for _, e := range all {
 		switch {
 		case !e.Usable(now) || r.Evacuated(e.Info().FailureDomain):
 		case e.Listed():
 			listed = append(listed, e)
 		default:
-			lingering = append(lingering, e)
+			unlisted = append(unlisted, e)
 		}
 	}
 	if len(listed) > 0 {
 		return listed
 	}
-	return lingering
+	return unlisted
 }
--- a/internal/target/roster_test.go
+++ b/internal/target/roster_test.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// fleetOf returns the entries of a number of upstreams.
-func fleetOf(n int) []Instance {
+// newInstances returns n upstreams of one service.
+func newInstances(n int) []Instance {
 	list := make([]Instance, n)
 	for i := range list {
-		list[i] = up(fmt.Sprintf("up-%04d", i), "x")
+		list[i] = newInstance(fmt.Sprintf("up-%04d", i), "x")
 		list[i].Versions = map[string]int64{"m": 1}
 	}
 	return list
 }
 
-// Guards against entries that arrive unchanged costing a new list of all upstreams.
-func TestUnchangedEntryLeavesListsAlone(t *testing.T) {
-	list := fleetOf(100)
+// Guards against copying the list of all upstreams for an entry that arrives unchanged.
+func TestUnchangedEntryDoesNotCopyLists(t *testing.T) {
+	list := newInstances(100)
 	r := newTestRoster(list...)
 	before := r.current.Load()
 	r.Apply(Listed(list[7]))
 	r.Replace(list)
 	if r.current.Load() != before {
-		t.Error("unchanged entries made new lists")
+		t.Error("unchanged entries led to new lists")
 	}
 	cost := testing.AllocsPerRun(100, func() { r.Apply(Listed(list[7])) })
 	if limit := 4.0; cost > limit {
@@ -32,12 +32,12 @@
 	}
 }
 
-// Guards against a start whose cost grows with the square of the fleet: each upstream
-// that registers must not cost a pass over those before it.
-func TestRegistrationsOfOnePageAreListedTogether(t *testing.T) {
+// Guards against a start of the fleet whose cost grows with the square of its size: the
+// registration of an upstream must not iterate over those registered before it.
+func TestRegistrationsOfOnePageArePublishedOnce(t *testing.T) {
 	const page = 50
 	costOf := func(known int) float64 {
-		list := fleetOf(known + page)
+		list := newInstances(known + page)
 		return testing.AllocsPerRun(5, func() {
 			r := newTestRoster(list[:known]...)
 			changes := make([]Change, 0, page)
@@ -52,14 +52,14 @@
 	}
 	few, many := costOf(100), costOf(3000)
 	if many > 2*few {
-		t.Errorf("a page of registrations takes %.0f allocations beside 100 upstreams and %.0f beside 3000", few, many)
+		t.Errorf("a page of registrations takes %.0f allocations with 100 known upstreams and %.0f with 3000", few, many)
 	}
 }
 
-// Guards against an upstream that is found under its old service after it moved.
+// Guards against an upstream that is still listed under its old service after a change.
 func TestChangedServiceMovesTheUpstream(t *testing.T) {
-	r := newTestRoster(up("a", "x"), up("b", "x"))
-	moved := up("a", "x")
+	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
+	moved := newInstance("a", "x")
 	moved.Service = "lookup"
 	r.Apply(Listed(moved))
 	if len(r.Service("desk")) != 1 || len(r.Service("lookup")) != 1 {
@@ -67,39 +67,40 @@
 	}
 }
 
-// Guards against an upstream that stands twice in a list, or in two, when one page of
-// changes names it several times.
+// Guards against an upstream that occurs twice in a list, or in the lists of two services,
+// when one page of changes contains it several times.
 func TestUpstreamNamedTwiceInOnePageIsListedOnce(t *testing.T) {
-	moved := up("a", "x")
+	moved := newInstance("a", "x")
 	moved.Service = "lookup"
-	r := newTestRoster(up("b", "x"))
-	r.Apply(Listed(up("a", "x")), Listed(moved))
+	r := newTestRoster(newInstance("b", "x"))
+	r.Apply(Listed(newInstance("a", "x")), Listed(moved))
 	if len(r.Service("desk")) != 1 || len(r.Service("lookup")) != 1 {
 		t.Errorf("desk has %d upstreams and lookup %d, want 1 each", len(r.Service("desk")), len(r.Service("lookup")))
 	}
-	r.Apply(Listed(up("a", "x")), Listed(moved), Listed(up("a", "x")))
+	r.Apply(Listed(newInstance("a", "x")), Listed(moved), Listed(newInstance("a", "x")))
 	if len(r.Service("desk")) != 2 || len(r.Service("lookup")) != 0 {
 		t.Errorf("desk has %d upstreams and lookup %d, want 2 and 0", len(r.Service("desk")), len(r.Service("lookup")))
 	}
 }
 
-// Guards against entries of upstreams that are gone for good piling up.
-func TestGoneAndUnusedEntriesAreForgotten(t *testing.T) {
-	r := newTestRoster(up("a", "x"), up("b", "x"))
-	gone := r.Life("a", 0)
+// Guards against a leak: entries of upstreams that never return must be removed.
+func TestUnlistedIdleEntriesAreEvicted(t *testing.T) {
+	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
+	unlisted := r.Life("a", 0)
 	r.Apply(Unlisted("a"))
-	gone.goneUntil.Store(time.Now().Add(-time.Second).UnixNano())
-	r.Apply(Listed(up("b", "x")))
+	unlisted.graceUntil.Store(time.Now().Add(-time.Second).UnixNano())
+	r.Apply(Listed(newInstance("b", "x")))
 	if r.Life("a", 0) != nil || len(r.Service("desk")) != 1 {
-		t.Error("a gone and unused upstream is still known")
+		t.Error("an unlisted upstream without requests is still known")
 	}
 }
 
-// BenchmarkRegistrations is the start of a fleet: each upstream registers alone.
+// BenchmarkRegistrations measures the start of a fleet in which each upstream registers
+// separately.
 func BenchmarkRegistrations(b *testing.B) {
 	for _, n := range []int{30, 100, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := fleetOf(n)
+			list := newInstances(n)
 			for b.Loop() {
 				r := newTestRoster()
 				for _, info := range list {
@@ -111,11 +112,11 @@
 	}
 }
 
-// BenchmarkRenewals is the cost of an entry that says nothing new.
+// BenchmarkRenewals measures the cost of an entry that arrives unchanged.
 func BenchmarkRenewals(b *testing.B) {
 	for _, n := range []int{30, 100, 300, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := fleetOf(n)
+			list := newInstances(n)
 			r := newTestRoster(list...)
 			for i := 0; b.Loop(); i++ {
 				r.Apply(Listed(list[i%n]))
--- a/internal/target/slowstart.go
+++ b/internal/target/slowstart.go
@@ -2,176 +2,182 @@
 
 import "time"
 
-// SlowStart bounds the requests to an upstream that has started a moment ago and would
-// crash under the load of a warm one. The zero value sets no bound.
+// SlowStart bounds the requests to an upstream that has just started and would crash under
+// the load of a warm one. The zero value sets no bound.
 type SlowStart struct {
-	// PerSecond is the most requests in any second, over all VMs together.
+	// PerSecond is the largest number of requests in any second, summed over all VMs.
 	PerSecond int
 	// Warmup is how long an upstream stays cold after its start.
 	Warmup time.Duration
 }
 
-// warmth is what this VM knows about an upstream's start.
+// warmth is this VM's view of whether an upstream is warming up.
 type warmth int
 
 const (
 	warm warmth = iota
-	// cold upstreams said themselves that they are.
+	// cold upstreams have reported that they are.
 	cold
-	// unsure is an upstream that left an attempt unanswered and may have started again.
-	unsure
-	// outdated is an upstream of a list that has not answered for long.
-	outdated
+	// uncertain upstreams did not answer an attempt and may have restarted.
+	uncertain
+	// staleList applies to all upstreams while the list has not been read for staleAfter.
+	staleList
 )
 
 const (
-	// admissionWindow is the span over which requests count. It is longer than the
-	// second of the bound, because requests of this VM reach an upstream at uneven delays.
+	// admissionWindow is the sliding window in which requests are counted. It is longer than
+	// the one second of the bound because requests reach an upstream with varying delays.
 	admissionWindow = 1200 * time.Millisecond
-	// sharesOfCold is into how many equal shares the bound of a cold upstream is cut. One
-	// VM at a time uses one; the others are for VMs before it that have not heard yet that
-	// their turn is over.
-	sharesOfCold = 3
-	// sharesOfUnsure and sharesOfOutdated are the same for upstreams that every VM that
-	// runs a copy of a step may use, each by what it knows itself.
-	sharesOfUnsure   = 6
-	sharesOfOutdated = 4
-	// warmReserve is the part of the bound, as one in so many, that stays free while the
-	// upstream is warm: it may turn cold unnoticed, and what was sent just before counts.
-	warmReserve = 4
-	// staleAfter is the age of the list from which on every upstream may have started
-	// again unnoticed.
+	// coldDivisor is the number of equal shares into which the bound of a cold upstream is
+	// divided. One VM at a time uses one share. The others cover VMs that were allowed to
+	// send before it and have not learnt yet that they no longer are.
+	coldDivisor = 3
+	// uncertainDivisor and staleListDivisor are the same for upstreams in those states.
+	// Every VM that runs a copy of a step may use them, and decides by its own view.
+	uncertainDivisor = 6
+	staleListDivisor = 4
+	// warmReserveDivisor sets the part of the bound, 1/warmReserveDivisor, that is not used
+	// while the upstream is warm. It may restart unnoticed, and the requests sent just
+	// before then count towards the bound.
+	warmReserveDivisor = 4
+	// staleAfter is the age of the list beyond which any upstream may have restarted
+	// unnoticed.
 	staleAfter = 3 * time.Second
-	// longestWarmup bounds how long an upstream is believed to be cold without a word
-	// from it.
-	longestWarmup = time.Minute
+	// maxWarmup bounds how long an upstream is considered cold without a new report from
+	// it.
+	maxWarmup = time.Minute
 )
 
-// admission holds what limits the requests of this VM to one upstream. It belongs to the
-// entry's lock.
+// admission limits the requests of this VM to one upstream. The entry's mu guards it.
 type admission struct {
 	bound SlowStart
-	// coldUntil is when the upstream is warm by its own word.
+	// coldUntil is when the upstream is warm according to its own report.
 	coldUntil time.Time
-	// doubtedAt is when the first attempt ended without an answer since the upstream was
-	// known to run on; zero when there is no doubt.
-	doubtedAt time.Time
-	// warmBy is when it is warm even if it has started just before its first answer since
-	// then; zero until that answer.
+	// unansweredSince is when the first attempt ended without an answer since the upstream
+	// was last known not to have restarted; zero when there was none.
+	unansweredSince time.Time
+	// warmBy is when the upstream is warm even if it restarted just before its first answer
+	// after unansweredSince; zero until that answer.
 	warmBy time.Time
-	// sent are the latest requests, oldest first.
-	sent []time.Time
+	// sentAt holds the times of the latest requests, oldest first.
+	sentAt []time.Time
 }
 
-// listed takes what the upstream's entry says of its warmth.
-func (a *admission) listed(coldFor time.Duration, now time.Time) {
-	a.coldUntil = now.Add(min(max(coldFor, 0), longestWarmup))
-	a.trust()
+// setColdFor records how much longer the upstream is cold according to its list entry.
+func (a *admission) setColdFor(coldFor time.Duration, now time.Time) {
+	a.coldUntil = now.Add(min(max(coldFor, 0), maxWarmup))
+	a.confirmRunning()
 }
 
-// trust ends the doubt whether the upstream has started again.
-func (a *admission) trust() { a.doubtedAt, a.warmBy = time.Time{}, time.Time{} }
+// confirmRunning records that the upstream has not restarted unnoticed.
+func (a *admission) confirmRunning() { a.unansweredSince, a.warmBy = time.Time{}, time.Time{} }
 
-// unanswered notes an attempt without an answer: the upstream may be starting again.
-func (a *admission) unanswered(now time.Time) {
-	if !a.doubted(now) {
-		a.doubtedAt = now
+// noteUnanswered records an attempt without an answer: the upstream may be restarting.
+func (a *admission) noteUnanswered(now time.Time) {
+	if !a.mayHaveRestarted(now) {
+		a.unansweredSince = now
 	}
 	a.warmBy = time.Time{}
 }
 
-func (a *admission) doubted(now time.Time) bool {
-	return !a.doubtedAt.IsZero() && (a.warmBy.IsZero() || now.Before(a.warmBy))
+// mayHaveRestarted reports whether the upstream may be warming up after a restart that the
+// list does not show yet.
+func (a *admission) mayHaveRestarted(now time.Time) bool {
+	return !a.unansweredSince.IsZero() && (a.warmBy.IsZero() || now.Before(a.warmBy))
 }
 
-// answered notes an answer. An upstream that is doubted may have started just before.
-func (a *admission) answered(now time.Time) {
-	if !a.doubtedAt.IsZero() && a.warmBy.IsZero() {
+// noteAnswer records an answer. After an unanswered attempt, the upstream may have
+// restarted just before it.
+func (a *admission) noteAnswer(now time.Time) {
+	if !a.unansweredSince.IsZero() && a.warmBy.IsZero() {
 		a.warmBy = now.Add(a.bound.Warmup)
 	}
 }
 
+// warmth returns the state of the upstream at now. stale says whether the list is stale.
 func (a *admission) warmth(stale bool, now time.Time) warmth {
 	switch {
 	case now.Before(a.coldUntil):
 		return cold
-	case a.bound.Warmup > 0 && a.doubted(now):
-		return unsure
+	case a.bound.Warmup > 0 && a.mayHaveRestarted(now):
+		return uncertain
 	case a.bound.Warmup > 0 && stale:
-		return outdated
+		return staleList
 	}
 	return warm
 }
 
-// limit returns how many requests this VM may send within the window; bounded is false
-// when any number may be sent. first tells whether this VM is the one whose turn it is
-// while the upstream is cold.
+// limit returns how many requests this VM may send within admissionWindow; bounded is
+// false when there is no limit. coldSender says whether this VM may send requests to the
+// upstream while it is cold.
 //
-// The load is the start of a step: hundreds of items look for a slot at the same moment,
-// and as many of them end and are replaced within the next second.
-func (s SlowStart) limit(w warmth, first bool, slots int) (most int, bounded bool) {
-	per := s.PerSecond
+// The limits are meant for the start of a step: hundreds of items look for a slot at the
+// same time, and as many of them end and are replaced within the next second.
+func (s SlowStart) limit(w warmth, coldSender bool, slots int) (requests int, bounded bool) {
+	bound := s.PerSecond
 	switch {
-	case per <= 0:
+	case bound <= 0:
 		return 0, false
-	case w == cold && first:
-		return max(per/sharesOfCold, 1), true
+	case w == cold && coldSender:
+		return max(bound/coldDivisor, 1), true
 	case w == cold:
 		return 0, true
-	case w == unsure:
-		return max(per/sharesOfUnsure, 1), true
-	case w == outdated:
-		return max(per/sharesOfOutdated, 1), true
+	case w == uncertain:
+		return max(bound/uncertainDivisor, 1), true
+	case w == staleList:
+		return max(bound/staleListDivisor, 1), true
 	case s.Warmup <= 0:
 		return 0, false
 	}
-	return max(per-per/warmReserve, slots), true
+	return max(bound-bound/warmReserveDivisor, slots), true
 }
 
-// recent returns how many requests were sent within the window.
+// recent returns the number of requests sent within admissionWindow, and forgets older
+// ones.
 func (a *admission) recent(now time.Time) int {
 	n := 0
-	for n < len(a.sent) && now.Sub(a.sent[n]) >= admissionWindow {
+	for n < len(a.sentAt) && now.Sub(a.sentAt[n]) >= admissionWindow {
 		n++
 	}
-	a.sent = a.sent[:copy(a.sent, a.sent[n:])]
-	return len(a.sent)
+	a.sentAt = a.sentAt[:copy(a.sentAt, a.sentAt[n:])]
+	return len(a.sentAt)
 }
 
-func (a *admission) count(now time.Time) {
+func (a *admission) record(now time.Time) {
 	if a.bound.PerSecond > 0 {
 		a.recent(now)
-		a.sent = append(a.sent, now)
+		a.sentAt = append(a.sentAt, now)
 	}
 }
 
-// unlimited stands for any number of requests.
+// unlimited is the result of Admissible when there is no limit.
 const unlimited = 1 << 30
 
 // Admits reports whether this VM may send a request to the upstream now without
-// overloading it while it warms up.
+// exceeding the bound of its slow start.
 func (e *Entry) Admits(now time.Time) bool { return e.Admissible(now) > 0 }
 
 // Admissible returns how many requests this VM may send to the upstream now.
 func (e *Entry) Admissible(now time.Time) int {
-	most, bounded := e.limit(now)
+	allowed, bounded := e.limit(now)
 	if !bounded {
 		return unlimited
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(most-e.admission.recent(now), 0)
+	return max(allowed-e.admission.recent(now), 0)
 }
 
-// limit returns how many requests this VM may send to the upstream within the window.
-func (e *Entry) limit(now time.Time) (most int, bounded bool) {
+// limit returns how many requests this VM may send to the upstream within
+// admissionWindow; bounded is false when there is no limit.
+func (e *Entry) limit(now time.Time) (requests int, bounded bool) {
 	stale, slots := e.roster.stale(now), e.Slots()
 	e.mu.Lock()
 	w, bound := e.admission.warmth(stale, now), e.admission.bound
 	e.mu.Unlock()
-	// Whose turn it is takes a look at the fleet, which few calls need.
-	first := w == cold && e.roster.isFirst(e)
-	return bound.limit(w, first, slots)
+	// isColdSender reads the fleet's state, which few calls need.
+	coldSender := w == cold && e.roster.isColdSender(e)
+	return bound.limit(w, coldSender, slots)
 }
 
 func (e *Entry) setSlowStart(bound SlowStart) {
@@ -183,44 +189,45 @@
 func (e *Entry) noteListed(coldFor time.Duration, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission.listed(coldFor, now)
+	e.admission.setColdFor(coldFor, now)
 }
 
-// NoAnswer notes an attempt that got no whole answer: the upstream may be starting again.
+// NoAnswer records an attempt that got no complete answer: the upstream may be restarting.
 func (e *Entry) NoAnswer() {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission.unanswered(now)
+	e.admission.noteUnanswered(now)
 }
 
-// RunsOn notes that an attempt that began at a moment still gets its answer: the upstream
-// has not started again since then, whatever became of other attempts.
+// RunsOn records that an attempt that began at the given time is still being answered: the
+// upstream has not restarted since then, even if other attempts got no answer.
 func (e *Entry) RunsOn(began time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if began.Before(e.admission.doubtedAt) {
-		e.admission.trust()
+	if began.Before(e.admission.unansweredSince) {
+		e.admission.confirmRunning()
 	}
 }
 
-// Cold reports whether the upstream is warming up by its own word.
+// Cold reports whether the upstream is warming up according to its own report.
 func (e *Entry) Cold(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.admission.warmth(false, now) == cold
 }
 
-// TryBegin counts a request to the upstream like Begin, if it may be sent.
+// TryBegin counts a request to the upstream like Begin if the request may be sent, and
+// reports whether it may.
 func (e *Entry) TryBegin() bool {
 	now := time.Now()
-	most, bounded := e.limit(now)
+	allowed, bounded := e.limit(now)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if bounded && e.admission.recent(now) >= most {
+	if bounded && e.admission.recent(now) >= allowed {
 		return false
 	}
-	e.admission.count(now)
+	e.admission.record(now)
 	e.inFlight.Add(1)
 	return true
 }
--- a/internal/target/slowstart_test.go
+++ b/internal/target/slowstart_test.go
@@ -16,17 +16,17 @@
 	testWarmup = 3 * time.Second
 )
 
-// slowStarting returns an upstream that stays cold for a time, in a roster of its own.
-func slowStarting(coldFor time.Duration) (*Roster, *Entry) {
-	info := up("a", "x")
+// newSlowStartUpstream returns an upstream that stays cold for a time, in its own roster.
+func newSlowStartUpstream(coldFor time.Duration) (*Roster, *Entry) {
+	info := newInstance("a", "x")
 	info.ColdFor = coldFor
 	r := newTestRoster(info)
 	r.SetSlowStarts(map[string]SlowStart{"desk": {PerSecond: testBound, Warmup: testWarmup}})
 	return r, r.Service("desk")[0]
 }
 
-// sendAll begins requests until no more are admitted, and returns how many there were.
-func sendAll(e *Entry) int {
+// sendUntilRefused begins requests until no more are admitted, and returns their number.
+func sendUntilRefused(e *Entry) int {
 	n := 0
 	for n < 10*testBound && e.TryBegin() {
 		n++
@@ -35,102 +35,104 @@
 	return n
 }
 
-// Guards against a burst that crashes an upstream just after its start.
+// Guards against a burst of requests that crashes an upstream just after its start.
 func TestColdUpstreamGetsAShareOfItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(testWarmup)
-		if n := sendAll(e); n != testBound/sharesOfCold {
-			t.Errorf("%d requests were sent at once, want %d", n, testBound/sharesOfCold)
+		r, e := newSlowStartUpstream(testWarmup)
+		if n := sendUntilRefused(e); n != testBound/coldDivisor {
+			t.Errorf("%d requests were admitted at once, want %d", n, testBound/coldDivisor)
 		}
 		time.Sleep(admissionWindow)
-		if n := sendAll(e); n == 0 {
-			t.Error("nothing was sent in the next second")
+		if n := sendUntilRefused(e); n == 0 {
+			t.Error("no request was admitted in the next second")
 		}
 		time.Sleep(testWarmup)
 		r.Reached()
-		if n := sendAll(e); n <= testBound/sharesOfCold {
+		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
 			t.Errorf("a warm upstream got only %d requests", n)
 		}
 	})
 }
 
-// Guards against several VMs that each send what one may.
-func TestColdUpstreamIsLeftToOneVM(t *testing.T) {
+// Guards against several VMs that each use the share of one.
+func TestColdUpstreamIsUsedByOneVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(testWarmup)
+		r, e := newSlowStartUpstream(testWarmup)
 		r.TakeTurns(func(*Entry) bool { return false })
-		if n := sendAll(e); n != 0 {
-			t.Errorf("a VM whose turn it is not sent %d requests", n)
+		if n := sendUntilRefused(e); n != 0 {
+			t.Errorf("%d requests of a VM that may not use the cold upstream were admitted", n)
 		}
 		if chosen := r.Reserve(Want{Service: "desk", Domain: "x"}); chosen != nil {
-			t.Error("the upstream was chosen")
+			t.Error("the cold upstream was chosen")
 		}
 	})
 }
 
-// Guards against a restart under the same ID that the list has not shown yet: the VM's
-// connections broke, and it would greet the upstream with the load of a warm one.
-func TestUpstreamThatFellSilentCountsAsCold(t *testing.T) {
+// Guards against overload after a restart with the same ID that the list doesn't show yet.
+// The VM's connections broke, and it would send the restarted upstream the load of a warm
+// one.
+func TestUnresponsiveUpstreamCountsAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(0)
+		r, e := newSlowStartUpstream(0)
 		e.NoAnswer()
-		if n := sendAll(e); n > testBound/sharesOfUnsure {
-			t.Errorf("%d requests were sent to a silent upstream", n)
+		if n := sendUntilRefused(e); n > testBound/uncertainDivisor {
+			t.Errorf("%d requests to an unresponsive upstream were admitted", n)
 		}
 		time.Sleep(admissionWindow)
 		e.Succeeded()
-		if n := sendAll(e); n > testBound/sharesOfUnsure {
-			t.Errorf("%d requests were sent right after its return", n)
+		if n := sendUntilRefused(e); n > testBound/uncertainDivisor {
+			t.Errorf("%d requests were admitted right after its first answer", n)
 		}
-		r.Apply(Listed(up("a", "x")))
+		r.Apply(Listed(newInstance("a", "x")))
 		time.Sleep(admissionWindow)
-		if n := sendAll(e); n <= testBound/sharesOfCold {
-			t.Errorf("%d requests were sent after its entry said that it is warm", n)
+		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
+			t.Errorf("only %d requests were admitted after its entry reported it as warm", n)
 		}
 	})
 }
 
-// Guards against a VM that was cut off from the list and takes what it knew for true.
-func TestOldViewCountsAsCold(t *testing.T) {
+// Guards against overload by a VM that can't read the list and relies on its old view: an
+// upstream may have restarted since.
+func TestStaleListCountsAsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(0)
+		r, e := newSlowStartUpstream(0)
 		time.Sleep(staleAfter + time.Millisecond)
-		if n := sendAll(e); n > testBound/sharesOfOutdated {
-			t.Errorf("%d requests were sent on an old view", n)
+		if n := sendUntilRefused(e); n > testBound/staleListDivisor {
+			t.Errorf("%d requests were admitted with a stale list", n)
 		}
 		time.Sleep(admissionWindow)
 		r.Reached()
-		if n := sendAll(e); n <= testBound/sharesOfCold {
-			t.Errorf("%d requests were sent on a fresh view", n)
+		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
+			t.Errorf("only %d requests were admitted with a fresh list", n)
 		}
 	})
 }
 
-// Guards against bounds where the operator sets none, or for a service without a warm-up.
-func TestUpstreamsWithoutABoundTakeAnyNumber(t *testing.T) {
+// Guards against limits where the operator sets no bound, or the service has no warm-up.
+func TestUpstreamsWithoutBoundAreUnlimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(0)
+		r, e := newSlowStartUpstream(0)
 		r.SetSlowStarts(nil)
 		e.NoAnswer()
-		if n := sendAll(e); n != 10*testBound {
-			t.Errorf("only %d requests were sent", n)
+		if n := sendUntilRefused(e); n != 10*testBound {
+			t.Errorf("only %d requests were admitted without a bound", n)
 		}
 		r.SetSlowStarts(map[string]SlowStart{"desk": {PerSecond: 5}})
-		if n := sendAll(e); n != 10*testBound {
-			t.Errorf("only %d requests were sent to a service without a warm-up", n)
+		if n := sendUntilRefused(e); n != 10*testBound {
+			t.Errorf("only %d requests were admitted to a service without a warm-up", n)
 		}
 	})
 }
 
-// Guards against entries with warm-ups that are negative or endless.
-func TestImpossibleWarmupsAreBounded(t *testing.T) {
+// Guards against entries with a negative or excessive warm-up.
+func TestInvalidWarmupsAreClamped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, e := slowStarting(1000 * time.Hour)
-		time.Sleep(longestWarmup)
+		r, e := newSlowStartUpstream(1000 * time.Hour)
+		time.Sleep(maxWarmup)
 		if e.Cold(time.Now()) {
-			t.Error("an upstream is cold for hours")
+			t.Error("an upstream is cold for longer than maxWarmup")
 		}
-		info := up("a", "x")
+		info := newInstance("a", "x")
 		info.ColdFor = -time.Hour
 		r.Apply(Listed(info))
 		if e.Cold(time.Now()) {
@@ -139,8 +141,8 @@
 	})
 }
 
-// coldFleet is a fleet of VMs before one upstream, each with its own view of when it
-// started and of which VMs live.
+// coldFleet is a fleet of VMs that use one upstream. Each has its own view of when the
+// upstream started and of which VMs are alive.
 type coldFleet struct {
 	rng     *rand.Rand
 	arrived []time.Time
@@ -149,37 +151,37 @@
 
 // vmView is what one VM of the fleet knows.
 type vmView struct {
-	name   string
-	live   []string
-	entry  *Entry
-	roster *Roster
-	// frozenFrom and frozenFor stop the VM for a while.
+	name    string
+	members []string
+	entry   *Entry
+	roster  *Roster
+	// frozenFrom and frozenFor are when the VM is suspended, and for how long.
 	frozenFrom, frozenFor time.Duration
-	// knows is when it hears that the upstream has started.
-	knows time.Duration
-	delay time.Duration
+	// listedAt is when the VM learns that the upstream has started.
+	listedAt     time.Duration
+	networkDelay time.Duration
 }
 
-// play lets every VM send whenever it may for some seconds around a start of the upstream
-// and returns when the requests arrived.
-func (f *coldFleet) play(vms []*vmView, length time.Duration) []time.Time {
+// simulate lets every VM send whenever it may, for a time after a start of the upstream, and
+// returns the times at which the requests arrive.
+func (f *coldFleet) simulate(vms []*vmView, length time.Duration) []time.Time {
 	const tick = 20 * time.Millisecond
 	for at := time.Duration(0); at < length; at += tick {
 		f.rng.Shuffle(len(vms), func(i, j int) { vms[i], vms[j] = vms[j], vms[i] })
 		for _, v := range vms {
-			if v.knows > at-tick && v.knows <= at {
-				info := up("a", "x")
+			if v.listedAt > at-tick && v.listedAt <= at {
+				info := newInstance("a", "x")
 				info.ColdFor = testWarmup
 				v.roster.Apply(Listed(info))
 			}
 			frozen := at >= v.frozenFrom && at < v.frozenFrom+v.frozenFor
-			if at < v.knows || frozen {
+			if at < v.listedAt || frozen {
 				continue
 			}
 			v.roster.Reached()
 			for v.entry.TryBegin() {
 				v.entry.End()
-				f.arrived = append(f.arrived, time.Now().Add(v.delay))
+				f.arrived = append(f.arrived, time.Now().Add(v.networkDelay))
 			}
 		}
 		time.Sleep(tick)
@@ -188,8 +190,8 @@
 	return f.arrived
 }
 
-// busiest returns the most arrivals in any second.
-func busiest(arrived []time.Time) int {
+// maxPerSecond returns the largest number of arrivals in any second.
+func maxPerSecond(arrived []time.Time) int {
 	most := 0
 	for i, first := range arrived {
 		n := 0
@@ -201,10 +203,10 @@
 	return most
 }
 
-// Guards against a cold upstream that gets more than its bound from all VMs together. The
-// load is work that always waits on every VM; lists of members differ by two VMs that
-// froze, died or joined, and requests take uneven times.
-func TestFleetKeepsTheBoundOfAColdUpstream(t *testing.T) {
+// Guards against a cold upstream that gets more than its bound from all VMs together.
+// Requests are always queued on every VM, the VMs' member lists differ by up to two VMs that
+// froze, died or joined, and network delays vary.
+func TestFleetStaysWithinColdUpstreamBound(t *testing.T) {
 	for _, size := range []int{3, 9, 66, 390} {
 		seeds := uint64(max(2, 200/size))
 		for seed := range seeds {
@@ -216,63 +218,63 @@
 				lost := []string{f.names[f.rng.IntN(size)], f.names[f.rng.IntN(size)]}
 				var vms []*vmView
 				for _, name := range f.names {
-					v := &vmView{name: name, live: f.names, knows: time.Duration(f.rng.IntN(600)) * time.Millisecond, delay: time.Duration(f.rng.IntN(40)) * time.Millisecond}
+					v := &vmView{name: name, members: f.names, listedAt: time.Duration(f.rng.IntN(600)) * time.Millisecond, networkDelay: time.Duration(f.rng.IntN(40)) * time.Millisecond}
 					missing := lost[:f.rng.IntN(len(lost)+1)]
-					v.live = slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n != name && slices.Contains(missing, n) })
+					v.members = slices.DeleteFunc(slices.Clone(f.names), func(n string) bool { return n != name && slices.Contains(missing, n) })
 					if f.rng.IntN(8) == 0 {
 						v.frozenFrom, v.frozenFor = time.Duration(f.rng.IntN(2000))*time.Millisecond, time.Duration(f.rng.IntN(2000))*time.Millisecond
 					}
-					v.roster, v.entry = slowStarting(testWarmup)
+					v.roster, v.entry = newSlowStartUpstream(testWarmup)
 					v.roster.TakeTurns(func(e *Entry) bool {
-						first, _ := lease.First("cold/"+e.Info().ID, v.live)
+						first, _ := lease.First("cold/"+e.Info().ID, v.members)
 						return first == v.name
 					})
 					vms = append(vms, v)
 				}
-				arrived := f.play(vms, testWarmup-600*time.Millisecond)
-				if most := busiest(arrived); most > testBound {
-					t.Errorf("%d VMs, seed %d: %d requests in a second, at most %d are allowed", size, seed, most, testBound)
+				arrived := f.simulate(vms, testWarmup-600*time.Millisecond)
+				if most := maxPerSecond(arrived); most > testBound {
+					t.Errorf("%d VMs, seed %d: %d requests in one second, want at most %d", size, seed, most, testBound)
 				}
-				if len(arrived) < testBound/sharesOfCold {
-					t.Errorf("%d VMs, seed %d: only %d requests were sent although work waited", size, seed, len(arrived))
+				if len(arrived) < testBound/coldDivisor {
+					t.Errorf("%d VMs, seed %d: only %d requests were sent although more were queued", size, seed, len(arrived))
 				}
 			})
 		}
 	}
 }
 
-// Guards against an upstream that gets less work because it refuses or fails requests: one
-// that answers has not started again.
-func TestUpstreamThatAnswersBadlyIsNotTakenForCold(t *testing.T) {
+// Guards against an upstream that is limited as cold because it refuses or fails requests.
+// An upstream that answers has not restarted.
+func TestFailingUpstreamIsNotCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, e := slowStarting(0)
+		_, e := newSlowStartUpstream(0)
 		e.NoteLoad(Load{Running: 4, Slots: 4}, time.Now())
 		e.Failed(time.Now())
-		if n := sendAll(e); n <= testBound/sharesOfCold {
-			t.Errorf("only %d requests were sent", n)
+		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
+			t.Errorf("only %d requests were admitted", n)
 		}
 	})
 }
 
-// Guards against an upstream that gets a fraction of its work because single answers are
-// lost, garbled or hang, while its other streams run on.
-func TestUpstreamWhoseStreamsRunOnIsNotTakenForCold(t *testing.T) {
+// Guards against an upstream that is limited as cold because single answers are lost,
+// garbled or hang, while its other streams continue.
+func TestUpstreamWithRunningStreamsIsNotCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, e := slowStarting(0)
+		_, e := newSlowStartUpstream(0)
 		began := time.Now()
 		time.Sleep(100 * time.Millisecond)
 		e.NoAnswer()
 		time.Sleep(100 * time.Millisecond)
 		later := time.Now()
 		e.RunsOn(later)
-		if n := e.Admissible(later); n > testBound/sharesOfUnsure {
-			t.Errorf("%d requests are admitted by an attempt that began after the lost one", n)
+		if n := e.Admissible(later); n > testBound/uncertainDivisor {
+			t.Errorf("%d requests are admitted because of an attempt that began after the lost one", n)
 		}
 		e.Succeeded()
 		e.NoAnswer()
 		e.RunsOn(began)
-		if n := e.Admissible(later); n <= testBound/sharesOfCold {
-			t.Errorf("only %d requests are admitted though a stream runs on", n)
+		if n := e.Admissible(later); n <= testBound/coldDivisor {
+			t.Errorf("only %d requests are admitted although a stream continues", n)
 		}
 	})
 }
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -18,30 +18,30 @@
 	return r
 }
 
-func up(id, domain string) Instance {
+func newInstance(id, domain string) Instance {
 	return Instance{ID: id, Service: "desk", Address: id + ":1", FailureDomain: domain, Slots: 4}
 }
 
-// The store was away and the upstreams' entries have lapsed; they are back within
-// two seconds. Callers would be refused meanwhile although every upstream runs.
-func TestVanishedUpstreamsServeOnForAMoment(t *testing.T) {
+// Guards against refusing requests although every upstream runs: during an outage of the
+// store the upstreams' entries expire, and they come back within two seconds.
+func TestUnlistedUpstreamsStayUsableForGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTestRoster(up("a", "x"), up("b", "x"))
+		r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
 		r.Replace(nil)
 		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e == nil {
-			t.Fatal("no upstream right after the entries lapsed")
+			t.Fatal("no upstream right after the entries expired")
 		}
-		time.Sleep(lingerTime)
+		time.Sleep(unlistedGracePeriod)
 		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e != nil {
-			t.Errorf("%s still gets work %s after its removal", e.Info().ID, lingerTime)
+			t.Errorf("%s still gets requests %s after its removal", e.Info().ID, unlistedGracePeriod)
 		}
 	})
 }
 
-// One upstream crashed and its entry lapsed while others are listed. Work sent
-// there would only be lost.
-func TestVanishedUpstreamGetsNothingBesideListedOnes(t *testing.T) {
-	r := newTestRoster(up("a", "x"), up("b", "x"))
+// Guards against requests that are lost because they are sent to a crashed upstream, whose
+// entry has expired, while others are listed.
+func TestUnlistedUpstreamIsNotChosenOverListedOnes(t *testing.T) {
+	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
 	r.Apply(Unlisted("a"))
 	for range 10 {
 		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e.Info().ID != "b" {
@@ -50,9 +50,9 @@
 	}
 }
 
-func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	r := newTestRoster(up("a", "x"))
-	leaving := up("a", "x")
+func TestLeavingUpstreamGetsNoNewRequests(t *testing.T) {
+	r := newTestRoster(newInstance("a", "x"))
+	leaving := newInstance("a", "x")
 	leaving.Leaving = true
 	r.Apply(Listed(leaving))
 	if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e != nil {
@@ -60,10 +60,10 @@
 	}
 }
 
-// An upstream starts again under its old ID. What was learnt of its earlier life,
-// above all its versions, holds no more.
-func TestRestartForgetsTheEarlierLife(t *testing.T) {
-	first := up("a", "x")
+// Guards against state of an upstream's previous incarnation, above all its weight versions,
+// that is still used after it restarts with the same ID.
+func TestRestartDiscardsPreviousIncarnation(t *testing.T) {
+	first := newInstance("a", "x")
 	first.Started, first.Versions = 1, map[string]int64{"m": 1}
 	r := newTestRoster(first)
 	old := r.Service("desk")[0]
@@ -73,13 +73,13 @@
 	r.Apply(Listed(second))
 	e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now())
 	if e == old || e.Version("m") != 1 {
-		t.Errorf("the new life has version %d", e.Version("m"))
+		t.Errorf("the new incarnation has version %d", e.Version("m"))
 	}
 }
 
 func TestChooseWeighsDomainLoadAndSuspicion(t *testing.T) {
 	now := time.Now()
-	r := newTestRoster(up("near", "x"), up("far", "y"))
+	r := newTestRoster(newInstance("near", "x"), newInstance("far", "y"))
 	near, far := r.Service("desk")[1], r.Service("desk")[0]
 	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != near {
 		t.Errorf("idle: %s", e.Info().ID)
@@ -87,37 +87,37 @@
 	near.Begin()
 	near.Begin()
 	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != far {
-		t.Errorf("the near one is half busy: %s", e.Info().ID)
+		t.Errorf("near upstream half busy: %s", e.Info().ID)
 	}
 	far.Failed(now)
 	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != near {
-		t.Errorf("the far one failed: %s", e.Info().ID)
+		t.Errorf("far upstream failed: %s", e.Info().ID)
 	}
 	if e := r.Choose(Want{Service: "desk", Domain: "x", Skip: []*Entry{near}}, now); e != far {
 		t.Error("a suspect upstream is better than none")
 	}
 }
 
-func TestSuspicionGrowsAndEnds(t *testing.T) {
-	r := newTestRoster(up("a", "x"))
+func TestSuspectBackoffGrowsAndEnds(t *testing.T) {
+	r := newTestRoster(newInstance("a", "x"))
 	e, now := r.Service("desk")[0], time.Now()
 	if first, second := e.Failed(now), e.Failed(now); second != 2*first {
-		t.Errorf("rests of %s and %s", first, second)
+		t.Errorf("backoffs of %s and %s, want the second to be twice the first", first, second)
 	}
 	for range 10 {
 		e.Failed(now)
 	}
-	if !e.Suspect(now.Add(longestSuspicion-1)) || e.Suspect(now.Add(longestSuspicion)) {
-		t.Error("the rest is not bounded")
+	if !e.Suspect(now.Add(maxSuspectBackoff-1)) || e.Suspect(now.Add(maxSuspectBackoff)) {
+		t.Error("the backoff does not end after its maximum")
 	}
 	e.Succeeded()
 	if e.Suspect(now) {
-		t.Error("a success does not end the suspicion")
+		t.Error("a success does not end the backoff")
 	}
 }
 
-func TestForeignLoadFades(t *testing.T) {
-	r := newTestRoster(up("a", "x"))
+func TestForeignLoadExpires(t *testing.T) {
+	r := newTestRoster(newInstance("a", "x"))
 	e, now := r.Service("desk")[0], time.Now()
 	e.Begin()
 	e.NoteLoad(Load{Running: 3, Waiting: 1, Slots: 4}, now)
@@ -127,25 +127,25 @@
 	if got := e.Free(now); got != 0 {
 		t.Errorf("Free = %d, want 0", got)
 	}
-	if got := e.Foreign(now.Add(loadLife + 1)); got != 0 {
-		t.Errorf("Foreign = %d after its life", got)
+	if got := e.Foreign(now.Add(loadTTL + 1)); got != 0 {
+		t.Errorf("Foreign = %d after loadTTL, want 0", got)
 	}
 }
 
-// Guards against a request that goes to a region where it may not be because all upstreams
-// where it may be are busy, failing or gone.
-func TestRequestStaysWhereItMayBe(t *testing.T) {
-	r := newTestRoster(up("away", "n"), up("home", "s"))
+// Guards against a request that is sent to a failure domain outside its residency because
+// all upstreams inside it are busy, failing or not listed.
+func TestReserveRespectsResidency(t *testing.T) {
+	r := newTestRoster(newInstance("away", "n"), newInstance("home", "s"))
 	want := Want{Service: "desk", Domain: "n", Residency: route.ResideIn([]string{"s"})}
 	for range 5 {
 		e := r.Reserve(want)
 		if e == nil || e.Info().ID != "home" {
-			t.Fatalf("the request goes to %v", e)
+			t.Fatalf("the request is sent to %v", e)
 		}
 		e.Failed(time.Now())
 	}
 	want.Skip = slices.DeleteFunc(slices.Clone(r.Service("desk")), func(e *Entry) bool { return e.Info().ID == "away" })
 	if e := r.Reserve(want); e != nil {
-		t.Errorf("the request goes to %s", e.Info().ID)
+		t.Errorf("the request is sent to %s", e.Info().ID)
 	}
 }
