--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -108,7 +108,7 @@
 		e.Failed(now)
 	}
 	if !e.Suspect(now.Add(maxSuspectBackoff-1)) || e.Suspect(now.Add(maxSuspectBackoff)) {
-		t.Error("the backoff does not end after its maximum")
+		t.Error("the backoff does not reach its maximum and end there")
 	}
 	e.Succeeded()
 	if e.Suspect(now) {
