--- a/internal/step/dispatch.go
+++ b/internal/step/dispatch.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// dispatchEvery is the period of looking for free engines without a reason;
-	// mostly the end of an item wakes the dispatcher.
+	// dispatchEvery is the interval at which the dispatcher checks for free engines
+	// without being signaled. Usually the end of an attempt signals it.
 	dispatchEvery = 40 * time.Millisecond
-	// dispatchPause gathers the wake-ups of items that end together.
+	// dispatchPause delays a pass after a signal, so that one pass serves all attempts
+	// that end together.
 	dispatchPause = 2 * time.Millisecond
 )
 
-// dispatchLoop starts items whenever engines have room.
+// dispatchLoop starts items and score calls whenever engines and scoring services have
+// free slots.
 func (m *Manager) dispatchLoop(ctx context.Context) {
 	timer := time.NewTicker(dispatchEvery)
 	defer timer.Stop()
@@ -36,7 +38,7 @@
 	}
 }
 
-// byUrgency returns the runs in the order in which they are due.
+// byUrgency returns the runs, earliest due time first.
 func (m *Manager) byUrgency() []*run {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,13 +50,14 @@
 	return runs
 }
 
-// dispatch starts the items of a run for which there is room.
+// dispatch starts the pending items of a run for which an engine has a free slot, and
+// abandons those whose time has passed or whose route was removed.
 func (m *Manager) dispatch(r *run) {
 	now := time.Now()
 	rankings := make(map[kind]*ranking)
 	m.chooseOrder(r, rankings, now)
-	for at, ok := r.next(waiting, 0, now); ok; at, ok = r.next(waiting, at+1, now) {
-		i := r.order[at]
+	for pos, ok := r.next(waiting, 0, now); ok; pos, ok = r.next(waiting, pos+1, now) {
+		i := r.order[pos]
 		n, routed := r.needOf(i)
 		if !routed || m.tooLate(r) {
 			r.giveUp(i, waiting, routed)
@@ -72,27 +75,29 @@
 	}
 }
 
-// chooseOrder puts the order in force that fits the engines which serve the run now,
-// and keeps their ranking for the rest of the pass.
+// chooseOrder selects the item order that suits the slots of the engines that can serve
+// the run now, and stores their ranking in rankings for the rest of the pass.
 func (m *Manager) chooseOrder(r *run, rankings map[kind]*ranking, now time.Time) {
-	at, ok := r.next(waiting, 0, now)
+	pos, ok := r.next(waiting, 0, now)
 	if !ok {
 		return
 	}
-	if n, routed := r.needOf(r.order[at]); routed {
+	if n, routed := r.needOf(r.order[pos]); routed {
 		engines := newRanking(m.pool(n.service, now), n, now)
 		rankings[n.kind()] = engines
 		r.order = r.orders.with(slotsFor(engines.pool.engines, n, now))
 	}
 }
 
-// tooLate reports whether the items of a step may be given up.
+// tooLate reports whether the time after which the items of a step may be abandoned has
+// passed on the store's clock. It is false while the clock is unknown.
 func (m *Manager) tooLate(r *run) bool {
 	now, ok := m.Clock.StoreNow()
 	return ok && r.rec.GiveUp > 0 && now > r.rec.SubmittedAt+r.rec.GiveUp.Milliseconds()
 }
 
-// giveUp lists an item that waits in a phase as abandoned.
+// giveUp abandons an item if it is in the phase from. routed is false when no route leads
+// to a service for the item any more.
 func (r *run) giveUp(i int, from phase, routed bool) {
 	if !r.begin(i, from, running) {
 		return
@@ -104,6 +109,7 @@
 	r.abandon(i, reason)
 }
 
+// abandon finishes an item without a text.
 func (r *run) abandon(i int, reason string) {
 	r.m.Events.Emit(event.ItemAbandoned, event.Subject{Step: r.rec.ID, Slot: r.items[i].ID, Account: r.rec.Account, Detail: reason})
 	r.finish(i, Result{Item: r.items[i].ID, Outcome: Abandoned})
--- a/internal/step/item.go
+++ b/internal/step/item.go
@@ -19,59 +19,68 @@
 )
 
 const (
-	// refusedRest keeps a model's items off an engine that refused one: it is full
-	// or loads new weights.
+	// refusedRest is how long items of a model avoid an engine that refused one of them:
+	// the engine is full or loads new weights.
 	refusedRest = 120 * time.Millisecond
-	// failedPause is the pause before an item that failed is tried again. It doubles
-	// with each run in a row that broke off without a new event, up to longestPause:
-	// a VM that is cut off from all engines would do little else than try.
+	// failedPause is the backoff before the next attempt at an item that failed. It
+	// doubles with each consecutive attempt that was interrupted without a new event, up
+	// to longestPause. Without the doubling a VM that is cut off from all engines would
+	// spend most of its time on retries.
 	failedPause  = 40 * time.Millisecond
 	longestPause = 640 * time.Millisecond
 )
 
-// ended says why a run of an item ended.
+// ended is the outcome of one attempt at an item.
 type ended int
 
 const (
+	// whole: the engine sent the text up to its end.
 	whole ended = iota
+	// broken: the attempt got no complete, valid answer.
 	broken
+	// refused: the item was not run.
 	refused
+	// failed: the engine reported that the item failed.
 	failed
+	// impossible: the engine reported that the item can't be generated.
 	impossible
+	// moved: this VM canceled the attempt to continue the item at another engine.
 	moved
+	// stale: the engine's weight version is older than the step allows.
 	stale
 )
 
-// errMoved ends a run of an item that goes on elsewhere.
-var errMoved = errors.New("the item goes on at another engine")
+// errMoved is the cancellation cause of an attempt whose item moves to another engine.
+var errMoved = errors.New("item moved to another engine")
 
-// runItem runs an item at an engine once, and decides how it goes on.
+// runItem makes one attempt at an item at an engine and handles its outcome.
 func (r *run) runItem(i int, n need, entry *target.Entry) {
 	defer entry.End()
 	ctx, cancel := context.WithCancelCause(r.itemCtx)
 	defer cancel(nil)
 	a := &itemRun{run: r, index: i, need: n, entry: entry, cancel: cancel}
-	why := a.generate(ctx)
+	outcome := a.generate(ctx)
 	if r.itemCtx.Err() != nil {
 		return
 	}
 	if errors.Is(context.Cause(ctx), errMoved) {
-		why = moved
+		outcome = moved
 	}
-	r.settle(i, n, entry, why)
+	r.settle(i, n, entry, outcome)
 }
 
-// settle takes the outcome of one run of an item.
-func (r *run) settle(i int, n need, entry *target.Entry, why ended) {
+// settle handles the outcome of one attempt at an item: it finishes the item or queues the
+// next attempt.
+func (r *run) settle(i int, n need, entry *target.Entry, outcome ended) {
 	now := time.Now()
 	read := r.text(i)
-	if why != whole {
+	if outcome != whole {
 		r.m.Events.Emit(event.AttemptFailed, event.Subject{
 			Step: r.rec.ID, Slot: r.items[i].ID, Account: r.rec.Account, Upstream: entry.Info().ID,
-			Detail: why.String() + " after event " + strconv.FormatInt(read.last, 10),
+			Detail: outcome.String() + " after event " + strconv.FormatInt(read.last, 10),
 		})
 	}
-	switch why {
+	switch outcome {
 	case whole:
 		entry.Succeeded()
 		r.noteMaker(i, entry.Info().ID)
@@ -101,26 +110,29 @@
 	}
 }
 
-// pauseAfterBreak returns how long an item waits after a run that broke off, given
-// the text that was read of it so far.
-func (r *run) pauseAfterBreak(i int, read partial) time.Duration {
+// pauseAfterBreak returns the backoff of an item after an interrupted attempt. text is
+// what has been read of the item so far; the backoff restarts at failedPause when it has
+// grown.
+func (r *run) pauseAfterBreak(i int, text partial) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := &r.progress[i]
-	if read.last > p.readBefore {
-		p.readBefore, p.breaks = read.last, 0
+	if text.last > p.readBefore {
+		p.readBefore, p.breaks = text.last, 0
 	}
-	pause := min(failedPause<<min(p.breaks, 8), longestPause)
+	backoff := min(failedPause<<min(p.breaks, 8), longestPause)
 	p.breaks++
-	return pause
+	return backoff
 }
 
+// String returns the outcome as it stands in events and metrics.
 func (e ended) String() string {
 	return [...]string{"whole", "broke off", "refused unrun", "failed", "impossible", "moved", "too old weights"}[e]
 }
 
-// complete takes a whole text, unless its versions don't fit the step: it is listed at
-// once, or as soon as it is scored.
+// complete handles an item whose text is complete. A text whose weight versions the step
+// doesn't allow is discarded and the item is retried. Other texts are queued for commit,
+// at once or after they are scored.
 func (r *run) complete(i int) {
 	text := r.text(i)
 	if !fits(text.versions, r.rec.Spec) {
@@ -136,13 +148,14 @@
 	r.listText(i, "")
 }
 
-// listText finishes an item with its whole text and its score.
+// listText finishes an item with its complete text and its score.
 func (r *run) listText(i int, score string) {
 	text := r.text(i)
 	r.finish(i, Result{Item: r.items[i].ID, Outcome: Completed, Versions: text.versions, Text: joined(text.data), Score: score})
 }
 
-// fits reports whether a text of these versions may be listed.
+// fits reports whether the step allows a complete text that was made by these weight
+// versions.
 func fits(versions []int64, spec Spec) bool {
 	if spec.SingleVersion && len(versions) != 1 {
 		return false
@@ -150,31 +163,34 @@
 	return len(versions) == 0 && spec.MinVersion == 0 || len(versions) > 0 && slices.Min(versions) >= spec.MinVersion
 }
 
+// joined joins the data of events, one event per line.
 func joined(data [][]byte) string {
-	var text strings.Builder
+	var b strings.Builder
 	for i, part := range data {
 		if i > 0 {
-			text.WriteByte('\n')
+			b.WriteByte('\n')
 		}
-		text.Write(part)
+		b.Write(part)
 	}
-	return text.String()
+	return b.String()
 }
 
-// itemRun is one run of an item at one engine.
+// itemRun is one attempt at an item, at one engine.
 type itemRun struct {
 	run    *run
 	index  int
 	need   need
 	entry  *target.Entry
 	cancel context.CancelCauseFunc
-	stall  *time.Timer
-	over   atomic.Bool
-	// began is when the run began.
+	// stall fires when no event arrived in time.
+	stall *time.Timer
+	// over is true once the attempt has ended.
+	over atomic.Bool
+	// began is when the attempt started.
 	began time.Time
 }
 
-// generate reads the item's stream to its end.
+// generate sends the item to the engine and reads its stream to the end.
 func (a *itemRun) generate(ctx context.Context) ended {
 	a.began = time.Now()
 	a.stall = time.AfterFunc(firstStall, a.stalled)
@@ -190,8 +206,8 @@
 		return broken
 	}
 	defer func() { _ = response.Body.Close() }()
-	if why, bad := judge(response); bad {
-		return why
+	if outcome, bad := judge(response); bad {
+		return outcome
 	}
 	if response.Version > 0 {
 		a.entry.NoteVersion(a.need.model, response.Version)
@@ -202,8 +218,9 @@
 	return a.read(response)
 }
 
-// judge reads the header of an answer.
-func judge(response *target.Response) (why ended, bad bool) {
+// judge classifies a response by its status. bad is true when the attempt ends with
+// outcome; otherwise the body is the item's stream.
+func judge(response *target.Response) (outcome ended, bad bool) {
 	switch {
 	case response.NotRun:
 		return refused, true
@@ -217,6 +234,8 @@
 	return whole, false
 }
 
+// request returns the request for the item. It asks the engine to resume after the last
+// event that was read.
 func (a *itemRun) request() *target.Request {
 	item, rec := a.run.items[a.index], &a.run.rec
 	header := make(http.Header, len(item.Header))
@@ -233,8 +252,9 @@
 	return request
 }
 
-// read takes the events of a stream into the item's text. Each event must be the
-// next one, whatever the engine sends: a text with a hole looks like any other.
+// read appends the events of a stream to the item's text. An event whose ID is not the
+// successor of the last one ends the attempt: a text with a missing event could not be
+// distinguished from a complete one later.
 func (a *itemRun) read(response *target.Response) ended {
 	text := a.run.text(a.index)
 	version := response.Version
--- a/internal/step/list.go
+++ b/internal/step/list.go
@@ -12,15 +12,17 @@
 )
 
 const (
-	// groupTime is how long finished results are gathered before they are
-	// committed together: short against a trainer's reads, and long enough that a
-	// step does not use up its partition's commits.
+	// groupTime is how long finished results are collected before they are committed
+	// together. It is short compared with the interval of a trainer's reads, and long
+	// enough that one step does not exhaust the commit rate of its partition.
 	groupTime = 60 * time.Millisecond
-	// groupBytes commits earlier when that much has gathered.
+	// groupBytes is the size of collected texts from which on a commit doesn't wait for
+	// groupTime.
 	groupBytes = 200 << 10
 )
 
-// commitLoop lists finished results in groups until the run ends.
+// commitLoop commits finished results in batches, from the acceptance of the step until
+// the run ends.
 func (r *run) commitLoop() {
 	select {
 	case <-r.ctx.Done():
@@ -42,9 +44,9 @@
 	}
 }
 
-// listOnce lists one group of what is finished, and reports whether more is. What
-// finishes meanwhile waits for the next group: listed one by one as the store answers,
-// results would cost a commit each.
+// listOnce commits one batch of finished results and reports whether more are queued.
+// Results that finish during the commit are left for the next batch, since committing each
+// as soon as the store answers would cost one transaction per result.
 func (r *run) listOnce(ctx context.Context) (more bool) {
 	r.commit.Lock()
 	defer r.commit.Unlock()
@@ -55,13 +57,14 @@
 	return r.waiting() > 0
 }
 
-// waiting returns how many results are finished and not listed.
+// waiting returns the number of results that are finished but not committed.
 func (r *run) waiting() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.queue)
 }
 
+// signalMore notifies commitLoop of finished results.
 func (r *run) signalMore() {
 	select {
 	case r.more <- struct{}{}:
@@ -69,13 +72,14 @@
 	}
 }
 
+// full reports whether the queued results are worth a commit before groupTime has passed.
 func (r *run) full() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.queued >= groupBytes
 }
 
-// flush lists everything that is finished.
+// flush commits all finished results, until a commit fails or ctx ends.
 func (r *run) flush(ctx context.Context) {
 	more := true
 	for more && ctx.Err() == nil {
@@ -83,8 +87,8 @@
 	}
 }
 
-// take returns the results to list next and their first position. They stay in
-// the queue until they are listed.
+// take returns the next results to commit and the position of the first. They stay in the
+// queue until they are committed.
 func (r *run) take() ([]Result, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +101,9 @@
 	return append([]Result(nil), r.queue[:n]...), len(r.listed)
 }
 
-// list commits results at a position and reports whether they stand there.
+// list commits results at a position and reports whether another batch may follow: after a
+// commit, or, once loadPause has passed, after a failure to store a text that is too large
+// for a row.
 func (r *run) list(ctx context.Context, batch []Result, position int) bool {
 	rec := r.current()
 	puts, err := listing(ctx, r.m.Store, rec.ID, position, batch)
@@ -127,8 +133,8 @@
 	return true
 }
 
-// overtaken stops the run after the store refused its results: another VM owns
-// the step by now, or it has ended.
+// overtaken stops the run after the store rejected its results because the state row has
+// changed: another VM owns the step now, or the step has ended.
 func (r *run) overtaken(conflict *kept.Conflict) {
 	rec := r.current()
 	r.m.Events.Emit(event.StepLost, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
@@ -138,6 +144,7 @@
 	r.m.stop(r)
 }
 
+// noteListed moves committed results from queue to listed and notifies readers.
 func (r *run) noteListed(batch []Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +160,8 @@
 	}
 }
 
-// resultsFrom returns the listed results from a position on, and a channel that
-// closes when there are more.
+// resultsFrom returns the committed results from a position on, and a channel that is
+// closed when more are committed.
 func (r *run) resultsFrom(position int) ([]Result, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/step/move.go
+++ b/internal/step/move.go
@@ -7,33 +7,34 @@
 )
 
 const (
-	// firstStall and nextStall are the silences before the first and between later
-	// events after which an item goes on at another engine that has room.
+	// firstStall and nextStall are the longest times without an event, before the first
+	// event and between later ones. An item that exceeds them moves to another engine with
+	// a free slot.
 	firstStall = 700 * time.Millisecond
 	nextStall  = 500 * time.Millisecond
-	// stallAgain is the pause until the next look when no other engine has room.
+	// stallAgain is the interval at which a stalled item checks again for another engine
+	// with a free slot.
 	stallAgain = 200 * time.Millisecond
-	// slowEvents is after how many events an item's pace is judged, and again
-	// after each further such number.
+	// slowEvents is the number of events between two checks of an attempt's speed.
 	slowEvents = 4
-	// moveFrom is how many times slower than the median engine an engine must be
-	// for its items to move. The prompt is read again there, and a slot taken.
+	// moveFrom is how many times slower than the median engine an engine must be for its
+	// items to move. A move costs another engine a slot and a second read of the prompt.
 	moveFrom = 1.8
-	// idleMoveFrom is how many times slower than an engine with a free slot an engine
-	// must be for its items to move there when no item of the step waits for a slot.
-	// The step ends with its longest items; those on slow engines decide when.
+	// idleMoveFrom is how many times slower than an engine with a free slot an engine must
+	// be for its items to move there when no item of the step is pending. The longest items
+	// finish last, and those at slow engines decide when the step is complete.
 	idleMoveFrom = 1.2
-	// maxMoves bounds the moves of one item.
+	// maxMoves is the largest number of moves of one item.
 	maxMoves = 4
 )
 
-// pacer measures the time between events.
+// pacer measures the average time between events.
 type pacer struct {
 	started time.Time
 	events  int
 }
 
-// event counts an event and reports whether it is time to judge the pace.
+// event counts an event and reports whether the speed is to be checked now.
 func (p *pacer) event() bool {
 	p.events++
 	return p.events%slowEvents == 0
@@ -43,8 +44,9 @@
 	return now.Sub(p.started) / time.Duration(p.events)
 }
 
-// judgePace moves the item to another engine with room when its own is much slower than
-// the others, or somewhat slower than one that nothing else of the step waits for.
+// judgePace moves the item to another engine with a free slot when its own engine is much
+// slower than the median, or, while no item of the step is pending, slower than the other
+// engine by idleMoveFrom.
 func (a *itemRun) judgePace(pace *pacer) {
 	now := time.Now()
 	average := pace.average(now)
@@ -54,7 +56,8 @@
 	if a.run.moves(a.index) >= maxMoves {
 		return
 	}
-	// The look at all engines comes last: most paces are fine, and most items wait.
+	// Placement considers all engines, so the cheap checks come first: most engines are
+	// fast enough, and most of the time items are pending.
 	limit := moveFrom * float64(target.MedianSpeed(engines, now))
 	slow := limit > 0 && float64(average) >= limit
 	idle := !a.run.anyWaiting()
@@ -70,15 +73,15 @@
 	}
 }
 
-// movesToFaster reports whether another engine is known to be enough faster that an
-// item gains by a move as long as no other item wants the slot.
+// movesToFaster reports whether another engine is known to be faster by idleMoveFrom, so
+// that an item with this time per event gains by a move if no other item needs the slot.
 func movesToFaster(pace time.Duration, other *target.Entry, now time.Time) bool {
 	p := other.Pace(now)
 	return p > 0 && float64(pace) >= idleMoveFrom*float64(p)
 }
 
-// stalled moves the item off an engine that has fallen silent, where another has
-// room.
+// stalled moves the item away from an unresponsive engine if another engine has a free
+// slot, and otherwise checks again after stallAgain.
 func (a *itemRun) stalled() {
 	if a.over.Load() {
 		return
--- a/internal/step/order.go
+++ b/internal/step/order.go
@@ -6,21 +6,23 @@
 	"sort"
 )
 
-// orders are the two orders in which the items of a step may start. Groups that come
-// again come first in both: their trainer waits for them whatever else is whole.
+// orders holds the two orders in which the items of a step may start. Both start with the
+// groups that have restored texts, usually because an earlier step left them incomplete and
+// the trainer submitted them again. It needs these however many other groups are complete.
 type orders struct {
-	// byLength starts the longest items first. A step is as late as its longest needed
-	// item, most groups are needed, and a long item that waits for the short ones of
-	// other groups is late by its wait.
+	// byLength starts the longest items first. A step takes as long as its longest needed
+	// item, and most groups are needed. A long item that is queued behind short items of
+	// other groups delays the step by its time in the queue.
 	byLength []int
-	// byGroup starts group after group, those with the longest item first. It makes
-	// some groups whole early when the slots don't suffice for all.
+	// byGroup starts group after group, the groups with the longest items first. It
+	// completes some groups early when there are too few slots for all.
 	byGroup []int
-	// work and longest are the expected work of all items and of the longest one, in
+	// work is the expected work of all items and longest that of the longest one, in
 	// tokens.
 	work, longest float64
 }
 
+// newOrders returns the orders of items; first names the groups that come first in both.
 func newOrders(items []Item, first map[string]bool) orders {
 	o := orders{byGroup: order(items, first), work: work(items)}
 	for _, item := range items {
@@ -37,7 +39,8 @@
 	return o
 }
 
-// carriedFirst compares two items of which one is of a carried group.
+// carriedFirst compares two items of which exactly one is in a group that comes first;
+// isFirst says whether it is the first of the two.
 func carriedFirst(isFirst bool) int {
 	if isFirst {
 		return -1
@@ -45,9 +48,9 @@
 	return 1
 }
 
-// with returns the order for a number of slots. As long as these work everything off
-// in the time of the longest item, nothing but the longest items can make the step
-// late; with fewer it is not whole in time, and whole groups are what counts.
+// with returns the order for a number of slots. If the slots can finish all items in the
+// time of the longest one, only the longest items can delay the step, and byLength is
+// best. With fewer slots the step is not complete in time, and complete groups count.
 func (o *orders) with(slots int) []int {
 	if o.work <= o.longest*float64(slots) {
 		return o.byLength
@@ -55,8 +58,8 @@
 	return o.byGroup
 }
 
-// order returns the items of a step group after group. Groups in first come first,
-// then the groups with the longest expected item.
+// order returns the indexes of the items group after group. Groups in first come first;
+// within both parts the groups are sorted by their longest expected item, longest first.
 func order(items []Item, first map[string]bool) []int {
 	groups := groupsOf(items)
 	sort.SliceStable(groups, func(i, j int) bool {
@@ -73,13 +76,14 @@
 	return out
 }
 
-// group is the items that share a prompt and count only together.
+// group is the items that share a prompt. A trainer can use them only together.
 type group struct {
 	name    string
 	items   []int
 	longest float64
 }
 
+// groupsOf returns the groups of items in the order of their first item.
 func groupsOf(items []Item) []*group {
 	index := make(map[string]*group)
 	var groups []*group
--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -7,21 +7,21 @@
 	"dogwoodpond/internal/target"
 )
 
-// need is what an item asks of an engine.
+// need is what an item requires of an engine.
 type need struct {
 	service string
 	model   string
-	// minVersion is the oldest version of the weights that may be used.
+	// minVersion is the oldest weight version that may be used.
 	minVersion int64
 	// domain is the failure domain of this VM.
 	domain string
 	// residency limits the failure domains of the engines.
 	residency route.Residency
-	// route is the one that leads to the service.
+	// route is the route that led to the service.
 	route *route.Route
 }
 
-// kind names what needs of one step may differ in.
+// kind identifies a need among the needs of one step, which differ in nothing else.
 type kind struct {
 	service string
 	route   *route.Route
@@ -29,35 +29,38 @@
 
 func (n need) kind() kind { return kind{n.service, n.route} }
 
-// Weights of placing, in parts of an engine's slots. The load is bursts of items that
-// fill most slots at once, and each taken slot makes the others a little slower. So
-// items spread out over engines of one pace. The paces of engines differ by much more
-// than that, and a step ends with its longest items, which start first: these go to the
-// fastest engines, and slow ones get what finds no room elsewhere.
+// Placement costs, as fractions of an engine's slots. Items arrive in bursts that fill most
+// slots at once, and each occupied slot slows the others of its engine a little. Items
+// therefore spread over engines of equal speed. Engines differ in speed by much more than
+// that, and a step is complete when its longest items are, which start first. They go to
+// the fastest engines; slow engines get the items for which no other engine has a slot.
 const (
-	// placePaceCost is the cost of an engine that takes twice as long as the median.
+	// placePaceCost is the cost of an engine that takes twice as long per event as the
+	// median engine.
 	placePaceCost = 5.0
-	// mostSlow bounds how far behind the median an engine counts: one that is only
-	// remembered as very slow must be tried again when the others are full.
+	// mostSlow is the largest slowdown relative to the median that counts. An engine whose
+	// last known speed is very low must still be tried when the others are full.
 	mostSlow = 1.0
-	// otherDomainCost prefers near engines between equals: results are the bulk
-	// of the bytes between failure domains.
+	// otherDomainCost prefers engines in this VM's failure domain among equals: results are
+	// most of the traffic between failure domains.
 	otherDomainCost = 0.04
-	suspectCost     = 16.0
-	// coldCost is the load of a full engine: those that warm up come after all that have a
-	// slot, and still before slow ones.
+	// suspectCost places items at engines that failed recently only when no other engine
+	// has a free slot.
+	suspectCost = 16.0
+	// coldCost equals the load of a full engine: engines that are warming up come after
+	// all warm ones with a free slot, and still before slow ones.
 	coldCost = 1.0
-	// othersCost keeps items off engines that the owner of another step fills at the same
-	// moment as long as an own one has a slot.
+	// othersCost keeps items away from engines that the owner of another step is filling
+	// at the same time, as long as an engine for which this VM ranks first has a free slot.
 	othersCost = 2.0
-	// othersUnseen is how many items may be at such an engine as long as it has not told
-	// its load: its answer tells.
+	// othersUnseen is the largest number of this VM's items at such an engine while its
+	// load is unknown. The engine reports its load with its answer to them.
 	othersUnseen = 1
 )
 
-// place returns the engine that one item should run at, or nil when none has room:
-// the engine's own queue is first in, first out and knows no deadlines, so that
-// waiting there is worse than waiting here.
+// place returns the engine for one item, other than avoid, or nil when none has a free
+// slot. Items are never queued at an engine: its queue is first in, first out and ignores
+// deadlines, so an item is better off in the queue of this VM.
 func place(p pool, n need, avoid *target.Entry, now time.Time) *target.Entry {
 	median := target.MedianPace(p.engines, now)
 	var best *target.Entry
@@ -73,8 +76,8 @@
 	return best
 }
 
-// cost returns the cost of running an item at an engine of the pool; ok is false when it
-// has no room.
+// cost returns the cost of placing an item at an engine of the pool; ok is false when the
+// engine can't serve the item or has no free slot for it.
 func (p pool) cost(e *target.Entry, n need, median time.Duration, now time.Time) (cost float64, ok bool) {
 	if !serves(e, n, now) || e.Free(now) <= 0 || !e.Admits(now) {
 		return 0, false
@@ -88,7 +91,8 @@
 	return placeCost(e, n, median, now) + othersCost, true
 }
 
-// serves reports whether an engine may run items of the model now.
+// serves reports whether an engine may run items with this need now: its failure domain is
+// allowed, its weight version is not too old, and it is not loading another one.
 func serves(e *target.Entry, n need, now time.Time) bool {
 	if !n.residency.Allows(e.Info().FailureDomain) {
 		return false
@@ -99,6 +103,7 @@
 	return e.Version(n.model) >= n.minVersion && !e.Swapping(n.model, now)
 }
 
+// placeCost returns the cost of placing an item at an engine that can serve it.
 func placeCost(e *target.Entry, n need, median time.Duration, now time.Time) float64 {
 	cost := float64(e.Slots()-e.Free(now)) / float64(e.Slots())
 	if e.Info().FailureDomain != n.domain {
@@ -116,7 +121,7 @@
 	return cost
 }
 
-// slotsFor returns how many items of a need the engines run at once.
+// slotsFor returns how many items with this need the engines can run at once.
 func slotsFor(engines []*target.Entry, n need, now time.Time) int {
 	slots := 0
 	for _, e := range engines {
--- a/internal/step/ranking.go
+++ b/internal/step/ranking.go
@@ -7,9 +7,9 @@
 	"dogwoodpond/internal/target"
 )
 
-// ranking orders the engines of a pool for the items of one need, as one pass over the
-// items sees them. The load is a step of hundreds of items that start at the same moment:
-// each of them takes a look at one or two engines, not at all.
+// ranking orders the engines of a pool by placement cost for items with one need, for the
+// time of one pass over the items. Hundreds of items of a step start at the same moment;
+// with the ranking each placement considers one or two engines instead of all.
 type ranking struct {
 	pool   pool
 	need   need
@@ -18,6 +18,7 @@
 	order  byCost
 }
 
+// newRanking returns the ranking of the pool's engines that have a free slot at now.
 func newRanking(p pool, n need, now time.Time) *ranking {
 	r := &ranking{pool: p, need: n, now: now, median: target.MedianPace(p.engines, now)}
 	for i, e := range p.engines {
@@ -29,8 +30,9 @@
 	return r
 }
 
-// best returns the engine that the next item should run at, or nil when none has room.
-// What was begun since the last call made engines dearer, and none cheaper.
+// best returns the engine for the next item, or nil when none has a free slot. Only the
+// cost of the first engine is computed again: attempts that began since the last call can
+// have raised costs, but not lowered any.
 func (r *ranking) best() *target.Entry {
 	for len(r.order) > 0 {
 		first := &r.order[0]
@@ -48,15 +50,15 @@
 	return nil
 }
 
-// candidate is an engine with the cost of running an item there, and its place in the pool.
+// candidate is an engine with its placement cost and its index in the pool.
 type candidate struct {
 	entry *target.Entry
 	cost  float64
 	at    int
 }
 
-// byCost is a heap of candidates, the cheapest first, and of equal ones the first in the
-// pool.
+// byCost is a heap of candidates with the lowest cost first; equal costs are in the order
+// of the pool.
 type byCost []candidate
 
 // Len implements heap.Interface.
--- a/internal/step/run.go
+++ b/internal/step/run.go
@@ -11,78 +11,93 @@
 	"dogwoodpond/internal/target"
 )
 
-// phase is what an item of a run is doing.
+// phase is the state of an item in a run.
 type phase int
 
 const (
+	// waiting items are pending: they need an attempt at an engine.
 	waiting phase = iota
+	// running items have an attempt in progress.
 	running
-	// unscored items have their whole text and wait for a call for its score.
+	// unscored items have a complete text that still needs a score call.
 	unscored
+	// beingScored items have a score call in progress.
 	beingScored
+	// done items have a result, committed or queued for commit.
 	done
 )
 
-// progress is what a run knows of one item.
+// progress is the state of one item in a run.
 type progress struct {
 	phase phase
-	// notBefore delays the next try.
+	// notBefore is the time before which no attempt or score call may start.
 	notBefore time.Time
-	// failures counts the answers that say that the item failed.
+	// failures counts the answers that reported the item as failed.
 	failures int
-	// savedFailures is the count of all failures, those of scoring among them, that was
-	// saved last.
+	// savedFailures is the number of failures, including those of score calls, that was
+	// last saved.
 	savedFailures int
-	moves         int
-	// breaks counts the runs in a row that broke off without a new event, and
-	// readBefore is the last event before them.
+	// moves counts the attempts that were canceled to move the item to another engine.
+	moves int
+	// breaks counts the consecutive interrupted attempts without a new event; readBefore
+	// is the last event before them.
 	breaks     int
 	readBefore int64
-	partial    partial
-	// tries are those to score the whole text, which was read at wholeAt.
+	// partial is the text as far as it has been read.
+	partial partial
+	// tries are the attempts to score the text, which was complete at wholeAt.
 	tries   scoring.Tries
 	wholeAt time.Time
-	// madeBy is the upstream that made the last event of the text; empty when another
-	// owner read it.
+	// madeBy is the upstream that sent the last event of the text; empty when a previous
+	// owner read that event.
 	madeBy string
 }
 
-// run is a step in the hands of its owner.
+// run is the execution of a step by its owner.
 type run struct {
 	m *Manager
-	// rec is the state at the start; an early run may be accepted with another one of the
-	// same step.
+	// rec is the state of the step when the run started. An early run may be accepted
+	// under another state of the same step.
 	rec   record
 	items []Item
-	// orders are those in which the items may start; order is the one in force, which
-	// only the dispatcher changes once the run has begun.
+	// orders are the possible orders in which items start; order is the current one, which
+	// only the dispatcher changes once the run has started.
 	orders orders
 	order  []int
+	// ctx ends with the run.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// itemCtx ends before ctx when the step is handed over.
+	// itemCtx bounds attempts and score calls. It ends before ctx when the step is handed
+	// over.
 	itemCtx   context.Context
 	stopItems context.CancelFunc
-	due       int64
+	// due is when the step should be complete, in milliseconds of the store's clock.
+	due int64
 
-	// early is set while the step's acceptance is open.
+	// early is set for a run that started before the step was accepted.
 	early *earlyRun
-	// acceptedAs is the row of the store under which results may be listed, nil until the
-	// step stands there; then isAccepted is closed.
+	// acceptedAs is the state row under which results may be committed, nil until the step
+	// is in the store. isAccepted is closed when it is set.
 	acceptedAs atomic.Pointer[record]
 	isAccepted chan struct{}
 
+	// mu guards the fields down to changed.
 	mu       sync.Mutex
 	progress []progress
-	queue    []Result
-	queued   int
-	listed   []Result
-	// changed is closed when results were listed.
+	// queue holds the finished results that are not committed, queued the size of their
+	// texts in bytes, and listed the committed ones.
+	queue  []Result
+	queued int
+	listed []Result
+	// changed is closed and replaced when results have been committed.
 	changed chan struct{}
-	more    chan struct{}
-	commit  sync.Mutex
+	// more signals that queue may have results to commit.
+	more chan struct{}
+	// commit is held during a commit of results.
+	commit sync.Mutex
 }
 
+// newRun returns a run of a step; the items with a result in listed are done.
 func newRun(m *Manager, rec record, items []Item, listed []Result) *run {
 	r := &run{
 		m:        m,
@@ -112,8 +127,8 @@
 	return r
 }
 
-// resume takes texts that were read before, by this VM or another, so far as they
-// fit the step. It must be called before items start.
+// resume restores texts that this or another VM read earlier, if the step allows their
+// weight versions. It must be called before items start.
 func (r *run) resume(texts map[string]savedText) {
 	if len(texts) == 0 {
 		return
@@ -141,15 +156,17 @@
 	r.order = r.orders.byLength
 }
 
-// accept notes the row under which results may be listed.
+// accept sets the state row under which results may be committed.
 func (r *run) accept(rec record) {
 	r.acceptedAs.Store(&rec)
 	close(r.isAccepted)
 }
 
+// accepted reports whether results may be committed.
 func (r *run) accepted() bool { return r.acceptedAs.Load() != nil }
 
-// current returns the state under which the run lists results.
+// current returns the state under which the run commits results, or, until it is accepted,
+// the one it started with.
 func (r *run) current() record {
 	if rec := r.acceptedAs.Load(); rec != nil {
 		return *rec
@@ -157,9 +174,9 @@
 	return r.rec
 }
 
-// next returns the next item in a phase that may go on, in the step's order, behind a
-// position of that order; ok is false when there is none.
-func (r *run) next(in phase, from int, now time.Time) (at int, ok bool) {
+// next returns the position in the current order of the next item that is in a phase and
+// may start now, at or after the position from; ok is false when there is none.
+func (r *run) next(in phase, from int, now time.Time) (pos int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for ; from < len(r.order); from++ {
@@ -171,14 +188,15 @@
 	return 0, false
 }
 
-// anyWaiting reports whether an item waits for a slot.
+// anyWaiting reports whether an item is pending.
 func (r *run) anyWaiting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.ContainsFunc(r.progress, func(p progress) bool { return p.phase == waiting })
 }
 
-// begin moves an item from one phase to the next; false when it is not in the first.
+// begin moves an item from one phase to another. It returns false when the item is not in
+// the phase from or the run may start nothing more.
 func (r *run) begin(i int, from, to phase) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,36 +207,37 @@
 	return true
 }
 
-// again puts an item back, to be tried after a pause.
-func (r *run) again(i int, pause time.Duration) { r.putBack(i, waiting, pause) }
+// again makes an item pending again, for an attempt after a backoff.
+func (r *run) again(i int, backoff time.Duration) { r.putBack(i, waiting, backoff) }
 
-// putBack puts an item into a phase in which it is tried after a pause, unless its result
-// is listed.
-func (r *run) putBack(i int, into phase, pause time.Duration) {
+// putBack puts an item into a phase from which it is retried after a backoff, unless it is
+// done.
+func (r *run) putBack(i int, into phase, backoff time.Duration) {
 	r.mu.Lock()
 	if p := &r.progress[i]; p.phase != done {
 		p.phase = into
-		p.notBefore = time.Now().Add(pause)
+		p.notBefore = time.Now().Add(backoff)
 	}
 	r.mu.Unlock()
 	r.m.poke()
 }
 
-// undone returns which part of the items' texts is still to be made, between 0 and 1.
+// undone estimates which part of the items' texts is still to be generated, between 0
+// and 1.
 func (r *run) undone() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	open := 0.0
+	left := 0.0
 	for i := range r.progress {
 		if phase := r.progress[i].phase; phase == waiting || phase == running {
-			open += unread(r.progress[i].partial.last, r.items[i].Expected)
+			left += unread(r.progress[i].partial.last, r.items[i].Expected)
 		}
 	}
-	return open / float64(max(len(r.items), 1))
+	return left / float64(max(len(r.items), 1))
 }
 
-// unread estimates which part of a text is still to be read after a number of its events.
-// Without an expected length it only falls with each event.
+// unread estimates which part of a text remains after a number of its events. When the
+// expected length is unknown, the estimate only falls with each event.
 func unread(events int64, expected float64) float64 {
 	if expected <= 0 {
 		return 1 / (1 + float64(events))
@@ -226,26 +245,26 @@
 	return max(0, 1-float64(events)/expected)
 }
 
-// adopt takes the results that another owner has listed, before the run is accepted, and
-// returns how many there are.
+// adopt reads the results that the previous owner committed, marks their items as done, and
+// returns the number of those results. It must be called before the run is accepted.
 func (r *run) adopt(ctx context.Context, m *Manager) (int, error) {
 	listed, err := readAllResults(ctx, m.Store, r.rec.ID)
 	if err != nil {
 		return 0, err
 	}
-	theirs := make(map[string]bool, len(listed))
+	committed := make(map[string]bool, len(listed))
 	for _, result := range listed {
-		theirs[result.Item] = true
+		committed[result.Item] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listed = listed
 	for i, item := range r.items {
-		if theirs[item.ID] {
+		if committed[item.ID] {
 			r.progress[i].phase = done
 		}
 	}
-	r.queue = slices.DeleteFunc(r.queue, func(result Result) bool { return theirs[result.Item] })
+	r.queue = slices.DeleteFunc(r.queue, func(result Result) bool { return committed[result.Item] })
 	r.queued = 0
 	for _, result := range r.queue {
 		r.queued += len(result.Text)
@@ -253,22 +272,22 @@
 	return len(listed), nil
 }
 
-// text returns the text of an item as far as it was read.
+// text returns the text of an item as far as it has been read.
 func (r *run) text(i int) partial {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.progress[i].partial
 }
 
-// keepText replaces the text of an item as far as it was read.
+// keepText replaces the text of an item.
 func (r *run) keepText(i int, text partial) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.progress[i].partial = text
 }
 
-// countFailure counts an answer that says that an item failed, and returns how many
-// there were.
+// countFailure counts an answer that reported an item as failed, and returns the number of
+// such answers so far.
 func (r *run) countFailure(i int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -276,28 +295,29 @@
 	return r.progress[i].failures
 }
 
-// noteMaker notes the upstream that made the last event of an item's text.
+// noteMaker records the upstream that sent the last event of an item's text.
 func (r *run) noteMaker(i int, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.progress[i].madeBy = upstream
 }
 
-// countMove counts a run of an item that was ended so that it goes on elsewhere.
+// countMove counts an attempt that was canceled to move its item to another engine.
 func (r *run) countMove(i int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.progress[i].moves++
 }
 
-// moves returns how many runs of an item were ended so that it goes on elsewhere.
+// moves returns how many attempts at an item were canceled to move it to another engine.
 func (r *run) moves(i int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.progress[i].moves
 }
 
-// finish takes an item's result.
+// finish queues an item's result for commit. An item that is done already keeps its first
+// result.
 func (r *run) finish(i int, result Result) {
 	r.mu.Lock()
 	if r.progress[i].phase == done {
@@ -313,7 +333,8 @@
 	r.m.poke()
 }
 
-// saveLoop saves the texts of long items, for the case that this VM is lost.
+// saveLoop saves the texts of long items at intervals, so that another VM can resume them
+// if this one dies.
 func (r *run) saveLoop() {
 	ticker := time.NewTicker(saveEvery)
 	defer ticker.Stop()
@@ -339,8 +360,8 @@
 	return Item{}, false
 }
 
-// needOf tells what an item of the run asks of an engine. The configuration in
-// force decides on the service; ok is false when no route leads there any more.
+// needOf returns what an item of the run requires of an engine. The service follows from
+// the configuration in force; ok is false when that has no route for the item any more.
 func (r *run) needOf(i int) (n need, ok bool) {
 	snapshot := r.m.View.Load()
 	if snapshot == nil {
@@ -360,7 +381,7 @@
 	}, true
 }
 
-// engines returns the engines that may get work of a service.
+// engines returns the engines that may receive items of a service.
 func (m *Manager) engines(service string, now time.Time) []*target.Entry {
 	return m.Roster.Usable(service, now)
 }
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -10,18 +10,18 @@
 	"dogwoodpond/internal/scoring"
 )
 
-// scorePauses are the pauses between tries to score one text. The step waits for
-// nothing else by then, so the first is short.
+// scorePauses bounds the backoff between attempts to score one text. By then the item
+// needs nothing but its score, so the first backoff is short.
 var scorePauses = scoring.Pauses{First: failedPause, Longest: longestPause}
 
-// Scorer sends the calls that score texts. It is safe for concurrent use.
+// Scorer sends score calls for texts. It is safe for concurrent use.
 type Scorer interface {
-	// Score returns the score that the service of a route gave.
+	// Score returns the score that a service of the route returned.
 	Score(ctx context.Context, call scoring.Call, by *route.Route, residency route.Residency) (string, error)
 }
 
-// awaitScore keeps the whole text of an item until its score is known. The item is no
-// longer waiting to run: one that was would run again and stand at two positions.
+// awaitScore moves an item with a complete text to the phase in which it needs a score. The
+// item must not stay pending: it would be generated again and its result committed twice.
 func (r *run) awaitScore(i int) {
 	r.mu.Lock()
 	p := &r.progress[i]
@@ -32,13 +32,14 @@
 	r.m.poke()
 }
 
-// dispatchScores starts the calls of a run for which the services have room.
+// dispatchScores starts the score calls of a run for which the scoring services have free
+// slots, and abandons the items whose time has passed or whose routes were removed.
 func (m *Manager) dispatchScores(r *run) {
 	now := time.Now()
 	late := m.tooLate(r)
-	room := make(map[string]int)
-	for at, ok := r.next(unscored, 0, now); ok; at, ok = r.next(unscored, at+1, now) {
-		i := r.order[at]
+	free := make(map[string]int)
+	for pos, ok := r.next(unscored, 0, now); ok; pos, ok = r.next(unscored, pos+1, now) {
+		i := r.order[pos]
 		by, routed := r.scoreRoute(i)
 		if late || !routed {
 			r.giveUp(i, unscored, routed)
@@ -48,13 +49,13 @@
 			continue
 		}
 		service := by.Service(r.items[i].Score.ID)
-		if _, known := room[service]; !known {
-			room[service] = m.lanes.Room(service, m.Roster.Usable(service, now), now)
+		if _, known := free[service]; !known {
+			free[service] = m.lanes.Room(service, m.Roster.Usable(service, now), now)
 		}
-		if room[service] <= 0 || !r.begin(i, unscored, beingScored) {
+		if free[service] <= 0 || !r.begin(i, unscored, beingScored) {
 			continue
 		}
-		room[service]--
+		free[service]--
 		m.lanes.Begin(service)
 		m.loops.Go(func() {
 			defer m.lanes.End(service)
@@ -63,10 +64,10 @@
 	}
 }
 
-// scoreRoute returns the route of an item's call in the configuration in force, nil
-// while there is none: it may come back, and the text is kept so long. routed is false
-// when the item's own route is gone as well, so that nobody waits for the item any
-// more.
+// scoreRoute returns the route of an item's score call in the configuration in force, or
+// nil while there is none. The text is kept meanwhile, since the route may be restored.
+// routed is false when the item's own route was removed as well; nobody needs the item
+// then.
 func (r *run) scoreRoute(i int) (by *route.Route, routed bool) {
 	snapshot := r.m.View.Load()
 	if snapshot == nil {
@@ -80,7 +81,8 @@
 	return nil, routed
 }
 
-// score makes the call for an item once, and decides how it goes on.
+// score makes the score call of an item once. It finishes the item, abandons it, or queues
+// the next attempt.
 func (r *run) score(i int, by *route.Route) {
 	item := r.items[i]
 	score, err := r.m.Scorer.Score(r.itemCtx, *item.Score, by, r.m.residency(r.rec.Account, by))
@@ -89,33 +91,35 @@
 	}
 	subject := event.Subject{Step: r.rec.ID, Slot: item.ID, Account: r.rec.Account, Request: item.Score.ID}
 	if err == nil {
-		at, engine := r.wholeText(i)
-		subject.Count, subject.Upstream = time.Since(at).Milliseconds(), engine
+		completedAt, engine := r.wholeText(i)
+		subject.Count, subject.Upstream = time.Since(completedAt).Milliseconds(), engine
 		r.m.Events.Emit(event.SampleScored, subject)
 		r.listText(i, score)
 		return
 	}
-	tries, pause := r.countTry(i, err)
+	tries, backoff := r.countTry(i, err)
 	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(tries.Failures)
 	r.m.Events.Emit(event.ScoreFailed, subject)
 	if tries.Hopeless(max(by.Attempts, 1)) {
 		r.abandon(i, "its call for a score failed at every attempt")
 		return
 	}
-	r.putBack(i, unscored, pause)
+	r.putBack(i, unscored, backoff)
 }
 
-// wholeText returns when the text of an item was whole, and the upstream that made it.
-func (r *run) wholeText(i int) (at time.Time, by string) {
+// wholeText returns when the text of an item was complete, and the upstream that sent its
+// last event.
+func (r *run) wholeText(i int) (completedAt time.Time, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.progress[i].wholeAt, r.progress[i].madeBy
 }
 
-// countTry counts a failed try to score an item.
+// countTry counts a failed score call of an item. It returns the calls so far and the
+// backoff before the next one.
 func (r *run) countTry(i int, err error) (scoring.Tries, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pause := r.progress[i].tries.Failed(err)
-	return r.progress[i].tries, pause
+	backoff := r.progress[i].tries.Failed(err)
+	return r.progress[i].tries, backoff
 }
