--- a/internal/step/place_test.go
+++ b/internal/step/place_test.go
@@ -13,9 +13,9 @@
 	"dogwoodpond/internal/target"
 )
 
-// A step is as late as its longest needed item. Carried groups come first whatever
-// their length, then the longest.
-func TestOrderOfItems(t *testing.T) {
+// Groups with restored texts ("carried" here) start first whatever their length, then the groups
+// with the longest items: a step takes as long as its longest needed item.
+func TestOrderPutsRestoredGroupsFirst(t *testing.T) {
 	list := []Item{
 		{Group: "short", Expected: 3}, {Group: "long", Expected: 4}, {Group: "carried", Expected: 1},
 		{Group: "long", Expected: 90}, {Group: "short", Expected: 5},
@@ -25,16 +25,16 @@
 	}
 }
 
-// The slots work a step off in the time of its longest item. Then a long item must not
-// wait for the short ones of a group that is before its own.
-func TestOrderFollowsTheSlots(t *testing.T) {
+// If the slots can finish a step in the time of its longest item, a long item must not be
+// queued behind the short items of an earlier group.
+func TestOrderDependsOnSlots(t *testing.T) {
 	list := []Item{
 		{Group: "a", Expected: 90}, {Group: "a", Expected: 3}, {Group: "b", Expected: 4}, {Group: "b", Expected: 80},
 		{Group: "carried", Expected: 1},
 	}
 	o := newOrders(list, map[string]bool{"carried": true})
 	if got := o.with(2); !slices.Equal(got, []int{4, 0, 3, 2, 1}) {
-		t.Errorf("with slots enough the order is %v", got)
+		t.Errorf("with enough slots the order is %v", got)
 	}
 	if got := o.with(1); !slices.Equal(got, []int{4, 0, 1, 2, 3}) {
 		t.Errorf("with too few slots the order is %v", got)
@@ -53,14 +53,14 @@
 	return roster
 }
 
-// Items spread over the engines, and none is put into an engine's own queue.
-func TestPlacingSpreadsAndStopsAtTheSlots(t *testing.T) {
+// Items are spread evenly over the engines, and none is placed into an engine's own queue.
+func TestPlaceSpreadsItemsUpToTheSlots(t *testing.T) {
 	engines, now := engineList(3, 4), time.Now()
 	n := need{model: "m", minVersion: 5, domain: "x"}
 	for range 12 {
 		e := place(pool{engines: engines}, n, nil, now)
 		if e == nil {
-			t.Fatal("no engine though slots are free")
+			t.Fatal("no engine is chosen although slots are free")
 		}
 		e.Begin()
 		most, least := 0, 4
@@ -76,10 +76,10 @@
 	}
 }
 
-// Engines differ in pace, and what was measured during the last step is some seconds old
-// when the next one starts. If it were forgotten, the longest item would as often as not
-// run on a slow engine and make its step late by a third.
-func TestLongItemsGoToFastEngines(t *testing.T) {
+// Guards against forgetting the speed of engines between steps: the last measurement is some
+// seconds old when the next step starts. Without it the longest item would often run on a slow
+// engine, and the step would take a third longer.
+func TestPlaceUsesSpeedOfEarlierSteps(t *testing.T) {
 	engines, now := engineList(3, 4), time.Now()
 	n := need{model: "m", minVersion: 5, domain: "x"}
 	for range 20 {
@@ -91,42 +91,43 @@
 	for i := range 8 {
 		e := place(pool{engines: engines}, n, nil, later)
 		if e == engines[0] {
-			t.Fatalf("item %d goes to the slow engine though a fast one has room", i+1)
+			t.Fatalf("item %d was placed on the slow engine although a fast one has a free slot", i+1)
 		}
 		e.Begin()
 	}
 	if e := place(pool{engines: engines}, n, nil, later); e != engines[0] {
-		t.Error("the slow engine gets nothing when the others are full")
+		t.Error("no item is placed on the slow engine when the others are full")
 	}
 }
 
-func TestPlacingAvoidsWhatCannotServe(t *testing.T) {
+func TestPlaceAvoidsUnsuitableEngines(t *testing.T) {
 	engines, now := engineList(5, 4), time.Now()
 	n := need{model: "m", minVersion: 5, domain: "x"}
 	engines[0].NoteSwap("m", now.Add(time.Second))
 	engines[1].Failed(now)
-	for i, speed := range []time.Duration{0, 0, 200, 50, 55} {
-		engines[i].NoteSpeed(speed*time.Millisecond, now)
+	for i, millis := range []time.Duration{0, 0, 200, 50, 55} {
+		engines[i].NoteSpeed(millis*time.Millisecond, now)
 	}
 	if e := place(pool{engines: engines}, n, nil, now); e != engines[3] {
 		t.Errorf("chose %s", e.Info().ID)
 	}
 	if e := place(pool{engines: engines}, n, engines[3], now); e != engines[4] {
-		t.Errorf("instead of the first choice: %s", e.Info().ID)
+		t.Errorf("chose %s when the best engine is excluded", e.Info().ID)
 	}
 	n.minVersion = 6
 	if e := place(pool{engines: engines}, n, nil, now); e != nil {
-		t.Errorf("%s has old weights", e.Info().ID)
+		t.Errorf("chose %s, whose weights are too old", e.Info().ID)
 	}
 	engines[2].NoteVersion("m", 6)
 	if e := place(pool{engines: engines}, n, nil, now); e != engines[2] {
-		t.Error("a slow engine is better than none")
+		t.Error("did not choose the slow engine, the only one with the weights")
 	}
 }
 
-// Guards against items that a ranking sends elsewhere than a look at all engines would:
-// engines differ in load, pace, failure domain, version, warmth and first owner.
-func TestRankingChoosesAsALookAtAllEngines(t *testing.T) {
+// Guards against a ranking that chooses another engine than place, which considers all
+// engines. The engines differ in load, speed, failure domain, recent failures and the owner
+// that ranks first for them.
+func TestRankingMatchesPlace(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
 		now := time.Now()
@@ -153,7 +154,7 @@
 		for item := 0; ; item++ {
 			got, want := r.best(), place(b, n, nil, now)
 			if (got == nil) != (want == nil) || got != nil && got.Info().ID != want.Info().ID {
-				t.Fatalf("item %d goes to %v, want %v", item, got, want)
+				t.Fatalf("item %d was placed on %v, want %v", item, got, want)
 			}
 			if got == nil {
 				break
@@ -164,8 +165,8 @@
 	}
 }
 
-// BenchmarkStartOfStep places all items of a step: here before 45 engines, and at the size
-// of two years before 720.
+// BenchmarkStartOfStep places all items of a step, with the present number of engines, 45,
+// and with the 720 that are expected in two years.
 func BenchmarkStartOfStep(b *testing.B) {
 	for _, size := range []struct{ engines, items int }{{45, 160}, {720, 2048}} {
 		b.Run(fmt.Sprintf("%d items, %d engines", size.items, size.engines), func(b *testing.B) {
--- a/internal/step/score_test.go
+++ b/internal/step/score_test.go
@@ -19,10 +19,10 @@
 	"go.uber.org/zap"
 )
 
-// errAway is a call that no upstream took.
+// errAway is the failure of a call for which no upstream is available.
 var errAway = errors.WithStack(&fault.NoUpstream{Pool: "judge"})
 
-// failedAnswer returns the failure of a call that one upstream answered with 500.
+// failedAnswer returns the failure of a score call that one upstream answered with status 500.
 func failedAnswer(t *testing.T) error {
 	t.Helper()
 	events := event.NewRecorder("vm", 16, event.NewClock(time.Now), zap.NewNop())
@@ -39,9 +39,9 @@
 	return err
 }
 
-// A result without its score is of no use to a trainer, and a score that was given
-// before the text was whole says nothing about it.
-func TestTextsAreListedWithTheirScores(t *testing.T) {
+// A result without its score is of no use to a trainer, and neither is a score that was
+// given before the text was complete.
+func TestResultsAreCommittedWithScores(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.judge.behave = func(_ context.Context, _ string, _ int) error {
@@ -55,20 +55,20 @@
 		w.checkScores(results)
 		for _, item := range items(30) {
 			if n, calls := w.engines.count(item.ID), w.judge.count(item.ID); n != 1 || calls != 1 {
-				t.Errorf("item %s ran %d times and was scored %d times", item.ID, n, calls)
+				t.Errorf("item %s had %d attempts and %d score calls, want 1 each", item.ID, n, calls)
 			}
 		}
 	})
 }
 
-// The scoring service is away for seconds while texts become whole. They wait: made
-// again, they would take the engines from other items, and nothing be gained.
-func TestTextsWaitForTheScoringService(t *testing.T) {
+// The scoring service is unavailable for seconds while texts complete. The texts must be
+// kept: generating them again would take engine slots from other items.
+func TestTextsAreKeptDuringScoringOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
-		back := time.Now().Add(5 * time.Second)
+		availableAt := time.Now().Add(5 * time.Second)
 		w.judge.behave = func(context.Context, string, int) error {
-			if time.Now().Before(back) {
+			if time.Now().Before(availableAt) {
 				return errAway
 			}
 			return nil
@@ -77,28 +77,28 @@
 		submit(t, a, spec("s"), scoredItems(6))
 		time.Sleep(4900 * time.Millisecond)
 		if n := w.judge.count("i0"); n > 14 {
-			t.Errorf("a text was sent %d times to a service that was away", n)
+			t.Errorf("a text was sent %d times to an unavailable service", n)
 		}
 		results := readWhole(t, a, "s")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
-		if took := time.Since(back); took > time.Second {
-			t.Errorf("the step was whole %s after the service's return", took)
+		if took := time.Since(availableAt); took > time.Second {
+			t.Errorf("the step was complete %s after the service was available again", took)
 		}
 		if n := w.engines.count("i0"); n != 1 {
-			t.Errorf("the item ran %d times", n)
+			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
 }
 
-// The owner dies while whole texts wait for their scores. Its successor must neither
-// make them again nor list them without a score.
-func TestWholeTextsOutlastTheirOwner(t *testing.T) {
+// The owner dies while complete texts still need their scores. The new owner must neither
+// generate them again nor commit them without a score.
+func TestTakeoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
-		back := time.Now().Add(4 * time.Second)
+		availableAt := time.Now().Add(4 * time.Second)
 		w.judge.behave = func(context.Context, string, int) error {
-			if time.Now().Before(back) {
+			if time.Now().Before(availableAt) {
 				return errAway
 			}
 			return nil
@@ -112,14 +112,14 @@
 		w.checkScores(results)
 		for _, item := range items(4) {
 			if n := w.engines.count(item.ID); n != 1 {
-				t.Errorf("item %s ran %d times", item.ID, n)
+				t.Errorf("item %s had %d attempts, want 1", item.ID, n)
 			}
 		}
 	})
 }
 
-// A VM that leaves hands whole texts over that it could not have scored.
-func TestWholeTextsAreHandedOver(t *testing.T) {
+// A VM that leaves hands over the complete texts for which it got no score.
+func TestHandoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		away := true
@@ -137,15 +137,15 @@
 		results := readWhole(t, b, "s")
 		w.checkScores(results)
 		if n := w.engines.count("i1"); n != 1 {
-			t.Errorf("the item ran %d times", n)
+			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
 }
 
-// A step ends while a text of its last group is whole and unscored, and the trainer
-// asks for that group again. The text is whole when the next step comes: if its item
-// still stood as waiting, it would run beside its call and be listed twice.
-func TestCarriedWholeTextsAreScoredOnce(t *testing.T) {
+// Guards against an item that is committed twice. A step ends while a text of its last group
+// is complete but not scored, and the trainer submits that group again in the next step. If
+// the item were pending there, it would be generated during its score call.
+func TestResubmittedCompleteTextsAreScoredOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		first := true
@@ -172,14 +172,14 @@
 			t.Errorf("%d results, %v", len(more), err)
 		}
 		if n := w.engines.count("i3"); n != 1 {
-			t.Errorf("the item ran %d times", n)
+			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
 }
 
-// A text of the store is shorter than the one that this VM still holds, whole. Taking
-// the shorter one would join a whole text's state with half of its events.
-func TestShorterSavedTextDoesNotReplaceAWholeOne(t *testing.T) {
+// The text saved in the store is shorter than the complete one in this VM's memory. Restoring
+// the shorter one would combine the state of a complete text with a part of its events.
+func TestShorterSavedTextDoesNotReplaceCompleteText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.judge.behave = func(ctx context.Context, _ string, _ int) error {
@@ -192,18 +192,18 @@
 		r.resume(map[string]savedText{"i0": {Text: "1\n2\n3", Last: 3, Versions: []int64{1}, Whole: true}})
 		r.resume(map[string]savedText{"i0": {Text: "1", Last: 1, Versions: []int64{1}, ScoreFailures: 1}})
 		if text := r.text(0); r.progress[0].phase != unscored || joined(text.data) != "1\n2\n3" {
-			t.Errorf("phase %d with the text %q", r.progress[0].phase, joined(text.data))
+			t.Errorf("the item is in phase %d with the text %q", r.progress[0].phase, joined(text.data))
 		}
 		if n := r.progress[0].tries.Failures; n != 1 {
-			t.Errorf("%d failures are known, want 1", n)
+			t.Errorf("%d failures are counted, want 1", n)
 		}
 		r.cancel()
 	})
 }
 
-// A few calls fail whatever upstream gets them. Their items are given up once the
-// call's own route allows no more attempts, so that their group can be whole.
-func TestItemWhoseCallAlwaysFails(t *testing.T) {
+// Some score calls fail at every upstream. Their items must be abandoned after the number of
+// attempts that the call's own route allows; otherwise their group would never complete.
+func TestItemIsAbandonedAfterFailedScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		failed := failedAnswer(t)
@@ -226,9 +226,9 @@
 	})
 }
 
-// The call of an item has failed once when its owner dies. A successor that counts
-// anew would have it fail at more upstreams than its route allows.
-func TestSuccessorCountsFailedCallsOn(t *testing.T) {
+// The score call of an item has failed once when its owner dies. A new owner that counts from
+// zero would send the call to more upstreams than its route allows.
+func TestTakeoverKeepsScoreFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		failed := failedAnswer(t)
@@ -246,16 +246,16 @@
 		if results := readWhole(t, b, "s"); results[0].Outcome != Abandoned {
 			t.Errorf("the item is %s", results[0].Outcome)
 		}
-		// One failure, the call that the owner's death broke off, and one more.
+		// One failure, the call that was interrupted by the owner's death, and one more.
 		if n := w.judge.count("i0"); n != 3 {
 			t.Errorf("the call was made %d times, want 3", n)
 		}
 	})
 }
 
-// The route of the scores is dropped by mistake and comes back. Texts wait for it:
-// an item may not be given up as long as its own route stands.
-func TestTextsWaitForTheRouteOfTheirScore(t *testing.T) {
+// The route of the score calls is removed by mistake and restored later. Texts must be kept
+// meanwhile: an item may not be abandoned as long as its own route exists.
+func TestTextsAreKeptWhileScoreRouteIsMissing(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -272,8 +272,9 @@
 	})
 }
 
-// Nobody scores a text until its item may be given up. It must not be held for ever.
-func TestUnscoredItemsAreGivenUpAtTheirTime(t *testing.T) {
+// The scoring service stays unavailable. Items must not be kept longer than the time after
+// which the step allows to abandon them.
+func TestUnscoredItemsAreAbandonedAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.judge.behave = func(context.Context, string, int) error { return errAway }
@@ -283,24 +284,24 @@
 		submit(t, a, s, scoredItems(2))
 		time.Sleep(4900 * time.Millisecond)
 		if results, _, _ := a.Results(t.Context(), "s", "acc", 0, 0); len(results) > 0 {
-			t.Errorf("%d items are listed before their time", len(results))
+			t.Errorf("%d items were committed before the deadline", len(results))
 		}
 		for _, r := range readWhole(t, a, "s") {
 			if r.Outcome != Abandoned || r.Text != "" || r.Score != "" {
-				t.Errorf("item %+v", r)
+				t.Errorf("item %+v is not an abandoned one without text and score", r)
 			}
 		}
 	})
 }
 
-// The trainer ends a step whose calls are still under way. They must stop with it.
-func TestEndStopsCalls(t *testing.T) {
+// The trainer ends a step while score calls are in progress. They must be canceled.
+func TestEndCancelsScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
-		stopped := make(chan struct{}, 8)
+		canceled := make(chan struct{}, 8)
 		w.judge.behave = func(ctx context.Context, _ string, _ int) error {
 			<-ctx.Done()
-			stopped <- struct{}{}
+			canceled <- struct{}{}
 			return ctx.Err()
 		}
 		a, b := w.start("a"), w.start("b")
@@ -310,13 +311,13 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if len(stopped) != 4 {
-			t.Errorf("%d of 4 calls stopped within 1 s", len(stopped))
+		if len(canceled) != 4 {
+			t.Errorf("%d of 4 calls were canceled within 1 s", len(canceled))
 		}
 		before := w.judge.count("i0")
 		time.Sleep(3 * time.Second)
 		if n := w.judge.count("i0"); n != before {
-			t.Errorf("%d calls after the end", n-before)
+			t.Errorf("%d calls after the end of the step", n-before)
 		}
 	})
 }
--- a/internal/step/step_test.go
+++ b/internal/step/step_test.go
@@ -17,6 +17,7 @@
 	"dogwoodpond/internal/kept/memory"
 )
 
+// submit submits a step at a VM and fails the test on an error.
 func submit(t *testing.T, v *vm, s Spec, list []Item) {
 	t.Helper()
 	if err := v.Submit(t.Context(), s, list); err != nil {
@@ -24,7 +25,7 @@
 	}
 }
 
-func TestStepRunsWhole(t *testing.T) {
+func TestStepCompletes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
@@ -34,9 +35,9 @@
 	})
 }
 
-// The answer to an acceptance is lost on its way to the trainer, who hands the
-// step in again at another VM. A second step would generate everything twice.
-func TestRepeatedSubmissionIsOneStep(t *testing.T) {
+// The answer to a submission is lost on its way to the trainer, which submits the step again
+// at another VM. A second step would generate everything twice.
+func TestRepeatedSubmitCreatesOneStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
@@ -46,23 +47,23 @@
 		checkTexts(t, readWhole(t, b, "s"), 3)
 		for _, item := range items(8) {
 			if n := w.engines.count(item.ID); n != 1 {
-				t.Errorf("item %s ran %d times", item.ID, n)
+				t.Errorf("item %s had %d attempts, want 1", item.ID, n)
 			}
 		}
 	})
 }
 
-// The store carries an acceptance out seconds after it went silent, when the VM
-// has long told the trainer that it does not know. The step is there then, so the
-// VM must run it, and the trainer's repeat must find it.
-func TestLateAcceptanceIsRun(t *testing.T) {
+// The store stops answering and executes the commit of a submission seconds later, after the
+// VM has reported an unknown outcome to the trainer. The step exists then: the VM must run it,
+// and the trainer's repeated submission must find it.
+func TestStepAcceptedLateRuns(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a, b := w.start("a"), w.start("b")
 		w.store.SetFate(func(kept.Txn) memory.Fate { return memory.EffectLate })
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if err == nil || fault.ExecutionOf(err) == fault.NotRun {
-			t.Fatalf("Submit = %v; it may have been accepted", err)
+			t.Fatalf("Submit = %v, want an unknown outcome: the step may have been accepted", err)
 		}
 		w.store.SetFate(nil)
 		w.store.RunLate()
@@ -71,9 +72,9 @@
 	})
 }
 
-// The store is away while a step is handed in. The trainer waits, and the engines
-// would idle; once the store is back the step should be whole at once.
-func TestItemsRunWhileTheStoreIsAway(t *testing.T) {
+// The store is unavailable while a step is submitted. Items must run during the outage, so that
+// the engines are not idle and the step is complete soon after the store is available again.
+func TestItemsRunDuringStoreOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
@@ -100,9 +101,9 @@
 	})
 }
 
-// The same, but the store stays away. Items have run, so that "not run" would be
-// untrue, and none may run on.
-func TestEarlyItemsForbidThePromise(t *testing.T) {
+// The store stays unavailable after items of a submitted step have started. Submit must not
+// report "not run", and the items must be canceled.
+func TestSubmitReportsUnknownAfterEarlyItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = paced(1000, 100*time.Millisecond)
@@ -111,20 +112,20 @@
 		w.store.SetDown(true)
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if err == nil || fault.ExecutionOf(err) == fault.NotRun {
-			t.Errorf("Submit = %v", err)
+			t.Errorf("Submit = %v, want an unknown outcome", err)
 		}
 		time.Sleep(time.Second)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
 		if len(w.engines.runs) == 0 || w.engines.active != 0 {
-			t.Errorf("%d items ran, %d run on", len(w.engines.runs), w.engines.active)
+			t.Errorf("%d items ran, want more than 0; %d still run, want 0", len(w.engines.runs), w.engines.active)
 		}
 	})
 }
 
-// Guards against a step whose logs name no owner, so that an operator can't find what held
-// it up: its acceptance took long enough for its items to start before.
-func TestStepThatStartedEarlyNamesItsOwner(t *testing.T) {
+// Guards against a step for which no event names the owner, so that an operator can't find
+// what delayed it. The acceptance of the step takes so long that its items start before it.
+func TestEarlyRunEmitsStepOwned(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -138,14 +139,14 @@
 			t.Fatal(err)
 		}
 		if owned := a.Events.Select(event.Query{Step: "s", Numbers: []event.Number{event.StepOwned}}); len(owned) != 1 {
-			t.Errorf("%d events tell who owns the step, want 1", len(owned))
+			t.Errorf("%d events name the owner of the step, want 1", len(owned))
 		}
 	})
 }
 
-// The same step is handed in at two VMs while the store is away. Both run items,
-// and only one of them may list results.
-func TestEarlyRunsOfOneStep(t *testing.T) {
+// The same step is submitted at two VMs while the store is unavailable. Both run its items,
+// but only one of them may commit results.
+func TestOnlyOneEarlyRunCommitsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
@@ -167,9 +168,9 @@
 	})
 }
 
-// The scene of the tests below: a and b run a step early during an outage, a longer by two
-// seconds, and c's copy is accepted after it. known tells whether the texts' lengths are
-// expected.
+// handInThrice submits one step at the VMs a, b and c around an outage of the store. a and b
+// start its items during the outage, a two seconds before b; c gets its copy after the outage.
+// known says whether the items have expected lengths.
 func handInThrice(t *testing.T, w *world, list []Item, events int, known bool) (b, c *vm) {
 	w.engines.behave[""] = paced(events, 350*time.Millisecond)
 	if known {
@@ -182,13 +183,13 @@
 	time.Sleep(time.Second)
 	w.store.SetDown(true)
 	accepted := make(chan error, 3)
-	handIn := func(v *vm) { go func() { accepted <- v.Submit(t.Context(), spec("s"), list) }() }
-	handIn(a)
+	submitAt := func(v *vm) { go func() { accepted <- v.Submit(t.Context(), spec("s"), list) }() }
+	submitAt(a)
 	time.Sleep(2 * time.Second)
-	handIn(b)
+	submitAt(b)
 	time.Sleep(1700 * time.Millisecond)
 	w.store.SetDown(false)
-	handIn(c)
+	submitAt(c)
 	for range 3 {
 		if err := <-accepted; err != nil {
 			t.Error(err)
@@ -197,10 +198,10 @@
 	return b, c
 }
 
-// Guards against a step that begins anew after an outage though another VM has nearly all
-// its texts: the trainer hands it in again at one VM after another, and the copy that came
-// last is accepted first.
-func TestEarlyRunThatIsFurthestGoesOn(t *testing.T) {
+// Guards against a step that starts from zero after an outage although another VM has nearly
+// all its texts. The trainer submits the step at one VM after another during the outage, and
+// the last copy is accepted first.
+func TestMostAdvancedEarlyRunClaimsStep(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		bubble(t, func(t *testing.T) {
 			w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
@@ -209,21 +210,21 @@
 			time.Sleep(time.Second)
 			results, _, err := c.Results(t.Context(), "s", "acc", 0, 0)
 			if err != nil || len(results) != 6 {
-				t.Errorf("%d results a second after the outage, %v; the first copy had nearly all texts", len(results), err)
+				t.Errorf("%d results a second after the outage, %v; the first VM had nearly all texts", len(results), err)
 			}
 			checkTexts(t, readWhole(t, b, "s"), events)
 			state, err := readState(t.Context(), w.store, "s")
-			// b may have heard of the acceptance first and claimed it before a did.
+			// b may have learned of the acceptance first and claimed the step before a did.
 			if err != nil || state.Owner != "a" || state.Epoch != 2 && state.Epoch != 3 {
-				t.Errorf("the step is %s's in epoch %d, %v; want a's in epoch 2 or 3", state.Owner, state.Epoch, err)
+				t.Errorf("the step is owned by %s in epoch %d, %v; want a in epoch 2 or 3", state.Owner, state.Epoch, err)
 			}
 		})
 	}
 }
 
-// Guards against the furthest early run ending since another one, with far less, claimed the
-// step between its look at the state and its own claim.
-func TestFurthestEarlyRunClaimsFromAQuickerOne(t *testing.T) {
+// Guards against the most advanced early run being stopped because a far less advanced one
+// claimed the step after the first had read the state and before it committed its own claim.
+func TestEarlyRunClaimsStepFromLessAdvancedOne(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		const events = 10
@@ -247,11 +248,11 @@
 				t.Fatal(err)
 			}
 			w.store.Set(stateKey("s"), string(value))
-			read, err := decodeState(w.store.Row(stateKey("s")))
+			rec, err := decodeState(w.store.Row(stateKey("s")))
 			if err != nil {
 				t.Fatal(err)
 			}
-			return read
+			return rec
 		}
 		seen := put("c", 1, 0)
 		put("b", 2, 0.2)
@@ -264,14 +265,14 @@
 		checkTexts(t, readWhole(t, a, "s"), events)
 		state, err := readState(t.Context(), w.store, "s")
 		if err != nil || state.Owner != "a" || state.Epoch != 3 {
-			t.Errorf("the step is %s's in epoch %d, %v; want a's in epoch 3", state.Owner, state.Epoch, err)
+			t.Errorf("the step is owned by %s in epoch %d, %v; want a in epoch 3", state.Owner, state.Epoch, err)
 		}
 	})
 }
 
-// Guards against a hand-over that sets a claimed step back to the copy that was not
-// accepted: its count of owners would fall.
-func TestHandOverOfAClaimedStep(t *testing.T) {
+// Guards against a handover that replaces the state of a claimed step by the one of the copy
+// that was not accepted, which would lower the epoch.
+func TestHandoverKeepsEpochOfClaimedStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
 		const events = 20
@@ -279,21 +280,21 @@
 		time.Sleep(time.Second)
 		claimed, err := readState(t.Context(), w.store, "s")
 		if err != nil || claimed.Epoch == 1 {
-			t.Fatalf("the step is %s's in epoch %d, %v", claimed.Owner, claimed.Epoch, err)
+			t.Fatalf("the step is owned by %s in epoch %d, %v; want an epoch above 1", claimed.Owner, claimed.Epoch, err)
 		}
 		w.vms[claimed.Owner].Leave(t.Context())
 		left, err := readState(t.Context(), w.store, "s")
-		// The next owner may have it already.
+		// The next owner may have taken the step over already.
 		if err != nil || left.Owner == claimed.Owner || left.Epoch < claimed.Epoch || left.Owner != "" && left.Epoch == claimed.Epoch {
-			t.Errorf("%q's in epoch %d after the hand-over, %v; it was claimed in epoch %d", left.Owner, left.Epoch, err, claimed.Epoch)
+			t.Errorf("the step is owned by %q in epoch %d after the handover, %v; it was claimed in epoch %d", left.Owner, left.Epoch, err, claimed.Epoch)
 		}
 		checkTexts(t, readWhole(t, c, "s"), events)
 	})
 }
 
-// Guards against objects that nobody removes: a step that is too large for a row is handed
-// in at two VMs, and the items of the copy that is not accepted would stay in the store.
-func TestItemsOfARefusedCopyAreRemoved(t *testing.T) {
+// Guards against objects that are never removed. A step that is too large for a row is
+// submitted at two VMs, and the items of the copy that is not accepted would stay in the store.
+func TestObjectsOfRejectedCopyAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a, b := w.start("a"), w.start("b")
@@ -318,9 +319,9 @@
 	})
 }
 
-// Guards against the loss of a step whose acceptance got no answer: another VM has taken it
-// over by the repeat, and its items are those of the copy that seems refused.
-func TestItemsOfAnAcceptedCopyStay(t *testing.T) {
+// Guards against the loss of a step whose commit got no answer. When the commit is repeated,
+// another VM has taken the step over. The copy looks rejected, but its objects hold the items.
+func TestObjectsOfAcceptedCopyAreKept(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -342,32 +343,32 @@
 		}
 		time.Sleep(time.Second)
 		if names := w.store.ObjectNames(); !slices.Equal(names, state.Objects) {
-			t.Errorf("the store holds %v of the objects %v", names, state.Objects)
+			t.Errorf("the store holds %v, want the objects %v", names, state.Objects)
 		}
 	})
 }
 
-// The store is not there when the VM starts. No part of the step was kept or
-// begun, and the trainer may be told so.
-func TestRefusedAcceptanceSaysSo(t *testing.T) {
+// The store is unavailable when the VM starts. No part of the step is stored or run, and
+// Submit must report that.
+func TestSubmitWithoutStoreReportsNotRun(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
 		a.Clock = noClock{}
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if fault.ExecutionOf(err) != fault.NotRun || fault.RetryAfterOf(err, 0) == 0 {
-			t.Errorf("Submit = %v", err)
+			t.Errorf("Submit = %v, want a failure with NotRun and a time for the retry", err)
 		}
 		time.Sleep(5 * time.Second)
 		if n := w.engines.count("i0"); n != 0 {
-			t.Errorf("an item of a refused step ran %d times", n)
+			t.Errorf("an item of a rejected step had %d attempts", n)
 		}
 	})
 }
 
-// A step is handed in at a VM that is not the one that has its model's steps. That
-// one must begin it at once; otherwise each such step would lose time.
-func TestStepGoesToTheOwnerOfItsModel(t *testing.T) {
+// A step is submitted at a VM that doesn't own the steps of its model. The VM that owns them
+// must start it at once; otherwise every such step would be delayed.
+func TestStepStartsAtPreferredOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.preferred = "b"
@@ -376,15 +377,15 @@
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(60 * time.Millisecond)
 		if b.runOf("s") == nil || a.runOf("s") != nil {
-			t.Error("the step does not run at the owner of its model")
+			t.Error("the step does not run at the VM that owns the steps of its model")
 		}
 		checkTexts(t, readWhole(t, a, "s"), 3)
 	})
 }
 
-// The VM that should own the step died a moment ago, and nobody has noticed. The
-// step must not wait for it to come back.
-func TestStepOfADeadOwnerIsTakenOver(t *testing.T) {
+// The preferred owner of a step died just before the submission, and no VM has detected it. The
+// step must be taken over without waiting for its restart.
+func TestStepOfDeadPreferredOwnerIsTakenOver(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.preferred = "b"
@@ -398,10 +399,10 @@
 	})
 }
 
-// Each of four groups has one long item, and the engines take half of the items at once.
-// A long item that waits until the short ones of other groups are done makes the whole
-// step late by its wait, and its trainer idle.
-func TestLongItemsOfAllGroupsStartAtOnce(t *testing.T) {
+// Each of four groups has one long item, and the engines have slots for half of the items. A
+// long item that is queued behind the short ones of other groups delays the whole step, and
+// the trainer is idle meanwhile.
+func TestLongItemsOfAllGroupsStartFirst(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const long, short, gap = 20, 3, 100 * time.Millisecond
 		w := newWorld(t, "e1", "e2")
@@ -423,14 +424,14 @@
 		submit(t, a, spec("s"), list)
 		readWhole(t, a, "s")
 		if took := time.Since(started); took > long*gap+3*groupTime {
-			t.Errorf("the step took %s, its longest item %s", took, long*gap)
+			t.Errorf("the step took %s, its longest item takes %s", took, long*gap)
 		}
 	})
 }
 
-// The longest item of a step runs on an engine that is a third slower than the others,
-// and no other item waits for a slot any more. If it stayed there, the step would be
-// late by a quarter of its time while faster engines are idle.
+// The longest item of a step runs on an engine that is a third slower than the others, and no
+// other item is pending. Without a move, a quarter of the step's duration would be lost
+// while faster engines are idle.
 func TestLastItemsMoveToIdleFasterEngines(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const events = 100
@@ -461,9 +462,9 @@
 	})
 }
 
-// The owner's process is killed in the middle of a step. Another VM goes on; what
-// was listed keeps its position and its words.
-func TestTakeoverAfterACrash(t *testing.T) {
+// The owner's process is killed in the middle of a step. Another VM must complete the step, and
+// committed results must keep their positions and texts.
+func TestTakeoverAfterCrashKeepsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
@@ -483,15 +484,15 @@
 		checkTexts(t, after, 3)
 		for i, r := range before {
 			if after[i].Item != r.Item || after[i].Text != r.Text {
-				t.Errorf("position %d held %s and holds %s", i, r.Item, after[i].Item)
+				t.Errorf("position %d held item %s before the crash and holds item %s or another text now", i, r.Item, after[i].Item)
 			}
 		}
 	})
 }
 
-// The owner is killed while the last item, a long one, is at its 30th event. Made
-// anew from its first one, it would hold its step up for as long again.
-func TestLongTextSurvivesItsOwner(t *testing.T) {
+// The owner is killed while the last item, a long one, is at its 30th event. If the item were
+// generated again from its first event, the step would be delayed by the same time again.
+func TestTakeoverResumesLongText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = paced(60, 100*time.Millisecond)
@@ -502,15 +503,14 @@
 		started := time.Now()
 		checkTexts(t, readWhole(t, b, "s"), 60)
 		if took := time.Since(started); took > 5500*time.Millisecond {
-			t.Errorf("the rest took %s", took)
+			t.Errorf("the rest of the step took %s", took)
 		}
 	})
 }
 
-// A step ends while one of its groups is not whole; its trainer asks for that group
-// again in the next step and waits for it there. What was read of it may be used,
-// so far as its versions fit.
-func TestCarriedGroupsGoOn(t *testing.T) {
+// A step ends while one of its groups is incomplete; the trainer submits that group again in
+// the next step. The texts read so far must be used there if their weight versions are allowed.
+func TestResubmittedGroupsResume(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		minVersion int64
@@ -543,20 +543,20 @@
 				submit(t, a, next, items(4)[2:])
 				for _, r := range readWhole(t, a, "s2") {
 					if r.Item == "i3" && (len(strings.Split(r.Text, "\n")) != 40 || c.runs == 1 && r.Versions[0] != 1 || c.runs == 2 && len(r.Versions) != 1) {
-						t.Errorf("the carried item has the versions %v and %d events", r.Versions, len(strings.Split(r.Text, "\n")))
+						t.Errorf("the resubmitted item has the versions %v and %d events", r.Versions, len(strings.Split(r.Text, "\n")))
 					}
 				}
 				if n := w.engines.count("i2"); n != c.runs {
-					t.Errorf("the finished item of the carried group ran %d times, want %d", n, c.runs)
+					t.Errorf("the finished item of the resubmitted group had %d attempts, want %d", n, c.runs)
 				}
 			})
 		})
 	}
 }
 
-// The owner is frozen, another VM takes over, and then the first one wakes with
-// finished results in its hands. If it could list them, items would stand twice.
-func TestFrozenOwnerListsNothing(t *testing.T) {
+// The owner freezes, another VM takes over, and then the first owner continues with finished
+// results that are not committed. If it could commit them, items would have two results.
+func TestFrozenOwnerCommitsNoResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a, b := w.start("a"), w.start("b")
@@ -575,16 +575,16 @@
 		results := readWhole(t, b, "s")
 		w.store.RunLate()
 		checkTexts(t, results, 3)
-		again := readWhole(t, b, "s")
-		if len(again) != 4 {
-			t.Errorf("%d results stand after the late commits", len(again))
+		reread := readWhole(t, b, "s")
+		if len(reread) != 4 {
+			t.Errorf("%d results after the late commits, want 4", len(reread))
 		}
 	})
 }
 
-// Every VM loses power at once, right after a step was accepted. With the first
-// VM that comes back the step must go on.
-func TestAcceptedStepSurvivesTheLossOfAllVMs(t *testing.T) {
+// All VMs lose power at once, right after a step was accepted. The first VM that starts again
+// must continue the step.
+func TestAcceptedStepSurvivesLossOfAllVMs(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -595,9 +595,9 @@
 	})
 }
 
-// Guards against steps that wait after a loss of power: the VM that restarts knows that its
-// life before is over, while those that rank before it still take it for alive.
-func TestRestartedOwnerGoesOnAtOnce(t *testing.T) {
+// Guards against steps that are delayed after a power failure: the restarted VM knows that its
+// previous incarnation is dead, while the VMs that rank before it still consider it alive.
+func TestRestartedOwnerResumesAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = paced(30, 50*time.Millisecond)
@@ -612,14 +612,14 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took >= takeoverStep {
-			t.Errorf("the owner goes on %s after its restart", took)
+			t.Errorf("the owner resumes the step %s after its restart", took)
 		}
 	})
 }
 
-// A VM that is told to stop gives its steps up, and another one has them without
-// waiting for the first one's death to be noticed.
-func TestHandOver(t *testing.T) {
+// A VM that shuts down hands its steps over, and another VM runs them without waiting until
+// the first one is detected as dead.
+func TestHandover(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
@@ -630,23 +630,23 @@
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), items(12))
 		time.Sleep(350 * time.Millisecond)
-		// What leaves gives its hand-over a limited time, and ends that with it.
-		leaving, over := context.WithTimeout(t.Context(), 3*time.Second)
-		a.Leave(leaving)
-		over()
-		// The second in rank waits for its turn; the list of members in this test
-		// still ranks the VM that leaves.
+		// A VM that shuts down bounds its handover and cancels the context afterwards.
+		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+		a.Leave(ctx)
+		cancel()
+		// The VM that ranks second waits for takeoverStep, since the leaving VM is still
+		// ranked in this test.
 		time.Sleep(takeoverStep + 300*time.Millisecond)
 		if b.runOf("s") == nil {
-			t.Error("nobody runs the step after the hand-over")
+			t.Error("VM b does not run the step after the handover")
 		}
 		checkTexts(t, readWhole(t, b, "s"), 3)
 	})
 }
 
-// The trainer ends a step at another VM than the one that runs it. Items that
-// still run would burn the engines for nobody.
-func TestEndStopsItemsEverywhere(t *testing.T) {
+// The trainer ends a step at a VM that doesn't own it. The owner must cancel the items, since
+// their results are of no use any more.
+func TestEndCancelsItemsAtOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.engines.behave[""] = paced(100, 100*time.Millisecond)
@@ -657,20 +657,20 @@
 			t.Fatal(err)
 		}
 		if err := b.End(t.Context(), "s", "acc"); err != nil {
-			t.Errorf("a repeat fails with %v", err)
+			t.Errorf("the repeated End fails: %v", err)
 		}
 		time.Sleep(time.Second)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
 		if w.engines.active != 0 {
-			t.Errorf("%d items run a second after the end", w.engines.active)
+			t.Errorf("%d items still run a second after the end", w.engines.active)
 		}
 	})
 }
 
-// The owner is cut off from the store when the step ends, and learns it by its
-// next commit only.
-func TestEndRefusesResultsOfACutOffOwner(t *testing.T) {
+// The owner has no connection to the store when the step ends, and detects the end only at its
+// next commit. The store must reject that commit.
+func TestResultsAfterEndAreRejected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t)
 		b := w.start("b")
@@ -685,14 +685,14 @@
 		}
 		_, err = w.store.Commit(t.Context(), kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey("s"), Version: rec.version}}})
 		if err == nil {
-			t.Error("results were listed behind the end of the step")
+			t.Error("results were committed after the end of the step")
 		}
 	})
 }
 
-// An engine breaks off in the middle of a text. The rest comes from another one,
-// behind the last whole event, and the text has neither a hole nor a double.
-func TestBrokenTextGoesOnElsewhere(t *testing.T) {
+// An engine closes a stream in the middle of a text. Another attempt must resume after the last
+// complete event, and the text must have no missing and no repeated event.
+func TestInterruptedTextResumes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.engines.behave[""] = func(_ string, n int) reply {
@@ -708,13 +708,13 @@
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
 		if len(w.engines.resumed) != 4 || !strings.HasSuffix(w.engines.resumed[0], " after 2") {
-			t.Errorf("resumed: %v", w.engines.resumed)
+			t.Errorf("the resumed requests are %v, want 4 after event 2", w.engines.resumed)
 		}
 	})
 }
 
-// An engine leaves an event out. The text would look whole.
-func TestHoleInATextIsNoticed(t *testing.T) {
+// An engine omits an event. Without a check of the event IDs the text would seem complete.
+func TestMissingEventIsDetected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
@@ -730,9 +730,9 @@
 	})
 }
 
-// An engine has older weights than its list entry says. Its samples are older
-// than the contract allows and must not be listed.
-func TestTooOldWeightsAreNotUsed(t *testing.T) {
+// An engine has older weights than the platform's list says. Its samples are older than the
+// contract allows and must not be committed.
+func TestResultsOfStaleWeightsAreDiscarded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.engines.behave["e1"] = func(string, int) reply {
@@ -762,9 +762,8 @@
 	})
 }
 
-// The weights change while a text is made. Both versions made it, and the trainer
-// must learn that.
-func TestVersionsOfATextAreAllNamed(t *testing.T) {
+// The weights change while a text is generated. The result must name both versions.
+func TestResultNamesAllWeightVersions(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
@@ -782,9 +781,9 @@
 	})
 }
 
-// The same on a route that wants one version for each sample: the text is made
-// again.
-func TestSingleVersionIsKept(t *testing.T) {
+// The weights change while a text is generated, and the step requires one version for each
+// sample. The text must be generated again.
+func TestSingleVersionStepRetriesMixedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
@@ -808,9 +807,9 @@
 	})
 }
 
-// An item that fails each time must end some time, or it holds a slot for ever;
-// one that the engine calls impossible must not be tried again.
-func TestItemsThatCannotBeDone(t *testing.T) {
+// An item that fails at every attempt must be abandoned, or it would use slots forever. An
+// item that the engine reports as impossible must not be retried.
+func TestFailingItemsAreAbandoned(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		status int
@@ -837,17 +836,17 @@
 					}
 				}
 				if n := w.engines.count("i1"); n != c.runs {
-					t.Errorf("the item ran %d times, want %d", n, c.runs)
+					t.Errorf("the item had %d attempts, want %d", n, c.runs)
 				}
 			})
 		})
 	}
 }
 
-// An item fails each time, a second after it began, and its owner dies after the
-// second failure. Its successor must not begin to count anew: with a few changes of
-// owner the item would reach engines far more often than its route allows.
-func TestSuccessorCountsFailuresOn(t *testing.T) {
+// An item fails at every attempt, a second after its start, and its owner dies after the second
+// failure. The new owner must not count from zero: after a few changes of owner the item would
+// have had far more attempts than its route allows.
+func TestTakeoverKeepsFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(item string, _ int) reply {
@@ -867,22 +866,22 @@
 				t.Errorf("the item is %s", r.Outcome)
 			}
 		}
-		// Two failures, the run that the owner's death broke off, and one more.
+		// Two failures, the attempt that was interrupted by the owner's death, and one more.
 		if n := w.engines.count("i1"); n > 4 {
-			t.Errorf("the item ran %d times, want 4 at most", n)
+			t.Errorf("the item had %d attempts, want at most 4", n)
 		}
 	})
 }
 
-// A failure domain is cut off from all engines. The items of its steps must not be
-// tried without a pause: the VM would do nothing else, and the engines get a storm of
-// connections the moment they are back.
-func TestItemsWithoutEnginesAreTriedMoreAndMoreRarely(t *testing.T) {
+// A failure domain loses the connection to all engines. The items of its steps must be retried
+// with a growing backoff: otherwise the VM would do little but retry, and the engines would get
+// a burst of connections once they are reachable again.
+func TestInterruptedItemsBackOff(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
-		back := time.Now().Add(6 * time.Second)
+		reachableAt := time.Now().Add(6 * time.Second)
 		w.engines.behave[""] = func(string, int) reply {
-			if time.Now().Before(back) {
+			if time.Now().Before(reachableAt) {
 				return reply{}
 			}
 			return good
@@ -890,20 +889,20 @@
 		a := w.start("a")
 		submit(t, a, spec("s"), items(8))
 		checkTexts(t, readWhole(t, a, "s"), 3)
-		if late := time.Since(back); late > 1500*time.Millisecond {
-			t.Errorf("whole %s after the engines were back", late)
+		if late := time.Since(reachableAt); late > 1500*time.Millisecond {
+			t.Errorf("the step was complete %s after the engines were reachable again", late)
 		}
 		for _, item := range items(8) {
 			if n := w.engines.count(item.ID); n > 16 {
-				t.Errorf("item %s was tried %d times in 6 s", item.ID, n)
+				t.Errorf("item %s had %d attempts in 6 s", item.ID, n)
 			}
 		}
 	})
 }
 
-// Items finish one after another for a while. Listed one by one they would cost the
-// store a transaction each, beside those of all other steps.
-func TestResultsAreListedInGroups(t *testing.T) {
+// Items finish one after another for a while. Committed one by one, they would cost the store a
+// transaction each, in addition to those of all other steps.
+func TestResultsAreCommittedInBatches(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3", "e4")
 		w.engines.behave[""] = func(item string, _ int) reply {
@@ -924,14 +923,14 @@
 		submit(t, a, spec("s"), items(16))
 		checkTexts(t, readWhole(t, a, "s"), 3)
 		if commits > 8 {
-			t.Errorf("16 results that came within 0.5 s took %d commits", commits)
+			t.Errorf("16 results that finished within 0.5 s took %d commits", commits)
 		}
 	})
 }
 
-// No engine takes an item for as long as the step may last. It is given up only
-// then, and stands as abandoned.
-func TestItemsAreGivenUpAtTheirTimeOnly(t *testing.T) {
+// No engine accepts an item until the deadline of the step. The item must be abandoned then,
+// but not before.
+func TestItemsAreAbandonedOnlyAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
@@ -941,19 +940,19 @@
 		submit(t, a, spec("s"), items(2))
 		time.Sleep(39 * time.Second)
 		if results, _, _ := a.Results(t.Context(), "s", "acc", 0, 0); len(results) != 0 {
-			t.Fatalf("%d items were given up early", len(results))
+			t.Fatalf("%d items were abandoned before the deadline", len(results))
 		}
 		time.Sleep(3 * time.Second)
 		results, _, err := a.Results(t.Context(), "s", "acc", 0, 0)
 		if err != nil || len(results) != 2 || results[0].Outcome != Abandoned {
-			t.Errorf("after its time: %v, %v", results, err)
+			t.Errorf("after the deadline: %v, %v", results, err)
 		}
 	})
 }
 
-// An engine falls silent without closing its streams. Its items would hold up
-// their step until the trainer gives up.
-func TestSilentEngineLosesItsItems(t *testing.T) {
+// An engine stops responding without closing its streams. Its items must move to another
+// engine; otherwise they would delay the step until its deadline.
+func TestItemsMoveFromUnresponsiveEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.engines.behave["e1"] = func(string, int) reply {
@@ -971,26 +970,26 @@
 	})
 }
 
-// The store does not answer when a VM is asked for a step that it does not know.
-// Told that there is none, the trainer would start the step anew.
-func TestUnknownOnlyWhenTheStoreSaysSo(t *testing.T) {
+// A VM is asked for a step that it does not know while the store is unavailable. It must not
+// report the step as unknown: the trainer would submit the step again from the start.
+func TestStepUnknownRequiresStoreAnswer(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
 		w.store.SetDown(true)
 		_, _, err := a.Results(t.Context(), "s", "acc", 0, 0)
 		if fault.Is[*fault.StepUnknown](err) || err == nil {
-			t.Errorf("while the store is silent: %v", err)
+			t.Errorf("while the store is unavailable: %v", err)
 		}
 		w.store.SetDown(false)
 		if _, _, err := a.Results(t.Context(), "s", "acc", 0, 0); !fault.Is[*fault.StepUnknown](err) {
-			t.Errorf("when the store says no: %v", err)
+			t.Errorf("after the store answered that there is no such step: %v", err)
 		}
 	})
 }
 
-// Another client account asks for a step whose ID it has guessed.
-func TestStepsOfOthersAreUnknown(t *testing.T) {
+// Another client account requests a step whose ID it has guessed.
+func TestStepsOfOtherAccountsAreUnknown(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -1007,8 +1006,8 @@
 	})
 }
 
-// Items and texts that are larger than a row or a transaction come back byte for
-// byte, also at a VM that reads them from the store.
+// Items and texts that are larger than a row or a transaction must be read back unchanged, also
+// by a VM that reads them from the store.
 func TestLargeItemsAndTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
@@ -1027,7 +1026,7 @@
 		}
 		for _, put := range puts {
 			if len(put.Value) > 64<<10 {
-				t.Errorf("a row of %d bytes", len(put.Value))
+				t.Errorf("a row has %d bytes, more than 64 KiB", len(put.Value))
 			}
 		}
 		if _, err := w.store.Commit(t.Context(), kept.Txn{Puts: puts}); err != nil {
@@ -1046,8 +1045,9 @@
 	})
 }
 
-// Rows of steps that nobody may ask for any more would fill the store.
-func TestEndedStepsAreSwept(t *testing.T) {
+// The rows of ended steps must be removed after the retention period, or they would fill the
+// store.
+func TestExpiredStepsAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		a := w.start("a")
@@ -1058,12 +1058,12 @@
 		}
 		time.Sleep(time.Minute)
 		if _, err := readState(context.Background(), w.store, "s"); err != nil {
-			t.Fatalf("gone too early: %v", err)
+			t.Fatalf("the step was removed too early: %v", err)
 		}
 		time.Sleep(time.Minute)
 		for _, table := range []string{stateTable, itemsTable, resultTable} {
 			if rows, _ := kept.ReadAll(t.Context(), w.store, table, "s"); len(rows) > 0 {
-				t.Errorf("%d rows are left in %s", len(rows), table)
+				t.Errorf("%d rows are left in table %s", len(rows), table)
 			}
 		}
 	})
