--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,8 +1,8 @@
-// Package member keeps the list of the fleet's VMs. Each VM writes a row of its
-// own in regular beats; the others read the rows of a failure domain together. A
-// VM counts as dead once its row has stood still for a while on a store that
-// answered all the time: while the store is away nobody can beat, and nobody may
-// be declared dead for it.
+// Package member maintains the list of the fleet's VMs. Each VM writes its own status
+// row at regular intervals, its heartbeat; the other VMs read the rows of a failure
+// domain together. A VM counts as dead once its row has not changed for some time while
+// the store was available. During an outage of the store no VM can write a heartbeat,
+// so none is declared dead because of the outage.
 package member
 
 import (
@@ -27,63 +27,66 @@
 )
 
 const (
-	// table holds a row for each VM, in a partition for each failure domain.
+	// table has a row for each VM, in a partition for each failure domain.
 	table = "vm"
-	// beatEvery is the period of the beats of a small fleet. A large one beats as often
-	// as the store's budget allows: the time until a dead VM's work goes on grows with it.
-	beatEvery = 500 * time.Millisecond
-	// beatSpread is the part of a period, as one in so many, by which beats come earlier at
-	// random.
-	beatSpread = 5
-	// retryPause is the pause after a read that failed.
-	retryPause = 100 * time.Millisecond
-	// rereadEvery is how often all rows are read anew without a reason, in case that
-	// changes were missed around a loss of the store's history.
-	rereadEvery = 20 * time.Second
-	// deadAfter is the number of beats that a row must miss; one late beat harms
-	// nobody.
-	deadAfter = 3
-	// callTimeout bounds one read or write; a slow store answers within it.
+	// minHeartbeatInterval is the interval between heartbeats, and between reads of
+	// them, in a small fleet. In a large fleet the store's budget makes the interval
+	// longer, and a dead VM's work is taken over later.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// jitterDivisor limits the random time by which a heartbeat comes early: it is less
+	// than the interval divided by jitterDivisor.
+	jitterDivisor = 5
+	// readBackoff is the wait after a failed read.
+	readBackoff = 100 * time.Millisecond
+	// fullReadInterval is the interval at which all rows are read again, because
+	// changes may have been missed around a loss of the store's history.
+	fullReadInterval = 20 * time.Second
+	// maxMissedHeartbeats is the number of heartbeat intervals without a change of the
+	// row after which a VM counts as dead. One late heartbeat has no effect.
+	maxMissedHeartbeats = 3
+	// callTimeout is the timeout of one read or write; a slow store answers within it.
 	callTimeout = 1200 * time.Millisecond
-	// missedAfter is how long a silent VM is waited for by what wants to hear
-	// everybody: longer than most cuts last. After a VM was replaced, each window of
-	// usage waits so long for it, and must still be reported in time.
-	missedAfter = 8 * time.Second
-	// returnTime is how long a VM that was silent is waited for after its next beat, and
-	// all VMs after the store was away. Their totals of usage follow within the timeout of
-	// one write and the pause until the next.
-	returnTime = 2 * time.Second
+	// awaitTimeout is how long an unresponsive VM is awaited by callers that need the
+	// data of all VMs. It is longer than most network failures. After a VM was
+	// replaced, each usage window waits so long for it, and must still be reported in
+	// time.
+	awaitTimeout = 8 * time.Second
+	// returnGracePeriod is how long a VM that was unresponsive is awaited after its
+	// next heartbeat, and all VMs after an outage of the store. Their usage totals
+	// follow within the timeout of one write and the interval until the next write.
+	returnGracePeriod = 2 * time.Second
 )
 
-// VM is one member.
+// VM is one member of the fleet.
 type VM struct {
 	ID            string `json:"vm"`
 	FailureDomain string `json:"failureDomain"`
-	// Life tells a process from its predecessors on the same VM.
+	// Life identifies the incarnation: each process on the VM has its own.
 	Life string `json:"life"`
-	// PeerAddress is where the VM serves its peers.
+	// PeerAddress is the address at which the VM serves its peers.
 	PeerAddress string `json:"peerAddress"`
-	// Processor is how many cores the VM has, as a fraction; 0 when not known.
+	// Processor is the number of cores of the VM, which may be fractional; 0 when
+	// unknown.
 	Processor float64 `json:"processor,omitempty"`
-	// Leaving VMs take no new work.
+	// Leaving is true when the VM takes no new work.
 	Leaving bool `json:"leaving"`
 	// ViaPeers is true while the VM reaches the store only through its peers.
 	ViaPeers bool `json:"viaPeers,omitempty"`
 }
 
-// seen is what this VM knows of another's row. A beat writes the same value again; only
-// the version shows it.
-type seen struct {
+// statusRow is what this VM knows of a status row. A heartbeat writes the same value
+// again; only the version changes.
+type statusRow struct {
 	vm      VM
 	value   []byte
 	version int64
-	// silent is for how long the row has stood still while the store answered.
-	silent time.Duration
-	// returned is when it beat again after it had been silent.
-	returned time.Time
+	// unchangedFor is how long the row has not changed while the store was available.
+	unchangedFor time.Duration
+	// returnedAt is when the VM wrote a heartbeat again after it had been unresponsive.
+	returnedAt time.Time
 }
 
-// List is the fleet as this VM sees it. It is safe for concurrent use.
+// List is the list of members as this VM knows it. It is safe for concurrent use.
 type List struct {
 	self    VM
 	domains []string
@@ -94,87 +97,94 @@
 	// viaPeers reports whether this VM reaches the store only through its peers.
 	viaPeers func() bool
 
-	failing atomic.Bool
-	leaving atomic.Bool
-	// writing orders the beats of this VM. A beat that was under way when the VM
-	// began to leave would otherwise overwrite the one that says so, and the others
-	// would give the VM new work until the next beat.
-	writing sync.Mutex
-
-	mu     sync.Mutex
-	rows   map[string]*seen
-	polled time.Time
-	// back is when a read succeeded first after the store had been away.
-	back  time.Time
-	ready bool
+	heartbeatFailing atomic.Bool
+	leaving          atomic.Bool
+	// writeMu serializes the heartbeats of this VM. A heartbeat in progress when the VM
+	// begins to leave would otherwise overwrite the one that announces it, and the
+	// other VMs would give this VM new work until the next heartbeat.
+	writeMu sync.Mutex
+
+	mu   sync.Mutex
+	rows map[string]*statusRow
+	// polledAt is when the rows were last read, or zero after a failed read.
+	polledAt time.Time
+	// availableSince is when a read succeeded for the first time after an outage of the
+	// store.
+	availableSince time.Time
+	ready          bool
 }
 
-// New returns a list for the VM self in a fleet with the failure domains.
-// viaPeers reports whether this VM reaches the store only through its peers.
+// New returns a list for the VM self in a fleet with the failure domains. viaPeers
+// reports whether this VM reaches the store only through its peers.
 func New(self VM, domains []string, store kept.Store, viaPeers func() bool, calls *budget.Budget, events *event.Recorder) *List {
 	return &List{
 		self: self, viaPeers: viaPeers, domains: domains, store: store, budget: calls, events: events,
-		rows: make(map[string]*seen),
+		rows: make(map[string]*statusRow),
 	}
 }
 
 // Self returns this VM.
 func (l *List) Self() VM { return l.self }
 
-// Run beats and reads until ctx ends.
+// Run writes heartbeats and reads the status rows until ctx ends.
 func (l *List) Run(ctx context.Context) {
 	var loops sync.WaitGroup
-	loops.Go(func() { l.beat(ctx) })
-	loops.Go(func() { l.follow(ctx) })
+	loops.Go(func() { l.heartbeatLoop(ctx) })
+	loops.Go(func() { l.pollLoop(ctx) })
 	loops.Wait()
 }
 
-func (l *List) beat(ctx context.Context) {
+func (l *List) heartbeatLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		l.writeBeat(call)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		l.writeHeartbeat(callCtx)
 		cancel()
-		period := l.period()
-		// VMs that started together beat apart.
-		period -= rand.N(period / beatSpread)
-		wait.For(ctx, max(period-time.Since(started), period/2))
+		heartbeatInterval := l.heartbeatInterval()
+		// Random, so that VMs that started together don't write at the same time.
+		heartbeatInterval -= rand.N(heartbeatInterval / jitterDivisor)
+		wait.For(ctx, max(heartbeatInterval-time.Since(started), heartbeatInterval/2))
 	}
 }
 
-// follow reads all rows, and then what changes.
-func (l *List) follow(ctx context.Context) {
+// pollLoop reads all rows, and then polls for changes until the next full read is due
+// or a read fails. After each full read it removes expired rows.
+func (l *List) pollLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		after, err := l.readAll(ctx)
 		if err == nil {
-			l.removeSilent(ctx)
+			l.removeExpired(ctx)
 		}
-		for until := time.Now().Add(rereadEvery); err == nil && ctx.Err() == nil && time.Now().Before(until); {
-			wait.For(ctx, l.readPeriod())
+		for until := time.Now().Add(fullReadInterval); err == nil && ctx.Err() == nil && time.Now().Before(until); {
+			wait.For(ctx, l.pollInterval())
 			after, err = l.readChanges(ctx, after)
 		}
 		if err != nil && !fault.Is[*kept.HistoryGone](err) {
-			l.lost()
-			wait.For(ctx, l.readPeriod())
+			l.markUnavailable()
+			wait.For(ctx, l.pollInterval())
 		}
 	}
 }
 
-// period returns the time between two beats of one VM.
-func (l *List) period() time.Duration { return l.budget.Period(budget.Beats, beatEvery) }
+// heartbeatInterval returns the interval between two heartbeats of one VM.
+func (l *List) heartbeatInterval() time.Duration {
+	return l.budget.Period(budget.Beats, minHeartbeatInterval)
+}
 
-// readPeriod returns the time between two reads of the beats.
-func (l *List) readPeriod() time.Duration { return l.budget.Period(budget.Members, beatEvery) }
+// pollInterval returns the interval between two reads of the heartbeats.
+func (l *List) pollInterval() time.Duration {
+	return l.budget.Period(budget.Members, minHeartbeatInterval)
+}
 
-// Leave tells the others that this VM takes no new work.
+// Leave announces to the other VMs that this VM takes no new work.
 func (l *List) Leave(ctx context.Context) {
 	l.leaving.Store(true)
-	l.writeBeat(ctx)
+	l.writeHeartbeat(ctx)
 }
 
-func (l *List) writeBeat(ctx context.Context) {
-	l.writing.Lock()
-	defer l.writing.Unlock()
+func (l *List) writeHeartbeat(ctx context.Context) {
+	l.writeMu.Lock()
+	defer l.writeMu.Unlock()
 	vm := l.self
 	vm.Leaving = l.leaving.Load()
 	vm.ViaPeers = l.viaPeers()
@@ -185,18 +195,19 @@
 	}
 	key := kept.Key{Table: table, Part: vm.FailureDomain, Name: vm.ID}
 	_, err = l.store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: value}}})
-	if failed := err != nil; failed != l.failing.Swap(failed) && failed {
+	if failed := err != nil; failed != l.heartbeatFailing.Swap(failed) && failed {
 		l.events.Emit(event.BeatFailed, event.Subject{Detail: err.Error()})
 	}
 }
 
-// readAll reads the rows of all failure domains, and returns the version from which
-// changes go on: pages of several partitions are of different moments.
+// readAll reads the rows of all failure domains, and returns the version after which to
+// read changes. That is the lowest version of the pages, because the partitions are
+// read at different times.
 func (l *List) readAll(ctx context.Context) (after int64, err error) {
 	store := kept.Patient{
 		Store:  l.store,
-		Pause:  func() time.Duration { return l.budget.Retry(budget.Members, retryPause) },
-		Failed: func(error) { l.lost() },
+		Pause:  func() time.Duration { return l.budget.Retry(budget.Members, readBackoff) },
+		Failed: func(error) { l.markUnavailable() },
 	}
 	var rows []kept.Row
 	after = math.MaxInt64
@@ -208,12 +219,12 @@
 		rows = append(rows, page.Rows...)
 		after = min(after, page.Version)
 	}
-	l.take(rows, true, time.Now())
+	l.applyRows(rows, true, time.Now())
 	return after, nil
 }
 
-// readChanges reads what changed after a version, over as many pages as there are: a
-// row that stands on a later page has not stood still.
+// readChanges reads the rows that changed after a version. It reads all pages before it
+// applies them: a row on a later page has changed too.
 func (l *List) readChanges(ctx context.Context, after int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -226,57 +237,58 @@
 		rows = append(rows, page.Rows...)
 		after, more = max(after, page.Version), page.More
 	}
-	l.take(rows, false, time.Now())
+	l.applyRows(rows, false, time.Now())
 	return after, nil
 }
 
-func (l *List) lost() {
+func (l *List) markUnavailable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.polled = time.Time{}
+	l.polledAt = time.Time{}
 }
 
-// take takes rows after a read that succeeded: all there are, or those that changed since
-// the read before. A silence counts only between two reads that both succeeded.
-func (l *List) take(rows []kept.Row, whole bool, now time.Time) {
+// applyRows records the rows of a successful read: all rows if full, otherwise those
+// that changed since the previous read. The time since the previous read counts toward
+// unchangedFor only if that read succeeded too.
+func (l *List) applyRows(rows []kept.Row, full bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var passed time.Duration
-	if l.polled.IsZero() {
-		l.back = now
+	var elapsed time.Duration
+	if l.polledAt.IsZero() {
+		l.availableSince = now
 	} else {
-		// A pause of this process tells nothing about the others.
-		passed = min(now.Sub(l.polled), 2*l.readPeriod())
+		// A pause of this process says nothing about the other VMs.
+		elapsed = min(now.Sub(l.polledAt), 2*l.pollInterval())
 	}
-	l.polled, l.ready = now, true
-	beaten := make(map[string]bool, len(rows))
-	listed := make(map[string]bool, len(rows))
+	l.polledAt, l.ready = now, true
+	updated := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		if row.Deleted {
 			delete(l.rows, row.Name)
 			continue
 		}
-		listed[row.Name] = true
-		beaten[row.Name] = l.note(row) || beaten[row.Name]
+		present[row.Name] = true
+		updated[row.Name] = l.applyRow(row) || updated[row.Name]
 	}
-	for name, s := range l.rows {
-		if whole && !listed[name] {
+	for name, status := range l.rows {
+		if full && !present[name] {
 			delete(l.rows, name)
 			continue
 		}
-		l.judge(s, beaten[name], passed)
+		l.updateLiveness(status, updated[name], elapsed)
 	}
 	l.budget.SetFleet(len(l.rows))
 }
 
-// note takes a row and reports whether it changed.
-func (l *List) note(row kept.Row) bool {
-	known, ok := l.rows[row.Name]
-	if ok && known.version >= row.Version {
+// applyRow records a row and reports whether it changed.
+func (l *List) applyRow(row kept.Row) bool {
+	status, ok := l.rows[row.Name]
+	if ok && status.version >= row.Version {
 		return false
 	}
-	if ok && bytes.Equal(known.value, row.Value) {
-		known.version = row.Version
+	if ok && bytes.Equal(status.value, row.Value) {
+		status.version = row.Version
 		return true
 	}
 	var vm VM
@@ -285,38 +297,39 @@
 		return false
 	}
 	if !ok {
-		known = new(seen)
-		l.rows[row.Name] = known
+		status = new(statusRow)
+		l.rows[row.Name] = status
 	}
-	known.vm, known.value, known.version = vm, row.Value, row.Version
+	status.vm, status.value, status.version = vm, row.Value, row.Version
 	return true
 }
 
-// judge takes whether a VM has beaten in the time that passed.
-func (l *List) judge(s *seen, beaten bool, passed time.Duration) {
-	wasAlive := l.alive(s)
-	if beaten {
-		s.silent = 0
+// updateLiveness records whether a row was updated within the elapsed time, and emits
+// an event when its VM becomes unresponsive or returns.
+func (l *List) updateLiveness(status *statusRow, updated bool, elapsed time.Duration) {
+	wasAlive := l.isAlive(status)
+	if updated {
+		status.unchangedFor = 0
 	} else {
-		s.silent += passed
+		status.unchangedFor += elapsed
 	}
-	alive := l.alive(s)
-	if alive == wasAlive {
+	isAlive := l.isAlive(status)
+	if isAlive == wasAlive {
 		return
 	}
 	number := event.PeerSilent
-	if alive {
+	if isAlive {
 		number = event.PeerReturned
-		s.returned = l.polled
+		status.returnedAt = l.polledAt
 	}
-	l.events.Emit(number, event.Subject{Peer: s.vm.ID, Count: s.silent.Milliseconds(), Detail: "life " + s.vm.Life})
+	l.events.Emit(number, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Life})
 }
 
-func (l *List) alive(s *seen) bool {
-	return s.silent < deadAfter*max(l.period(), l.readPeriod())
+func (l *List) isAlive(status *statusRow) bool {
+	return status.unchangedFor < maxMissedHeartbeats*max(l.heartbeatInterval(), l.pollInterval())
 }
 
-// Ready reports whether the list was read at least once.
+// Ready reports whether the list has been read at least once.
 func (l *List) Ready() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -327,30 +340,30 @@
 func (l *List) Current() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ready && !l.polled.IsZero()
+	return l.ready && !l.polledAt.IsZero()
 }
 
-// Alive reports whether a process still runs, as far as is known: the VM beats
-// and is still in the same life.
-func (l *List) Alive(id, life string) bool {
+// Alive reports whether a process still runs, as far as is known: the VM writes
+// heartbeats and is still in the same incarnation.
+func (l *List) Alive(id, incarnation string) bool {
 	if id == l.self.ID {
-		return life == l.self.Life
+		return incarnation == l.self.Life
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s, ok := l.rows[id]
-	return ok && s.vm.Life == life && l.alive(s)
+	status, ok := l.rows[id]
+	return ok && status.vm.Life == incarnation && l.isAlive(status)
 }
 
-// Live returns the VMs that beat and are not leaving, this one included unless
-// it leaves, in the order of their IDs.
+// Live returns the VMs that are alive and not leaving, sorted by ID. This VM is
+// included unless it is leaving.
 func (l *List) Live() []VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var live []VM
-	for id, s := range l.rows {
-		if id != l.self.ID && l.alive(s) && !s.vm.Leaving {
-			live = append(live, s.vm)
+	for id, status := range l.rows {
+		if id != l.self.ID && l.isAlive(status) && !status.vm.Leaving {
+			live = append(live, status.vm)
 		}
 	}
 	if !l.leaving.Load() {
@@ -362,64 +375,67 @@
 	return live
 }
 
-// Others returns the VMs known to beat besides this one, also those that leave.
+// Others returns the other VMs that are alive, including those that are leaving.
 func (l *List) Others() []VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var others []VM
-	for id, s := range l.rows {
-		if id != l.self.ID && l.alive(s) {
-			others = append(others, s.vm)
+	for id, status := range l.rows {
+		if id != l.self.ID && l.isAlive(status) {
+			others = append(others, status.vm)
 		}
 	}
 	return others
 }
 
-// AllHeard reports whether no known VM is silent, or was so a moment ago.
+// AllHeard reports whether the last read succeeded and no VM has to be awaited. A VM is
+// awaited while it is unresponsive, for at most awaitTimeout, and for returnGracePeriod
+// after it returned. After an outage of the store all VMs are awaited for
+// returnGracePeriod.
 func (l *List) AllHeard() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.ready || l.polled.IsZero() || l.polled.Sub(l.back) < returnTime {
+	if !l.ready || l.polledAt.IsZero() || l.polledAt.Sub(l.availableSince) < returnGracePeriod {
 		return false
 	}
-	for id, s := range l.rows {
-		waited := !l.alive(s) && s.silent < missedAfter || l.polled.Sub(s.returned) < returnTime
-		if id != l.self.ID && waited {
+	for id, status := range l.rows {
+		awaited := !l.isAlive(status) && status.unchangedFor < awaitTimeout || l.polledAt.Sub(status.returnedAt) < returnGracePeriod
+		if id != l.self.ID && awaited {
 			return false
 		}
 	}
 	return true
 }
 
-// Rank returns this VM's rank among the live VMs for a piece of work, from 0.
-// Ranks spare lost races; they decide nothing.
-func (l *List) Rank(work string) int { return l.RankWithin(work, route.Residency{}) }
+// Rank returns this VM's rank among the live VMs for a duty, from 0. Ranks only avoid
+// lost races; they don't decide who is in charge.
+func (l *List) Rank(duty string) int { return l.RankWithin(duty, route.Residency{}) }
 
-// RankWithin is Rank among the VMs of the failure domains that a residency allows.
-func (l *List) RankWithin(work string, residency route.Residency) int {
+// RankWithin is Rank among the VMs in the failure domains that a residency allows.
+func (l *List) RankWithin(duty string, residency route.Residency) int {
 	live := allowed(l.Live(), residency)
-	able := strongest(live)
-	if slices.ContainsFunc(able, func(vm VM) bool { return vm.ID == l.self.ID }) {
-		return lease.Rank(work, l.self.ID, ids(able))
+	preferred := preferredVMs(live)
+	if slices.ContainsFunc(preferred, func(vm VM) bool { return vm.ID == l.self.ID }) {
+		return lease.Rank(duty, l.self.ID, ids(preferred))
 	}
-	return len(able) + lease.Rank(work, l.self.ID, ids(live))
+	return len(preferred) + lease.Rank(duty, l.self.ID, ids(live))
 }
 
 func allowed(vms []VM, residency route.Residency) []VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return !residency.Allows(vm.FailureDomain) })
 }
 
-// First returns the live VM that ranks first for a piece of work among those that a
-// residency allows, one of the failure domain if any lives there; ok is false when there
-// is none.
-func (l *List) First(work, domain string, residency route.Residency) (first VM, ok bool) {
+// First returns the live VM with the rank 0 for a duty, among the VMs that a residency
+// allows. If any of these are in the failure domain, only they are considered. ok is
+// false when there is none.
+func (l *List) First(duty, domain string, residency route.Residency) (first VM, ok bool) {
 	live := allowed(l.Live(), residency)
-	if near := within(live, domain); len(near) > 0 {
+	if near := inDomain(live, domain); len(near) > 0 {
 		live = near
 	}
-	able := strongest(live)
-	id, ok := lease.First(work, ids(able))
-	for _, vm := range able {
+	preferred := preferredVMs(live)
+	id, ok := lease.First(duty, ids(preferred))
+	for _, vm := range preferred {
 		if vm.ID == id {
 			first = vm
 		}
@@ -427,38 +443,38 @@
 	return first, ok
 }
 
-// strongShare is the part of the largest processor from which on VMs count as equally
-// strong.
-const strongShare = 0.75
+// minCoresShare is the share of the largest number of cores from which on VMs count as
+// equally strong.
+const minCoresShare = 0.75
 
-// strongest returns the VMs with the most processor among those that reach the store
-// themselves, or among all if none does. The load is a step of hundreds of
-// items, all of which start at once: on a VM with a fraction of a core the start takes
-// as long as many of the items do.
-func strongest(vms []VM) []VM {
+// preferredVMs returns the VMs with the most cores among those that reach the store
+// directly, or among all if none does. The items of a step, often hundreds, all start
+// at once: on a VM with a fraction of a core the start takes as long as many of the
+// items do.
+func preferredVMs(vms []VM) []VM {
 	direct := slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.ViaPeers })
 	if len(direct) > 0 {
 		vms = direct
 	}
-	most := 0.0
+	maxCores := 0.0
 	for _, vm := range vms {
-		most = max(most, vm.Processor)
+		maxCores = max(maxCores, vm.Processor)
 	}
-	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.Processor < strongShare*most })
+	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.Processor < minCoresShare*maxCores })
 }
 
-func within(vms []VM, domain string) []VM {
+func inDomain(vms []VM, domain string) []VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.FailureDomain != domain })
 }
 
-// RankIn is Rank with the VMs of a failure domain before all others.
-func (l *List) RankIn(work, domain string) int {
+// RankIn is Rank with the VMs of a failure domain ranked before all others.
+func (l *List) RankIn(duty, domain string) int {
 	live := l.Live()
-	inside := within(live, domain)
+	inside := inDomain(live, domain)
 	if l.self.FailureDomain == domain {
-		return lease.Rank(work, l.self.ID, ids(inside))
+		return lease.Rank(duty, l.self.ID, ids(inside))
 	}
-	return len(inside) + lease.Rank(work, l.self.ID, ids(live))
+	return len(inside) + lease.Rank(duty, l.self.ID, ids(live))
 }
 
 func ids(vms []VM) []string {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,23 +16,23 @@
 	"dogwoodpond/internal/kept/memory"
 )
 
-func direct() bool { return false }
+func neverViaPeers() bool { return false }
 
-func start(t *testing.T, store *memory.Store, id, domain, life string) (*List, context.CancelFunc) {
+func startVM(t *testing.T, store *memory.Store, id, domain, incarnation string) (*List, context.CancelFunc) {
 	events := event.NewRecorder(id, 16, event.NewClock(time.Now), zap.NewNop())
-	l := New(VM{ID: id, FailureDomain: domain, Life: life, PeerAddress: id + ":1"}, []string{"x", "y"}, store, direct, budget.New(budget.Rates{}), events)
+	l := New(VM{ID: id, FailureDomain: domain, Life: incarnation, PeerAddress: id + ":1"}, []string{"x", "y"}, store, neverViaPeers, budget.New(budget.Rates{}), events)
 	ctx, cancel := context.WithCancel(t.Context())
 	go l.Run(ctx)
 	t.Cleanup(cancel)
 	return l, cancel
 }
 
-// A VM's process is killed. Its steps wait until the others notice.
-func TestDeadVMIsNoticed(t *testing.T) {
+// The process of a VM is killed. Its steps wait until the other VMs detect that.
+func TestDeadVMIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		_, killB := start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		_, killB := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		if !a.Alive("b", "1") || len(a.Live()) != 2 {
 			t.Fatal("b is not alive")
@@ -40,109 +40,112 @@
 		killB()
 		time.Sleep(3 * time.Second)
 		if a.Alive("b", "1") || len(a.Live()) != 1 {
-			t.Error("b still counts as alive 3 s after its end")
+			t.Error("b still counts as alive 3 s after it was killed")
 		}
 	})
 }
 
-// A VM is removed for good, and another is cut off for a while. What wants to hear
-// everybody, as the bill of a window does, waits for the one that may come back, but
-// not so long for the one that is gone that the bill comes late: it is due 10 s after
-// its window, and an outage of the store may take up the rest.
-func TestGoneVMIsNotWaitedForLong(t *testing.T) {
+// A VM is removed for good, and the others can't tell this from a network failure.
+// Callers that need the data of all VMs, such as the usage report of a window, await a
+// VM that may return, but must not await a dead one for so long that the report is
+// late: it is due 10 s after the window, and an outage of the store may take up the
+// rest of that time.
+func TestDeadVMIsAwaitedForALimitedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		_, killB := start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		_, killB := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		killB()
 		time.Sleep(5500 * time.Millisecond)
 		if a.AllHeard() {
-			t.Error("a VM that has been silent for 5.5 s is not waited for")
+			t.Error("a VM that has been unresponsive for 5.5 s is not awaited")
 		}
 		time.Sleep(4 * time.Second)
 		if !a.AllHeard() {
-			t.Error("a VM that has been silent for 9.5 s is waited for")
+			t.Error("a VM that has been unresponsive for 9.5 s is still awaited")
 		}
 	})
 }
 
-// Guards against a list of members that grows with each VM that is replaced, and with it
-// the time between two beats.
+// Guards against a list of members that grows with each VM that is replaced, and the
+// heartbeat interval with it.
 func TestRowsOfReplacedVMsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		start(t, store, "a", "x", "1")
-		c, _ := start(t, store, "c", "x", "1")
-		_, killB := start(t, store, "b", "y", "1")
+		startVM(t, store, "a", "x", "1")
+		c, _ := startVM(t, store, "c", "x", "1")
+		_, killB := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		killB()
-		time.Sleep(removeAfter / 2)
+		time.Sleep(statusRowTTL / 2)
 		if rows, err := kept.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 1 {
-			t.Errorf("%d rows, %v; a VM that may come back was removed", len(rows), err)
+			t.Errorf("%d rows, %v; the row of a VM that may return was removed", len(rows), err)
 		}
-		time.Sleep(removeAfter/2 + 2*rereadEvery)
+		time.Sleep(statusRowTTL/2 + 2*fullReadInterval)
 		if rows, err := kept.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 0 {
-			t.Errorf("%d rows of a VM that is gone, %v", len(rows), err)
+			t.Errorf("%d rows of a dead VM, %v", len(rows), err)
 		}
 		if n := c.budget.FleetSize(); n != 2 {
-			t.Errorf("the calls are divided by %d VMs, and 2 are left", n)
+			t.Errorf("the budget is divided among %d VMs, want 2", n)
 		}
-		start(t, store, "b", "y", "2")
+		startVM(t, store, "b", "y", "2")
 		time.Sleep(2 * time.Second)
 		if !c.Alive("b", "2") {
-			t.Error("a VM that came back after its removal is not known")
+			t.Error("a VM that returned after the removal of its row is not alive")
 		}
 	})
 }
 
-// A VM was cut off and beats again. What it counted meanwhile reaches the store a
-// moment later than its beat: its other calls still wait for answers that were lost.
-// A window that is closed in between is billed with too little.
-func TestReturnedVMIsWaitedForAMoment(t *testing.T) {
+// A VM was cut off from the store and writes heartbeats again. The usage that it
+// counted in the meantime reaches the store shortly after its heartbeat, because its
+// other calls still wait for answers that were lost. A window that is closed before
+// that is reported with too little usage.
+func TestReturnedVMIsAwaitedForTheGracePeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		_, kill := start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		_, kill := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		kill()
 		time.Sleep(3 * time.Second)
-		start(t, store, "b", "y", "1")
+		startVM(t, store, "b", "y", "1")
 		time.Sleep(800 * time.Millisecond)
 		if a.AllHeard() {
-			t.Error("nobody waits for what a VM wrote before it came back")
+			t.Error("a VM that has just returned is not awaited")
 		}
 		time.Sleep(2 * time.Second)
 		if !a.AllHeard() {
-			t.Error("a VM that has beaten for 2.8 s is still waited for")
+			t.Error("a VM that returned 2.8 s ago is still awaited")
 		}
 	})
 }
 
-// The process starts again at once. Its earlier life is over all the same, and
-// with it all that it ran.
-func TestRestartEndsTheEarlierLife(t *testing.T) {
+// A process is killed and starts again at once. Its earlier incarnation is dead
+// nevertheless, and so is all that it ran.
+func TestRestartEndsTheEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		_, kill := start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		_, kill := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		kill()
-		start(t, store, "b", "y", "2")
+		startVM(t, store, "b", "y", "2")
 		time.Sleep(1500 * time.Millisecond)
 		if a.Alive("b", "1") || !a.Alive("b", "2") {
-			t.Error("the lives of b are mixed up")
+			t.Error("incarnation 1 of b is alive, or incarnation 2 is not")
 		}
 	})
 }
 
-// The store is away for longer than any VM may be silent. Nobody could beat, so
-// nobody may be declared dead when it is back: every step would change hands.
-func TestOutageOfTheStoreKillsNobody(t *testing.T) {
+// An outage of the store lasts longer than a VM may be unresponsive. No VM could write
+// a heartbeat, so none may be declared dead after the outage: every step would be taken
+// over.
+func TestNoVMIsDeclaredDeadForAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		store.SetDown(true)
 		time.Sleep(30 * time.Second)
@@ -156,16 +159,16 @@
 	})
 }
 
-// Guards against a bill that lacks what other VMs counted while the store was away: they
-// write it a moment after its return.
-func TestEverybodyIsWaitedForAfterAnOutageOfTheStore(t *testing.T) {
+// Guards against usage reports that lack what other VMs counted during an outage of the
+// store: they write it shortly after the outage.
+func TestAllVMsAreAwaitedAfterAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		startVM(t, store, "b", "y", "1")
 		time.Sleep(4 * time.Second)
 		if !a.AllHeard() {
-			t.Fatal("a VM is waited for without an outage")
+			t.Fatal("a VM is awaited without an outage")
 		}
 		store.SetDown(true)
 		time.Sleep(4 * time.Second)
@@ -173,12 +176,12 @@
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
 			if a.AllHeard() {
-				t.Fatal("nobody is waited for within 1.5 s of the store's return")
+				t.Fatal("no VM is awaited within 1.5 s after the outage")
 			}
 		}
 		time.Sleep(2 * time.Second)
 		if !a.AllHeard() {
-			t.Error("a VM is still waited for 3.5 s after the store's return")
+			t.Error("a VM is still awaited 3.5 s after the outage")
 		}
 	})
 }
@@ -186,8 +189,8 @@
 func TestLeavingVMTakesNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		a, _ := start(t, store, "a", "x", "1")
-		b, _ := start(t, store, "b", "y", "1")
+		a, _ := startVM(t, store, "a", "x", "1")
+		b, _ := startVM(t, store, "b", "y", "1")
 		time.Sleep(2 * time.Second)
 		b.Leave(t.Context())
 		time.Sleep(time.Second)
@@ -195,25 +198,25 @@
 			t.Errorf("live: %v", a.Live())
 		}
 		if a.Rank("work") != 0 {
-			t.Error("a VM that leaves still ranks")
+			t.Error("a leaving VM is ranked")
 		}
 	})
 }
 
-// Work of a failure domain goes to its own VMs first; exactly one VM ranks first.
-func TestRanks(t *testing.T) {
+// The VMs of a failure domain rank first for its duties; exactly one VM has the rank 0.
+func TestVMsOfTheDomainRankFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		var lists []*List
 		for _, vm := range [][2]string{{"a", "x"}, {"b", "x"}, {"c", "y"}, {"d", "y"}} {
-			l, _ := start(t, store, vm[0], vm[1], "1")
+			l, _ := startVM(t, store, vm[0], vm[1], "1")
 			lists = append(lists, l)
 		}
 		time.Sleep(2 * time.Second)
-		for _, work := range []string{"s1", "s2", "s3"} {
+		for _, duty := range []string{"s1", "s2", "s3"} {
 			firsts := 0
 			for _, l := range lists {
-				if l.RankIn(work, "y") == 0 {
+				if l.RankIn(duty, "y") == 0 {
 					firsts++
 					if l.Self().FailureDomain != "y" {
 						t.Errorf("%s ranks first in y", l.Self().ID)
@@ -221,36 +224,37 @@
 				}
 			}
 			if firsts != 1 {
-				t.Errorf("%d VMs rank first for %s", firsts, work)
+				t.Errorf("%d VMs rank first for %s", firsts, duty)
 			}
 		}
 	})
 }
 
-// Guards against steps that are owned in a failure domain other than their trainer's, by a
-// VM too weak to start hundreds of items at once, or by one that the store turns away.
-func TestWorkGoesToStrongVMsOfItsDomain(t *testing.T) {
-	l := New(VM{ID: "self", FailureDomain: "x", Processor: 0.2}, []string{"x", "y"}, memory.New(), direct, budget.New(budget.Rates{}),
+// Guards against steps that are owned in a failure domain other than their trainer's,
+// by a VM too weak to start hundreds of items at once, or by one that can't reach the
+// store directly.
+func TestStrongVMsOfTheDomainRankFirst(t *testing.T) {
+	l := New(VM{ID: "self", FailureDomain: "x", Processor: 0.2}, []string{"x", "y"}, memory.New(), neverViaPeers, budget.New(budget.Rates{}),
 		event.NewRecorder("self", 16, event.NewClock(time.Now), zap.NewNop()))
 	add := func(id, domain string, processor float64) {
-		l.rows[id] = &seen{vm: VM{ID: id, FailureDomain: domain, Processor: processor}}
+		l.rows[id] = &statusRow{vm: VM{ID: id, FailureDomain: domain, Processor: processor}}
 	}
 	add("weak", "x", 0.2)
 	add("strong", "x", 0.8)
 	add("stronger", "x", 0.9)
 	add("far", "y", 1)
-	add("turned away", "x", 0.9)
-	l.rows["turned away"].vm.ViaPeers = true
+	add("via peers", "x", 0.9)
+	l.rows["via peers"].vm.ViaPeers = true
 	for n := range 50 {
-		work := fmt.Sprint("work", n)
-		if first, ok := l.First(work, "x", route.Residency{}); !ok || first.ID != "strong" && first.ID != "stronger" {
-			t.Errorf("%s goes to %q", work, first.ID)
+		duty := fmt.Sprint("work", n)
+		if first, ok := l.First(duty, "x", route.Residency{}); !ok || first.ID != "strong" && first.ID != "stronger" {
+			t.Errorf("%s goes to %q", duty, first.ID)
 		}
-		if first, ok := l.First(work, "z", route.Residency{}); !ok || first.ID == "weak" || first.ID == "self" {
-			t.Errorf("%s of a domain without VMs goes to %q", work, first.ID)
+		if first, ok := l.First(duty, "z", route.Residency{}); !ok || first.ID == "weak" || first.ID == "self" {
+			t.Errorf("%s of a domain without VMs goes to %q", duty, first.ID)
 		}
-		if l.Rank(work) < 3 {
-			t.Errorf("a weak VM ranks %d among three strong ones", l.Rank(work))
+		if l.Rank(duty) < 3 {
+			t.Errorf("a weak VM ranks %d among three strong ones", l.Rank(duty))
 		}
 	}
 }
--- a/internal/member/removal.go
+++ b/internal/member/removal.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	// removeAfter is how long a VM must be silent for its row to be removed. One that
-	// comes back later writes a new row with its first beat.
-	removeAfter = time.Minute
-	// removalWork names the removals in the rank of the VMs.
-	removalWork = "removal of silent members"
+	// statusRowTTL is how long a VM must be unresponsive for its row to be removed. A
+	// VM that returns later writes a new row with its first heartbeat.
+	statusRowTTL = time.Minute
+	// removalDuty is the duty by which the VMs are ranked for the removal of rows.
+	removalDuty = "removal of silent members"
 )
 
-// removeSilent removes the rows of VMs that were replaced for good. The load is a fleet
-// whose VMs change all the time: with their rows the list would grow without end, and with
-// it the periods of the budget.
-func (l *List) removeSilent(ctx context.Context) {
-	if l.Rank(removalWork) != 0 {
+// removeExpired removes the rows of VMs that were replaced for good. In a fleet whose
+// VMs are replaced all the time the list would otherwise grow without bound, and with
+// it the intervals that the budget sets.
+func (l *List) removeExpired(ctx context.Context) {
+	if l.Rank(removalDuty) != 0 {
 		return
 	}
-	for _, s := range l.longSilent() {
-		key := kept.Key{Table: table, Part: s.vm.FailureDomain, Name: s.vm.ID}
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := l.store.Commit(call, kept.Txn{
-			Expected: []kept.Expectation{{Key: key, Version: s.version}},
+	for _, status := range l.expiredRows() {
+		key := kept.Key{Table: table, Part: status.vm.FailureDomain, Name: status.vm.ID}
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
+		_, err := l.store.Commit(callCtx, kept.Txn{
+			Expected: []kept.Expectation{{Key: key, Version: status.version}},
 			Removes:  []kept.Key{key},
 		})
 		cancel()
-		var beaten *kept.Conflict
+		var conflict *kept.Conflict
 		switch {
-		case errors.As(err, &beaten):
+		case errors.As(err, &conflict):
 		case err != nil:
-			l.events.Emit(event.DependencyLost, event.Subject{Peer: s.vm.ID, Detail: "removal of a silent VM: " + err.Error()})
+			l.events.Emit(event.DependencyLost, event.Subject{Peer: status.vm.ID, Detail: "removal of a silent VM: " + err.Error()})
 			return
 		default:
-			l.events.Emit(event.PeerRemoved, event.Subject{Peer: s.vm.ID, Count: s.silent.Milliseconds()})
+			l.events.Emit(event.PeerRemoved, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds()})
 		}
 	}
 }
 
-// longSilent returns what is known of the VMs whose rows may be removed.
-func (l *List) longSilent() []seen {
+// expiredRows returns the rows that may be removed.
+func (l *List) expiredRows() []statusRow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var gone []seen
-	for id, s := range l.rows {
-		if id != l.self.ID && s.silent >= removeAfter {
-			gone = append(gone, *s)
+	var expired []statusRow
+	for id, status := range l.rows {
+		if id != l.self.ID && status.unchangedFor >= statusRowTTL {
+			expired = append(expired, *status)
 		}
 	}
-	return gone
+	return expired
 }
