--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Guard tells whether its holder may still act. It is asked directly before
-// each write to the wire, and the connection carries Deadline as its write
-// deadline: a process that was paused between the two must not go on writing.
+// Guard checks whether its holder may still act. Callers check it directly before each
+// write to the wire, and the connection has Deadline as its write deadline: a process
+// that was paused between the check and the write must not write after the term.
 type Guard interface {
 	// Check fails with *fault.LeaseLost when the lease is not held any more.
 	Check() error
-	// Epoch returns the fencing number of the holder's orders.
+	// Epoch returns the fencing token of the holder's orders.
 	Epoch() uint64
-	// Deadline returns the end of the term; it moves with each renewal.
+	// Deadline returns the end of the term; each renewal extends it.
 	Deadline() time.Time
 }
 
 // Check implements Guard.
 func (h *Hold) Check() error { return h.CheckAt(time.Now()) }
 
-// SettleTime returns how long a new holder waits before its first order to
-// receivers that ignore fencing numbers. An earlier holder may have sent an
-// order just before its term ended; orderTimeout is the longest time after
-// which such an order can still take effect. A margin covers clocks that run at
-// different rates: after a release no term's margin lies between the two.
+// SettleTime returns how long a new holder waits before its first order to receivers
+// that ignore fencing tokens. An earlier holder may have sent an order just before its
+// term ended, and that order can take effect until orderTimeout has passed. A margin
+// covers clocks that run at different rates: after a release, the new holder has not
+// waited for the margin of a term.
 func SettleTime(orderTimeout time.Duration) time.Duration {
-	return orderTimeout + orderTimeout/marginShare
+	return orderTimeout + orderTimeout/marginDivisor
 }
 
-// Settle waits for SettleTime. It fails with *fault.LeaseLost when the lease is
-// lost meanwhile, and with the context's failure when ctx ends.
+// Settle waits for SettleTime. It then fails with *fault.LeaseLost if the lease was
+// lost in the meantime. It fails with the cause of ctx when ctx ends first.
 func Settle(ctx context.Context, g Guard, orderTimeout time.Duration) error {
 	timer := time.NewTimer(SettleTime(orderTimeout))
 	defer timer.Stop()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,12 +1,12 @@
-// Package lease is the aggregate of leases: rows of the table service that put
-// one process at a time in charge of something. Hold and Contender decide
-// without I/O and without a clock; Manager drives them.
+// Package lease implements leases: rows of the store that put at most one process at a
+// time in charge of a duty. Hold and Contender decide without I/O and without a clock;
+// Manager drives them.
 //
-// No wall clock is compared between processes. A holder counts its term from
-// before it sent the renewal, and a contender waits until it has seen the same
-// version of the row for a whole term and a margin on its own clock. The epoch
-// rises with each holder, never repeats, and is the fencing number of every
-// order that the holder gives.
+// Wall clocks of different processes are never compared. A holder counts its term from
+// before it sent the renewal. A contender waits until it has seen the same version of
+// the row for a full term and a margin on its own clock. The epoch rises with each
+// holder and never repeats. It is the fencing token of every order that the holder
+// sends.
 package lease
 
 import (
@@ -21,103 +21,104 @@
 
 // Record is the value of a lease's row.
 type Record struct {
-	// Holder is the owner in charge; empty when the lease was released.
+	// Holder is the identity of the contender that holds the lease; empty after a
+	// release.
 	Holder string `json:"holder"`
-	// Epoch counts the holders from 1.
+	// Epoch counts the holders, starting at 1. It is the fencing token.
 	Epoch uint64 `json:"epoch"`
-	// Renewals counts the renewals of this epoch.
+	// Renewals counts the renewals within the epoch.
 	Renewals uint64 `json:"renewals"`
 }
 
 // Timing holds the durations that holder and contenders agree on. All VMs of a
 // fleet must use the same Term.
 type Timing struct {
-	// Term is how long a renewal lets its holder act.
+	// Term is how long the holder may act after it sent a renewal.
 	Term time.Duration
-	// Margin is what a contender waits beyond the term. It covers clocks that
-	// run at different rates.
+	// Margin is the extra time that a contender waits after the term. It covers clocks
+	// that run at different rates.
 	Margin time.Duration
 }
 
-// marginShare is the part of the term that the margin is by default; monotonic
+// marginDivisor gives the margin of a duration as a fraction of it. The monotonic
 // clocks of healthy machines differ by far less.
-const marginShare = 4
+const marginDivisor = 4
 
-// NewTiming returns the timing for a term.
+// NewTiming returns the timing for a term, with the default margin.
 func NewTiming(term time.Duration) Timing {
-	return Timing{Term: term, Margin: term / marginShare}
+	return Timing{Term: term, Margin: term / marginDivisor}
 }
 
-// Contender decides when one owner may take a lease.
+// Contender decides when a process may take a lease.
 type Contender struct {
-	owner  string
-	timing Timing
-	// predecessors starts the owners of earlier processes of this VM, which are
-	// known to be dead; empty when nothing is known.
-	predecessors string
+	identity string
+	timing   Timing
+	// predecessorPrefix is the prefix of the identities of earlier processes of this
+	// VM, which are known to be dead; empty when that is not known.
+	predecessorPrefix string
 
-	seen    bool
-	version uint64
-	since   time.Time
+	observed       bool
+	version        uint64
+	unchangedSince time.Time
 }
 
-// NewContender returns a contender that has not seen the row yet. The owner
-// must be unique for each try to be in charge, over all processes and restarts:
-// a restarted process must not take its predecessor's lease for its own.
-func NewContender(owner string, timing Timing) *Contender {
-	return &Contender{owner: owner, timing: timing}
+// NewContender returns a contender that has not seen the row yet. The identity must be
+// unique for each campaign, over all processes and restarts: a restarted process must
+// not mistake its predecessor's lease for its own.
+func NewContender(identity string, timing Timing) *Contender {
+	return &Contender{identity: identity, timing: timing}
 }
 
-// Observe notes a version of the row at now, which must be read after the reply
-// came: the version may have been written after the request was sent.
+// Observe records that the row was read at version. now must be taken after the reply
+// arrived: the version may have been written after the request was sent.
 func (c *Contender) Observe(version uint64, now time.Time) {
-	if c.seen && c.version == version {
+	if c.observed && c.version == version {
 		return
 	}
-	c.seen = true
+	c.observed = true
 	c.version = version
-	c.since = now
+	c.unchangedSince = now
 }
 
-// Silence returns for how long the row has stayed at the same version.
+// Silence returns how long the row has stayed at the same version.
 func (c *Contender) Silence(now time.Time) time.Duration {
-	if !c.seen {
+	if !c.observed {
 		return 0
 	}
-	return now.Sub(c.since)
+	return now.Sub(c.unchangedSince)
 }
 
-// Wait returns how much longer the contender must see the row as it is before
-// it may take the lease; 0 or less means that it may now. A free lease is
-// taken at once by a candidate; patience is what others wait in addition.
+// Wait returns how much longer the row must stay unchanged before the contender may
+// take the lease; 0 or less means that it may take it now. extra is added to the wait,
+// also for a free lease: candidates pass 0, standby VMs more.
 //
-// A record of the contender's own is the trace of a try whose reply was lost.
-// Nothing was ordered under it, so there is nobody to wait for.
-func (c *Contender) Wait(record Record, now time.Time, patience time.Duration) time.Duration {
-	if record.Holder == c.owner || c.succeeds(record) {
+// A record with the contender's own identity was written by a commit whose reply was
+// lost. No order was sent under that record, so there is no holder to wait for.
+func (c *Contender) Wait(record Record, now time.Time, extra time.Duration) time.Duration {
+	if record.Holder == c.identity || c.isHeldByPredecessor(record) {
 		return 0
 	}
-	silence := patience
+	required := extra
 	if record.Holder != "" {
-		silence += c.timing.Term + c.timing.Margin
+		required += c.timing.Term + c.timing.Margin
 	}
-	return silence - c.Silence(now)
+	return required - c.Silence(now)
 }
 
-// succeeds reports whether the holder was an earlier process of this VM. It can't
-// act any more, so that waiting for the end of its term guards nothing: after a
-// loss of power of all VMs nobody would be in charge for a whole term.
-func (c *Contender) succeeds(record Record) bool {
-	return c.predecessors != "" && strings.HasPrefix(record.Holder, c.predecessors)
+// isHeldByPredecessor reports whether the holder is an earlier process of this VM. That
+// process can't act any more, so waiting for the end of its term guards against
+// nothing: after a power loss of all VMs, no VM would hold the lease for a full term.
+func (c *Contender) isHeldByPredecessor(record Record) bool {
+	return c.predecessorPrefix != "" && strings.HasPrefix(record.Holder, c.predecessorPrefix)
 }
 
-// Take returns the record that puts the contender in charge. The epoch rises
-// even over the contender's own record, so that no epoch is used twice.
+// Take returns the record that makes the contender the holder. The epoch rises even
+// over the contender's own record, so that no epoch is used twice.
 func (c *Contender) Take(record Record) Record {
-	return Record{Holder: c.owner, Epoch: record.Epoch + 1}
+	return Record{Holder: c.identity, Epoch: record.Epoch + 1}
 }
 
-// Hold is the lease in its holder's eyes. It is safe for concurrent use.
+// Hold is a held lease as its holder knows it. It is safe for concurrent use.
 type Hold struct {
 	name   string
 	timing Timing
@@ -126,12 +127,12 @@
 	record   Record
 	version  uint64
 	deadline time.Time
-	over     bool
+	ended    bool
 }
 
-// NewHold returns the hold that began when record was committed as version.
-// sentAt must be read before the commit was sent: the row may have been written
-// at once, and a contender's wait may count from then.
+// NewHold returns the hold of a lease that was acquired by committing record as
+// version. sentAt must be taken before the commit was sent: the row may have been
+// written at once, and a contender may count its wait from then.
 func NewHold(name string, timing Timing, record Record, version uint64, sentAt time.Time) *Hold {
 	return &Hold{
 		name:     name,
@@ -142,7 +143,7 @@
 	}
 }
 
-// Epoch returns the fencing number.
+// Epoch returns the fencing token.
 func (h *Hold) Epoch() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,18 +157,18 @@
 	return h.deadline
 }
 
-// CheckAt reports whether the holder may act at now. It fails with
-// *fault.LeaseLost.
+// CheckAt fails with *fault.LeaseLost if the lease is not held at now.
 func (h *Hold) CheckAt(now time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over || !now.Before(h.deadline) {
+	if h.ended || !now.Before(h.deadline) {
 		return errors.WithStack(&fault.LeaseLost{Lease: h.name, Epoch: h.record.Epoch})
 	}
 	return nil
 }
 
-// Renewal returns the record and the version that the next renewal replaces.
+// Renewal returns the record of the next renewal and the version of the row that it
+// replaces.
 func (h *Hold) Renewal() (next Record, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +177,7 @@
 	return next, h.version
 }
 
-// Renewed notes that a renewal was committed which was sent at sentAt.
+// Renewed records a committed renewal that was sent at sentAt.
 func (h *Hold) Renewed(record Record, version uint64, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,15 +188,15 @@
 	}
 }
 
-// Seen takes the row as it was read after a renewal failed, and reports whether
-// the lease is still this hold's. A row that is still of this epoch shows a
-// renewal whose reply was lost. Its term is not counted: it is not known which
-// try wrote it.
+// Seen records the row as it was read after a renewal failed, and reports whether this
+// hold still has the lease. A row of the same holder and epoch shows a renewal whose
+// reply was lost. That renewal does not extend the term, because it is not known when
+// it was sent.
 func (h *Hold) Seen(record Record, version uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over || record.Holder != h.record.Holder || record.Epoch != h.record.Epoch {
-		h.over = true
+	if h.ended || record.Holder != h.record.Holder || record.Epoch != h.record.Epoch {
+		h.ended = true
 		return false
 	}
 	h.record = record
@@ -207,11 +208,11 @@
 func (h *Hold) End() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
+	h.ended = true
 }
 
-// Release returns the record that frees the lease and the version that it
-// replaces. The epoch stays, so that the next holder's is larger.
+// Release returns the record that frees the lease and the version of the row that it
+// replaces. The epoch stays, so that the next holder's epoch is larger.
 func (h *Hold) Release() (next Record, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,10 +9,10 @@
 
 var testTiming = NewTiming(10 * time.Second)
 
-// A holder is paused just after it sent a renewal. If it counted its term from
-// the reply it would still act when another VM is already in charge, and the
-// platform would get orders from both.
-func TestHoldCountsFromBeforeTheRenewalWasSent(t *testing.T) {
+// A holder is paused just after it sent a renewal. If it counted its term from the
+// reply, it would still act when another VM already holds the lease, and the platform
+// would get orders from both.
+func TestTermCountsFromBeforeTheRenewalWasSent(t *testing.T) {
 	start := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, start)
 	next, version := hold.Renewal()
@@ -26,8 +26,8 @@
 	}
 }
 
-// Replies to two renewals come back in the wrong order. The term must not
-// shrink to the older one, nor grow beyond the newer.
+// The replies to two renewals arrive in reverse order. The term must neither shrink to
+// that of the older one nor grow beyond that of the newer one.
 func TestHoldKeepsTheNewestTerm(t *testing.T) {
 	start := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, start)
@@ -38,20 +38,20 @@
 	}
 }
 
-// A contender sees renewals go on and then stop. It must wait a whole term and
-// the margin from when it saw the last one, not from when it began to watch.
-func TestContenderWaitsForAWholeSilentTerm(t *testing.T) {
+// A contender sees several renewals and then none. It must wait for the term and the
+// margin from the moment at which it saw the last renewal, not from its first read.
+func TestContenderWaitsForAFullTermWithoutRenewal(t *testing.T) {
 	start := time.Now()
 	held := Record{Holder: "x", Epoch: 7}
 	c := NewContender("y", testTiming)
 	c.Observe(5, start)
 	renewed := start.Add(9 * time.Second)
 	c.Observe(6, renewed)
-	whole := testTiming.Term + testTiming.Margin
-	if wait := c.Wait(held, renewed.Add(whole-1), 0); wait != 1 {
+	full := testTiming.Term + testTiming.Margin
+	if wait := c.Wait(held, renewed.Add(full-1), 0); wait != 1 {
 		t.Errorf("wait just before the end is %v, want 1ns", wait)
 	}
-	if wait := c.Wait(held, renewed.Add(whole), 0); wait > 0 {
+	if wait := c.Wait(held, renewed.Add(full), 0); wait > 0 {
 		t.Errorf("wait at the end is %v, want none", wait)
 	}
 	if got := c.Take(held); got.Epoch != 8 || got.Holder != "y" {
@@ -59,9 +59,9 @@
 	}
 }
 
-// A lease is released and taken again. If the epoch began anew, a receiver
-// would take an old holder's order for the new holder's.
-func TestEpochRisesOverARelease(t *testing.T) {
+// A lease is released and acquired again. If the epoch started again at 1, a receiver
+// would take an order of the old holder for one of the new holder.
+func TestEpochRisesAfterARelease(t *testing.T) {
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 7}, 9, time.Now())
 	free, version := hold.Release()
 	if free.Holder != "" || free.Epoch != 7 || version != 9 {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Another VM took the lease while a renewal was on its way. The row that the
-// holder then reads ends its hold for good, even if its own term still runs.
+// Another VM took the lease while a renewal was in flight. The row that the holder then
+// reads ends its hold for good, even if its own term has not ended.
 func TestHoldEndsWhenTheRowShowsAnotherEpoch(t *testing.T) {
 	now := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, now)
@@ -81,15 +81,15 @@
 		t.Fatal("a renewal whose reply was lost ended the hold")
 	}
 	if hold.Seen(Record{Holder: "y", Epoch: 2}, 3) || hold.CheckAt(now) == nil {
-		t.Error("the hold goes on after another VM took the lease")
+		t.Error("the hold is still valid after another VM took the lease")
 	}
 	if hold.Seen(Record{Holder: "x", Epoch: 1}, 2) {
-		t.Error("an old row brought the hold back")
+		t.Error("an old row made the hold valid again")
 	}
 }
 
-// VMs don't agree on the list of live VMs, but those with the same list must
-// agree on the candidates, or none or all of them contend.
+// VMs may have different lists of live VMs, but those with the same list must agree on
+// the candidates. Otherwise none or all of them might contend.
 func TestRankIsAPermutationOfTheLiveVMs(t *testing.T) {
 	live := []string{"a", "b", "c", "d", "e"}
 	seen := map[int]bool{}
@@ -106,25 +106,25 @@
 	}
 }
 
-// All VMs lose power and start again. The holder's term goes on in the store, and
-// nobody would be in charge until it has ended, though the holder's own VM knows
-// that its old process is dead.
-func TestNewProcessSucceedsItsPredecessor(t *testing.T) {
+// All VMs lose power and start again. The term of the holder is still running in the
+// store. No VM would hold the lease until the term ends, although the holder's own VM
+// knows that its old process is dead.
+func TestNewProcessTakesItsPredecessorsLeaseAtOnce(t *testing.T) {
 	timing := NewTiming(3 * time.Second)
 	now := time.Unix(1000, 0)
 	record := Record{Holder: "vm-1/old", Epoch: 7}
 	for _, c := range []struct {
-		name         string
-		predecessors string
-		wait         bool
+		name              string
+		predecessorPrefix string
+		wait              bool
 	}{
 		{"its own VM", "vm-1/", false},
 		{"another VM", "vm-2/", true},
-		{"a VM whose name begins alike", "vm-/", true},
-		{"nothing known", "", true},
+		{"a VM whose name is a prefix of the holder's", "vm-/", true},
+		{"predecessors not known", "", true},
 	} {
 		contender := NewContender("me/new", timing)
-		contender.predecessors = c.predecessors
+		contender.predecessorPrefix = c.predecessorPrefix
 		contender.Observe(4, now)
 		if got := contender.Wait(record, now, 0) > 0; got != c.wait {
 			t.Errorf("%s waits: %v", c.name, got)
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -11,31 +11,32 @@
 )
 
 // machineNodes is how many nodes contend, as in spec/lease.pml.
-const machineNodes = 2
+const nodeCount = 2
 
 // node is one process of the model: it contends or holds.
 type node struct {
-	lives     int
-	contender *Contender
-	hold      *Hold
+	incarnations int
+	contender    *Contender
+	hold         *Hold
 }
 
 func (n *node) restart(id int) {
-	n.lives++
+	n.incarnations++
 	n.hold = nil
-	n.contender = NewContender(fmt.Sprint("node-", id, "/", n.lives), testTiming)
+	n.contender = NewContender(fmt.Sprint("node-", id, "/", n.incarnations), testTiming)
 }
 
-// machine is the row and the nodes, with a clock that the actions move. Its
-// actions are those of spec/lease.pml, over the functions of this package.
+// machine is the system under test: the row and the nodes, with a clock that the
+// actions advance. Its actions are those of spec/lease.pml, over the functions of this
+// package.
 type machine struct {
 	now     time.Time
 	row     Record
 	version uint64
-	nodes   [machineNodes]node
-	// holders keeps who acted under each epoch.
-	holders map[uint64]string
-	broken  string
+	nodes   [nodeCount]node
+	// holders maps each epoch to the identity that acted under it.
+	holders   map[uint64]string
+	violation string
 }
 
 func newMachine() *machine {
@@ -46,7 +47,7 @@
 	return m
 }
 
-func (m *machine) swap(expected uint64, next Record) bool {
+func (m *machine) compareAndSwap(expected uint64, next Record) bool {
 	if m.version != expected {
 		return false
 	}
@@ -55,9 +56,9 @@
 	return true
 }
 
-// contend reads the row and takes the lease if it may. lost drops the reply of
-// the taking; delay passes between sending and taking effect, and once more
-// before the reply.
+// contend reads the row and takes the lease if it may. If lost, the reply of the commit
+// is lost. delay passes before the row is observed, between sending the commit and its
+// effect, and between the effect and the reply.
 func (m *machine) contend(n *node, lost bool, delay time.Duration) {
 	record, version := m.row, m.version
 	m.now = m.now.Add(delay)
@@ -68,9 +69,9 @@
 	sentAt := m.now
 	m.now = m.now.Add(delay)
 	next := n.contender.Take(record)
-	taken := m.swap(version, next)
+	acquired := m.compareAndSwap(version, next)
 	m.now = m.now.Add(delay)
-	if taken && !lost {
+	if acquired && !lost {
 		n.hold = NewHold("a", testTiming, next, version+1, sentAt)
 	}
 }
@@ -79,7 +80,7 @@
 	next, version := n.hold.Renewal()
 	sentAt := m.now
 	m.now = m.now.Add(delay)
-	renewed := m.swap(version, next)
+	renewed := m.compareAndSwap(version, next)
 	m.now = m.now.Add(delay)
 	if renewed && !lost {
 		n.hold.Renewed(next, version+1, sentAt)
@@ -90,41 +91,41 @@
 	}
 }
 
-// act asks the guard. When it passes, nobody else has taken the lease, and the
-// epoch is this holder's alone.
-func (m *machine) act(n *node) {
+// checkGuard checks the guard of a node. If the guard passes, no other node may have
+// taken the lease, and the epoch must belong to this holder alone.
+func (m *machine) checkGuard(n *node) {
 	if n.hold.CheckAt(m.now) != nil {
 		return
 	}
-	epoch, owner := n.hold.Epoch(), n.contender.owner
-	if m.row.Holder != owner || m.row.Epoch != epoch {
-		m.broken = fmt.Sprintf("%s passes the guard with epoch %d, the row is %+v", owner, epoch, m.row)
+	epoch, identity := n.hold.Epoch(), n.contender.identity
+	if m.row.Holder != identity || m.row.Epoch != epoch {
+		m.violation = fmt.Sprintf("%s passes the guard with epoch %d, the row is %+v", identity, epoch, m.row)
 	}
-	if other, ok := m.holders[epoch]; ok && other != owner {
-		m.broken = fmt.Sprintf("%s and %s share the epoch %d", other, owner, epoch)
+	if other, ok := m.holders[epoch]; ok && other != identity {
+		m.violation = fmt.Sprintf("%s and %s share the epoch %d", other, identity, epoch)
 	}
-	m.holders[epoch] = owner
+	m.holders[epoch] = identity
 }
 
 func (m *machine) release(n *node) {
 	next, version := n.hold.Release()
 	n.hold.End()
 	n.hold = nil
-	m.swap(version, next)
+	m.compareAndSwap(version, next)
 }
 
-// The actions of a machine.
+// The kinds of actions. actionCommit contends or renews.
 const (
-	actionPass = iota
-	actionStep
-	actionStepLost
-	actionAct
+	actionAdvanceClock = iota
+	actionCommit
+	actionCommitReplyLost
+	actionCheckGuard
 	actionRelease
 	actionRestart
-	actions
+	actionCount
 )
 
-// action is one command: a node does something, and delay passes.
+// action is one command: a node acts, and delay passes.
 type action struct {
 	kind, node int
 	delay      time.Duration
@@ -140,25 +141,25 @@
 	m := sut.(*machine)
 	n := &m.nodes[a.node]
 	switch {
-	case a.kind == actionPass:
+	case a.kind == actionAdvanceClock:
 		m.now = m.now.Add(a.delay)
 	case a.kind == actionRestart:
 		n.restart(a.node)
 	case n.hold == nil:
-		m.contend(n, a.kind == actionStepLost, a.delay)
+		m.contend(n, a.kind == actionCommitReplyLost, a.delay)
 	case a.kind == actionRelease:
 		m.release(n)
-	case a.kind == actionAct:
-		m.act(n)
+	case a.kind == actionCheckGuard:
+		m.checkGuard(n)
 	default:
-		m.renew(n, a.kind == actionStepLost, a.delay)
+		m.renew(n, a.kind == actionCommitReplyLost, a.delay)
 	}
 	for id := range m.nodes {
 		if m.nodes[id].hold != nil {
-			m.act(&m.nodes[id])
+			m.checkGuard(&m.nodes[id])
 		}
 	}
-	return m.broken
+	return m.violation
 }
 
 // NextState implements commands.Command; the machine itself is the state.
@@ -175,8 +176,8 @@
 	return gopter.NewPropResult(false, result.(string))
 }
 
-// Two nodes do anything in any order: contend, renew, lose replies, pause,
-// release, die. Whoever passes the guard must be the only one in charge.
+// Two nodes contend, renew, lose replies, pause, release and restart in any order. A
+// node whose guard passes must be the only holder.
 func TestLeaseMachine(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(4)
 	parameters.MinSuccessfulTests = 2000
@@ -187,8 +188,8 @@
 		InitialStateGen:        gen.Const(0),
 		GenCommandFunc: func(commands.State) gopter.Gen {
 			return gopter.CombineGens(
-				gen.IntRange(0, actions-1),
-				gen.IntRange(0, machineNodes-1),
+				gen.IntRange(0, actionCount-1),
+				gen.IntRange(0, nodeCount-1),
 				gen.Int64Range(0, int64(testTiming.Term)),
 			).Map(func(drawn []any) commands.Command {
 				return action{kind: drawn[0].(int), node: drawn[1].(int), delay: time.Duration(drawn[2].(int64))}
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -14,64 +14,62 @@
 	"dogwoodpond/internal/wait"
 )
 
-// keyPrefix starts the keys of the rows of leases.
+// keyPrefix is the prefix of the row keys of leases.
 const keyPrefix = "lease/"
 
-// Parts of the term. A holder renews three times a term, so that two renewals
-// may fail before it must stop.
+// Divisors of the term. A holder renews three times per term, so that two renewals may
+// fail before it must stop.
 const (
-	renewParts = 3
-	retryParts = 12
-	pollParts  = 3
-	callParts  = 6
+	renewDivisor       = 3
+	retryDivisor       = 12
+	pollDivisor        = 3
+	callTimeoutDivisor = 6
 )
 
-// readyPoll is how often a VM looks whether its rank is known.
-const readyPoll = 50 * time.Millisecond
+// readyPollInterval is the interval between checks whether the VM's rank is known.
+const readyPollInterval = 50 * time.Millisecond
 
-// Manager campaigns for leases on behalf of one VM. It is safe for concurrent
-// use.
+// Manager campaigns for leases on behalf of one VM. It is safe for concurrent use.
 type Manager struct {
 	tables platform.Tables
-	holder string
+	vm     string
 	timing Timing
 	events *event.Recorder
 	ranker Ranker
-	// sole is true when no earlier process of the holder's VM can still run.
-	sole bool
-	// ready tells whether the VM's rank is known.
+	// soleProcess is true when no earlier process of the VM can still run.
+	soleProcess bool
+	// ready reports whether the VM's rank is known.
 	ready func() bool
 }
 
-// Option changes a Manager.
+// Option configures a Manager.
 type Option func(*Manager)
 
-// WithRanker lets only the best ranked VMs contend at first. Without it every
+// WithRanker lets only the VMs with the best ranks contend at first. Without it every
 // VM contends.
 func WithRanker(ranker Ranker) Option {
 	return func(m *Manager) { m.ranker = ranker }
 }
 
-// WithReady lets the VM contend only once its rank is known. VMs that start together would
-// otherwise all contend for every lease.
+// WithReady lets the VM contend only once ready returns true, which means that its rank
+// is known. VMs that start together would otherwise all contend for every lease.
 func WithReady(ready func() bool) Option {
 	return func(m *Manager) { m.ready = ready }
 }
 
-// WithSoleProcess tells that the VM runs one process at a time, and that no other VM
-// ever bears the holder's name. A new process then takes the leases of its
-// predecessor without waiting for the end of their terms.
+// WithSoleProcess declares that the VM runs one process at a time, and that no other VM
+// ever has its name. A new process then takes the leases of its predecessor without
+// waiting for the end of their terms.
 func WithSoleProcess() Option {
-	return func(m *Manager) { m.sole = true }
+	return func(m *Manager) { m.soleProcess = true }
 }
 
-// NewManager returns a manager for the VM named holder. All VMs must use the
-// same term.
-func NewManager(tables platform.Tables, holder string, term time.Duration, events *event.Recorder, options ...Option) *Manager {
+// NewManager returns a manager for the VM named vm. All VMs must use the same term.
+func NewManager(tables platform.Tables, vm string, term time.Duration, events *event.Recorder, options ...Option) *Manager {
 	timing := NewTiming(term)
 	m := &Manager{
-		tables: timedTables{tables: tables, timeout: timing.Term / callParts},
-		holder: holder,
+		tables: timedTables{tables: tables, timeout: timing.Term / callTimeoutDivisor},
+		vm:     vm,
 		timing: timing,
 		events: events,
 		ranker: func(string) int { return 0 },
@@ -83,49 +81,49 @@
 	return m
 }
 
-// Campaign tries to take the named lease until ctx ends. While it holds it, it
-// calls held with a context that ends when the lease is lost or ctx ends. When
-// held returns the lease is released. Campaign goes on until ctx ends, and then
-// returns its failure, or until held returns true and no failure, and then
-// returns nil. When ctx ends the lease is renewed until held has returned, so
-// that a drain can finish what it began.
-func (m *Manager) Campaign(ctx context.Context, name string, held func(ctx context.Context, g Guard) (done bool, err error)) error {
+// Campaign contends for the named lease. Each time it has acquired the lease it calls
+// run, with a context that ends when the lease is lost or ctx ends, and releases the
+// lease when run returns. Campaign returns nil once run has returned true and no error.
+// Otherwise it continues until ctx ends, and returns the cause of ctx. After the end of
+// ctx the lease is still renewed until run has returned, so that a draining VM can
+// finish what it began.
+func (m *Manager) Campaign(ctx context.Context, name string, run func(ctx context.Context, g Guard) (done bool, err error)) error {
 	c := &campaign{
-		manager: m,
-		name:    name,
-		owner:   m.holder + "/" + platform.NewNonce(),
+		manager:  m,
+		name:     name,
+		identity: m.vm + "/" + platform.NewNonce(),
 	}
-	c.contender = NewContender(c.owner, m.timing)
-	if m.sole {
-		c.contender.predecessors = m.holder + "/"
+	c.contender = NewContender(c.identity, m.timing)
+	if m.soleProcess {
+		c.contender.predecessorPrefix = m.vm + "/"
 	}
 	for {
 		hold, err := c.acquire(ctx)
 		if err != nil {
 			return err
 		}
-		done, err := c.serve(ctx, hold, held)
+		done, err := c.serve(ctx, hold, run)
 		if done && err == nil {
 			return nil
 		}
-		if err := sleep(ctx, m.timing.Term/retryParts); err != nil {
+		if err := sleep(ctx, m.timing.Term/retryDivisor); err != nil {
 			return err
 		}
 	}
 }
 
-// Serve campaigns for the named lease until ctx ends, and calls serve whenever it
-// holds it. What serve fails with is told by the events of the lease; the failure of
-// the campaign itself is the end of ctx.
+// Serve campaigns for the named lease until ctx ends, and calls serve each time it has
+// acquired the lease. It discards the errors of serve, because events report the loss
+// and the release of the lease, and that of Campaign, which is only the end of ctx.
 func (m *Manager) Serve(ctx context.Context, name string, serve func(ctx context.Context, g Guard) error) {
 	_ = m.Campaign(ctx, name, func(ctx context.Context, g Guard) (bool, error) { return false, serve(ctx, g) })
 }
 
-// campaign is one call of Campaign.
+// campaign is the state of one call of Campaign.
 type campaign struct {
 	manager   *Manager
 	name      string
-	owner     string
+	identity  string
 	contender *Contender
 }
 
@@ -138,103 +136,104 @@
 // acquire contends until the lease is held or ctx ends.
 func (c *campaign) acquire(ctx context.Context) (*Hold, error) {
 	for !c.manager.ready() {
-		if err := sleep(ctx, readyPoll); err != nil {
+		if err := sleep(ctx, readyPollInterval); err != nil {
 			return nil, err
 		}
 	}
 	for {
-		hold, pause := c.contend(ctx)
+		hold, delay := c.tryAcquire(ctx)
 		if hold != nil {
 			return hold, nil
 		}
-		if err := sleep(ctx, pause); err != nil {
+		if err := sleep(ctx, delay); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// contend looks at the row once and takes the lease when it may. Otherwise it
-// returns how long to pause.
-func (c *campaign) contend(ctx context.Context) (*Hold, time.Duration) {
+// tryAcquire reads the row once and takes the lease if it may. Otherwise it returns the
+// delay until the next try.
+func (c *campaign) tryAcquire(ctx context.Context) (*Hold, time.Duration) {
 	record, version, err := c.read(ctx)
 	if err != nil {
-		return nil, c.poll()
+		return nil, c.pollInterval()
 	}
 	now := time.Now()
 	c.contender.Observe(version, now)
-	if left := c.contender.Wait(record, now, c.patience()); left > 0 {
-		return nil, min(left, c.poll())
+	if remaining := c.contender.Wait(record, now, c.standbyDelay()); remaining > 0 {
+		return nil, min(remaining, c.pollInterval())
 	}
 	next := c.contender.Take(record)
 	sentAt := time.Now()
 	if err := c.write(ctx, next, version); err != nil {
-		return nil, c.retry()
+		return nil, c.retryBackoff()
 	}
 	c.emit(event.LeaseAcquired, next.Epoch)
 	return NewHold(c.name, c.manager.timing, next, version+1, sentAt), 0
 }
 
-func (c *campaign) candidate() bool { return c.manager.ranker(c.name) < candidates }
+func (c *campaign) isCandidate() bool { return c.manager.ranker(c.name) < maxCandidates }
 
-func (c *campaign) patience() time.Duration {
-	if c.candidate() {
+func (c *campaign) standbyDelay() time.Duration {
+	if c.isCandidate() {
 		return 0
 	}
-	return silentTerms * c.manager.timing.Term
+	return standbyTerms * c.manager.timing.Term
 }
 
-// poll returns the period of reading the row. VMs that are no candidates read
-// it seldom, so that a large fleet does not use up the store's reads.
-func (c *campaign) poll() time.Duration {
-	period := c.manager.timing.Term / pollParts
-	if !c.candidate() {
-		period = silentTerms * c.manager.timing.Term
+// pollInterval returns the interval between two reads of the row. Standby VMs read it
+// seldom, so that a large fleet does not use up the store's reads.
+func (c *campaign) pollInterval() time.Duration {
+	interval := c.manager.timing.Term / pollDivisor
+	if !c.isCandidate() {
+		interval = standbyTerms * c.manager.timing.Term
 	}
-	return period/2 + time.Duration(spread(c.name, c.owner)*float64(period)/2)
+	return interval/2 + time.Duration(jitter(c.name, c.identity)*float64(interval)/2)
 }
 
-func (c *campaign) retry() time.Duration {
-	period := c.manager.timing.Term / retryParts
-	return period/2 + time.Duration(spread(c.name, c.owner)*float64(period)/2)
+func (c *campaign) retryBackoff() time.Duration {
+	backoff := c.manager.timing.Term / retryDivisor
+	return backoff/2 + time.Duration(jitter(c.name, c.identity)*float64(backoff)/2)
 }
 
-// serve runs held while the lease is renewed, and then releases it.
-func (c *campaign) serve(ctx context.Context, hold *Hold, held func(context.Context, Guard) (bool, error)) (bool, error) {
-	renewing, stopRenewing := context.WithCancel(context.WithoutCancel(ctx))
-	serving, stopServing := context.WithCancelCause(ctx)
-	// Whoever notices the loss first, the renewals or the work, it is told once.
-	noteLoss := sync.OnceFunc(func() { c.emit(event.LeaseLost, hold.Epoch()) })
-	var renewal sync.WaitGroup
-	renewal.Go(func() {
-		if lost := c.keep(renewing, hold); lost != nil {
-			noteLoss()
-			stopServing(lost)
+// serve calls run while the lease is renewed, and then releases the lease.
+func (c *campaign) serve(ctx context.Context, hold *Hold, run func(context.Context, Guard) (bool, error)) (bool, error) {
+	renewCtx, stopRenewing := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stopRun := context.WithCancelCause(ctx)
+	// The loss can be found by renewLoop or after run has returned; the event is
+	// emitted once.
+	emitLoss := sync.OnceFunc(func() { c.emit(event.LeaseLost, hold.Epoch()) })
+	var renewals sync.WaitGroup
+	renewals.Go(func() {
+		if lossErr := c.renewLoop(renewCtx, hold); lossErr != nil {
+			emitLoss()
+			stopRun(lossErr)
 		}
 	})
 	defer func() {
 		stopRenewing()
-		renewal.Wait()
-		stopServing(nil)
+		renewals.Wait()
+		stopRun(nil)
 		if hold.Check() != nil {
-			noteLoss()
+			emitLoss()
 			return
 		}
 		c.release(ctx, hold)
 	}()
-	return held(serving, hold)
+	return run(runCtx, hold)
 }
 
-// keep renews the lease until ctx ends, and then returns nil, or until the
-// lease is lost.
-func (c *campaign) keep(ctx context.Context, hold *Hold) error {
-	pause := c.manager.timing.Term / renewParts
+// renewLoop renews the lease. It returns nil when ctx ends, and *fault.LeaseLost when
+// the lease is lost.
+func (c *campaign) renewLoop(ctx context.Context, hold *Hold) error {
+	delay := c.manager.timing.Term / renewDivisor
 	for {
-		if sleep(ctx, min(pause, time.Until(hold.Deadline()))) != nil {
+		if sleep(ctx, min(delay, time.Until(hold.Deadline()))) != nil {
 			return nil
 		}
-		pause = c.manager.timing.Term / renewParts
+		delay = c.manager.timing.Term / renewDivisor
 		if !c.renew(ctx, hold) {
-			pause = c.manager.timing.Term / retryParts
+			delay = c.manager.timing.Term / retryDivisor
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -246,10 +245,11 @@
 	}
 }
 
-// renew tries one renewal and reports whether it was committed. When it was
-// not, the row tells whether the lease is still held.
+// renew tries one renewal and reports whether it was committed. After a failure it
+// reads the row to find out whether the lease is still held.
 func (c *campaign) renew(ctx context.Context, hold *Hold) bool {
-	// The end of the term must not go unnoticed while the store is silent.
+	// The calls end with the term, so that an unresponsive store does not delay the
+	// detection of the loss.
 	ctx, cancel := context.WithDeadline(ctx, hold.Deadline())
 	defer cancel()
 	next, version := hold.Renewal()
@@ -266,8 +266,8 @@
 	return false
 }
 
-// release frees the lease, so that a successor need not wait for the term. A
-// failure costs only that wait.
+// release frees the lease, so that a successor need not wait for the end of the term.
+// If the release fails, the successor waits for it.
 func (c *campaign) release(ctx context.Context, hold *Hold) {
 	hold.End()
 	next, version := hold.Release()
@@ -276,7 +276,7 @@
 	}
 }
 
-// read returns the row's record; an absent row is a record without a holder.
+// read returns the record in the row; for an absent row, a record without a holder.
 func (c *campaign) read(ctx context.Context) (Record, uint64, error) {
 	var record Record
 	row, err := c.manager.tables.Get(ctx, c.key())
@@ -299,7 +299,7 @@
 	})
 }
 
-// sleep pauses for d or until ctx ends, and then returns its failure.
+// sleep waits for d. It fails with the cause of ctx when ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if !wait.For(ctx, d) {
 		return errors.WithStack(context.Cause(ctx))
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -19,68 +19,68 @@
 
 // order is one order that an upstream accepted.
 type order struct {
-	by    string
-	epoch uint64
-	at    time.Duration
+	sender string
+	epoch  uint64
+	at     time.Duration
 }
 
-// orders is an upstream that takes orders. It notes every order and the sender.
-type orders struct {
-	start time.Time
-	mu    sync.Mutex
-	taken []order
+// fakeUpstream accepts every order, and records it with its sender.
+type fakeUpstream struct {
+	start    time.Time
+	mu       sync.Mutex
+	accepted []order
 }
 
-func (o *orders) take(by string, epoch uint64) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.taken = append(o.taken, order{by: by, epoch: epoch, at: time.Since(o.start)})
+func (u *fakeUpstream) accept(sender string, epoch uint64) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.accepted = append(u.accepted, order{sender: sender, epoch: epoch, at: time.Since(u.start)})
 }
 
-// holders returns the senders in the order of their first orders.
-func (o *orders) holders() []string {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// senders returns the senders in the order of their first orders.
+func (u *fakeUpstream) senders() []string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	var names []string
-	for _, taken := range o.taken {
-		if !slices.Contains(names, taken.by) {
-			names = append(names, taken.by)
+	for _, accepted := range u.accepted {
+		if !slices.Contains(names, accepted.sender) {
+			names = append(names, accepted.sender)
 		}
 	}
 	return names
 }
 
-// check fails unless epochs never fall and each belongs to one sender.
-func (o *orders) check(t *testing.T) {
+// check fails the test unless epochs never fall and each epoch belongs to one sender.
+func (u *fakeUpstream) check(t *testing.T) {
 	t.Helper()
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	senders := map[uint64]string{}
 	var newest uint64
-	for _, taken := range o.taken {
-		if taken.epoch < newest {
-			t.Errorf("%s gave an order of epoch %d after epoch %d", taken.by, taken.epoch, newest)
+	for _, accepted := range u.accepted {
+		if accepted.epoch < newest {
+			t.Errorf("%s gave an order of epoch %d after epoch %d", accepted.sender, accepted.epoch, newest)
 		}
-		newest = taken.epoch
-		if other, ok := senders[taken.epoch]; ok && other != taken.by {
-			t.Errorf("%s and %s share the epoch %d", other, taken.by, taken.epoch)
+		newest = accepted.epoch
+		if other, ok := senders[accepted.epoch]; ok && other != accepted.sender {
+			t.Errorf("%s and %s share the epoch %d", other, accepted.sender, accepted.epoch)
 		}
-		senders[taken.epoch] = taken.by
+		senders[accepted.epoch] = accepted.sender
 	}
 }
 
-const orderPeriod = 200 * time.Millisecond
+const orderInterval = 200 * time.Millisecond
 
-// giveOrders gives an order each period while the lease is held.
-func giveOrders(p *platformtest.Process, o *orders) func(context.Context, Guard) (bool, error) {
+// giveOrders sends an order at each interval while the lease is held.
+func giveOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
-		for sleep(ctx, orderPeriod) == nil {
+		for sleep(ctx, orderInterval) == nil {
 			if g.Check() != nil {
 				continue
 			}
 			_ = p.Call(ctx, "order", "", true, func() error {
 				if time.Now().Before(g.Deadline()) {
-					o.take(p.Name, g.Epoch())
+					u.accept(p.Name, g.Epoch())
 				}
 				return nil
 			})
@@ -89,53 +89,53 @@
 	}
 }
 
-func testManager(p *platformtest.Process, options ...Option) *Manager {
+func newTestManager(p *platformtest.Process, options ...Option) *Manager {
 	events := event.NewRecorder(p.Name, 64, event.NewClock(time.Now), zap.NewNop())
 	return NewManager(p, p.Name, testTerm, events, options...)
 }
 
-// campaignAll starts the processes, which all campaign for one lease.
-func campaignAll(w *platformtest.World, o *orders, group *sync.WaitGroup, names ...string) []*platformtest.Process {
+// startCampaigns starts the processes, which all campaign for one lease.
+func startCampaigns(w *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
 	var processes []*platformtest.Process
 	for _, name := range names {
 		p := w.Start(context.Background(), name)
 		processes = append(processes, p)
 		group.Go(func() {
-			_ = testManager(p).Campaign(p.Context, "upstreams/a", giveOrders(p, o))
+			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", giveOrders(p, u))
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
 	return processes
 }
 
-// The holder is killed. Without a successor nobody orders upstreams any more;
-// with one that comes too early, two are in charge.
+// The holder is killed. Without a successor no VM gives orders to upstreams any more;
+// with a successor that is too early, two VMs do.
 func TestSuccessorTakesOverAfterAKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := campaignAll(w, o, &group, "vm-1", "vm-2")
+		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
 		time.Sleep(2 * testTerm)
 		processes[0].Kill()
 		time.Sleep(3 * testTerm)
 		processes[1].Stop()
 		group.Wait()
-		o.check(t)
-		if got := o.holders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
+		u.check(t)
+		if got := u.senders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
 			t.Errorf("holders %v, want vm-1 and then vm-2", got)
 		}
 	})
 }
 
-// The holder is paused for longer than its term, for example by SIGSTOP, and
-// another VM takes over. When the first one goes on it must not give orders.
+// The holder is paused for longer than its term, for example by SIGSTOP, and another VM
+// takes the lease. When the first one resumes it must not give orders.
 func TestPausedHolderGivesNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := campaignAll(w, o, &group, "vm-1", "vm-2")
+		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Pause(4 * testTerm)
 		time.Sleep(5 * testTerm)
@@ -143,35 +143,37 @@
 			p.Stop()
 		}
 		group.Wait()
-		o.check(t)
-		if got := o.holders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
+		u.check(t)
+		if got := u.senders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
 			t.Errorf("holders %v, want vm-1 and then vm-2", got)
 		}
 	})
 }
 
-// A VM drains. It gives the lease back, so that the successor need not wait for
-// the term; otherwise each planned stop would leave a gap of a term.
+// A VM drains and releases the lease, so that the successor need not wait for the end
+// of the term. Otherwise each planned stop would leave the lease without a holder for a
+// term.
 func TestDrainReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := campaignAll(w, o, &group, "vm-1", "vm-2")
+		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Stop()
 		time.Sleep(testTerm / 2)
 		processes[1].Stop()
 		group.Wait()
-		o.check(t)
-		if got := o.holders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
+		u.check(t)
+		if got := u.senders(); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
 			t.Errorf("holders %v within half a term of the release", got)
 		}
 	})
 }
 
-// The replies of all commits are lost although they took effect. The holder
-// reads its nonce back and stays in charge, instead of fighting itself.
+// The replies of commits are lost although the commits took effect. The holder reads
+// its nonce back and keeps the lease, instead of taking its own commit for another
+// VM's.
 func TestLostRepliesDontEndTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
@@ -180,16 +182,16 @@
 			}
 			return platformtest.Fault{}
 		})
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := campaignAll(w, o, &group, "vm-1")
+		processes := startCampaigns(w, u, &group, "vm-1")
 		time.Sleep(10 * testTerm)
 		processes[0].Stop()
 		group.Wait()
-		o.check(t)
+		u.check(t)
 		epochs := map[uint64]bool{}
-		for _, taken := range o.taken {
-			epochs[taken.epoch] = true
+		for _, accepted := range u.accepted {
+			epochs[accepted.epoch] = true
 		}
 		if len(epochs) != 1 {
 			t.Errorf("%d epochs, want 1", len(epochs))
@@ -197,14 +199,14 @@
 	})
 }
 
-// The store is down for many terms. Everybody stops; once it is back one VM is
-// in charge again, under a new epoch.
+// An outage of the store lasts for several terms. No VM gives orders; after the outage
+// one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := campaignAll(w, o, &group, "vm-1", "vm-2", "vm-3")
+		processes := startCampaigns(w, u, &group, "vm-1", "vm-2", "vm-3")
 		time.Sleep(2 * testTerm)
 		w.TakeDown(5 * testTerm)
 		time.Sleep(8 * testTerm)
@@ -212,51 +214,51 @@
 			p.Stop()
 		}
 		group.Wait()
-		o.check(t)
-		last := o.taken[len(o.taken)-1]
+		u.check(t)
+		last := u.accepted[len(u.accepted)-1]
 		if last.epoch != 2 || last.at < 7*testTerm {
 			t.Errorf("last order %+v, want epoch 2 after the outage", last)
 		}
 	})
 }
 
-// A large fleet campaigns for one lease. If every VM contended, the reads would
-// grow with the fleet; if none but the candidates ever did, the lease would
-// stay free when all three are dead.
-func TestOnlyCandidatesContendUntilTheyAreSilent(t *testing.T) {
+// A large fleet campaigns for one lease. If every VM contended, the reads would grow
+// with the fleet. If only the candidates ever contended, the lease would stay free once
+// all three are dead.
+func TestOnlyCandidatesContendUntilTheyAreDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
-		o := &orders{start: time.Now()}
+		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		outsider := w.Start(context.Background(), "vm-9")
-		ranked := func(string) int { return candidates }
+		standby := w.Start(context.Background(), "vm-9")
+		standbyRank := func(string) int { return maxCandidates }
 		group.Go(func() {
-			_ = testManager(outsider, WithRanker(ranked)).Campaign(outsider.Context, "upstreams/a", giveOrders(outsider, o))
+			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", giveOrders(standby, u))
 		})
-		processes := campaignAll(w, o, &group, "vm-1")
+		processes := startCampaigns(w, u, &group, "vm-1")
 		time.Sleep(20 * testTerm)
-		if got := o.holders(); !slices.Equal(got, []string{"vm-1"}) {
-			t.Errorf("holders %v while a candidate lives", got)
+		if got := u.senders(); !slices.Equal(got, []string{"vm-1"}) {
+			t.Errorf("holders %v while a candidate is alive", got)
 		}
 		processes[0].Kill()
 		time.Sleep(10 * testTerm)
-		outsider.Stop()
+		standby.Stop()
 		group.Wait()
-		o.check(t)
-		if got := o.holders(); !slices.Equal(got, []string{"vm-1", "vm-9"}) {
+		u.check(t)
+		if got := u.senders(); !slices.Equal(got, []string{"vm-1", "vm-9"}) {
 			t.Errorf("holders %v, want vm-1 and then vm-9", got)
 		}
 	})
 }
 
-// held says that its work is done, so the campaign ends and the lease is free.
+// run returns true the second time, so the campaign ends and the lease is free.
 func TestCampaignEndsWhenDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
 		p := w.Start(context.Background(), "vm-1")
 		defer p.Stop()
 		calls := 0
-		err := testManager(p).Campaign(p.Context, "step/a", func(context.Context, Guard) (bool, error) {
+		err := newTestManager(p).Campaign(p.Context, "step/a", func(context.Context, Guard) (bool, error) {
 			calls++
 			return calls == 2, nil
 		})
@@ -267,13 +269,13 @@
 	})
 }
 
-// A holder that ignores its context is still stopped by the guard.
+// A holder may ignore that its context has ended; the guard still refuses.
 func TestLostLeaseEndsTheContextWithTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
 		p := w.Start(context.Background(), "vm-1")
 		var cause string
-		_ = testManager(p).Campaign(p.Context, "a", func(ctx context.Context, g Guard) (bool, error) {
+		_ = newTestManager(p).Campaign(p.Context, "a", func(ctx context.Context, g Guard) (bool, error) {
 			deadline := g.Deadline()
 			w.TakeDown(2 * testTerm)
 			<-ctx.Done()
--- a/internal/lease/matrix_test.go
+++ b/internal/lease/matrix_test.go
@@ -15,100 +15,100 @@
 )
 
 const (
-	// longestOrder is the longest time after which an order takes effect.
-	longestOrder = 12 * time.Second
-	matrixLength = 25 * testTerm
+	// orderTimeout is the longest time after which an order takes effect.
+	orderTimeout   = 12 * time.Second
+	matrixDuration = 25 * testTerm
 )
 
-// upstreams are one upstream that checks fencing numbers and one that does not.
-type upstreams struct {
-	rows               platform.Tables
-	mu                 sync.Mutex
-	checking, ignoring uint64
-	owner              map[uint64]string
-	lastOrder          time.Time
-	broken             string
+// upstreamPair is an upstream that checks fencing tokens and one that ignores them.
+type upstreamPair struct {
+	rows                         platform.Tables
+	mu                           sync.Mutex
+	checkingEpoch, ignoringEpoch uint64
+	senders                      map[uint64]string
+	lastOrderAt                  time.Time
+	violation                    string
 }
 
-func (u *upstreams) take(by string, epoch uint64, checks bool) error {
+func (u *upstreamPair) accept(sender string, epoch uint64, checksEpoch bool) error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if checks && epoch < u.checking {
-		return errors.WithStack(&fault.OrderFenced{Epoch: u.checking})
+	if checksEpoch && epoch < u.checkingEpoch {
+		return errors.WithStack(&fault.OrderFenced{Epoch: u.checkingEpoch})
 	}
-	if !checks && epoch < u.ignoring {
-		u.broken = "an order of an old epoch came after a newer one"
+	if !checksEpoch && epoch < u.ignoringEpoch {
+		u.violation = "an order of an old epoch arrived after one of a newer epoch"
 	}
-	if other, ok := u.owner[epoch]; ok && other != by {
-		u.broken = "two holders share an epoch"
+	if other, ok := u.senders[epoch]; ok && other != sender {
+		u.violation = "two holders share an epoch"
 	}
-	u.owner[epoch] = by
-	u.lastOrder = time.Now()
-	if checks {
-		u.checking = epoch
+	u.senders[epoch] = sender
+	u.lastOrderAt = time.Now()
+	if checksEpoch {
+		u.checkingEpoch = epoch
 	} else {
-		u.ignoring = epoch
+		u.ignoringEpoch = epoch
 	}
 	return nil
 }
 
-// silence returns how long ago the last order came.
-func (u *upstreams) silence() time.Duration {
+// sinceLastOrder returns how long ago the last order was accepted.
+func (u *upstreamPair) sinceLastOrder() time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return time.Since(u.lastOrder)
+	return time.Since(u.lastOrderAt)
 }
 
-// checkInCharge looks at the row behind everybody's back: whoever passes the
-// guard must not have a successor yet.
-func (u *upstreams) checkInCharge(epoch uint64) {
+// checkRowEpoch reads the row directly from the store: a process whose guard passes
+// must not have a successor yet.
+func (u *upstreamPair) checkRowEpoch(epoch uint64) {
 	row, _ := u.rows.Get(context.Background(), keyPrefix+"upstreams/a")
 	var record Record
 	_ = json.Unmarshal(row.Value, &record)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if record.Epoch != epoch {
-		u.broken = "a guard passed although another VM had taken the lease"
+		u.violation = "a guard passed although another VM had taken the lease"
 	}
 }
 
-// command gives orders to both upstreams while the lease is held.
-func (u *upstreams) command(p *platformtest.Process, owner string) func(context.Context, Guard) (bool, error) {
+// issueOrders sends orders to both upstreams while the lease is held.
+func (u *upstreamPair) issueOrders(p *platformtest.Process, sender string) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
-		began := time.Now()
+		started := time.Now()
 		for sleep(ctx, time.Second) == nil {
-			u.order(ctx, p, g, owner, true)
-			if time.Since(began) >= SettleTime(longestOrder) {
-				u.order(ctx, p, g, owner, false)
+			u.order(ctx, p, g, sender, true)
+			if time.Since(started) >= SettleTime(orderTimeout) {
+				u.order(ctx, p, g, sender, false)
 			}
 		}
 		return false, nil
 	}
 }
 
-// order asks the guard, then writes. The connection ends with the term, but what
-// was written before can be on its way for longestOrder.
-func (u *upstreams) order(ctx context.Context, p *platformtest.Process, g Guard, owner string, checks bool) {
+// order checks the guard and then sends an order. Nothing is written after the end of
+// the term, but what was written before can take effect until orderTimeout has passed.
+func (u *upstreamPair) order(ctx context.Context, p *platformtest.Process, g Guard, sender string, checksEpoch bool) {
 	subject := "ignoring"
-	if checks {
+	if checksEpoch {
 		subject = "checking"
 	}
-	epoch, end := g.Epoch(), g.Deadline().Add(longestOrder)
+	epoch, latestEffect := g.Epoch(), g.Deadline().Add(orderTimeout)
 	if g.Check() != nil {
 		return
 	}
-	u.checkInCharge(epoch)
+	u.checkRowEpoch(epoch)
 	_ = p.Call(ctx, "order", subject, true, func() error {
-		if !checks && !time.Now().Before(end) {
+		if !checksEpoch && !time.Now().Before(latestEffect) {
 			return nil
 		}
-		return u.take(owner, epoch, checks)
+		return u.accept(sender, epoch, checksEpoch)
 	})
 }
 
-// Two VMs want to be in charge of an upstream that checks who gives an order and
-// of one that does not. Whatever fails, no old order may follow a newer one, and
-// when all is well again somebody must be in charge.
+// Two VMs contend for the lease of an upstream that checks fencing tokens and of one
+// that ignores them. With any fault, no order may follow one with a newer epoch, and
+// after the fault one VM must hold the lease.
 func TestMatrixLease(t *testing.T) {
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name: "lease",
@@ -121,25 +121,25 @@
 		},
 		Run: func(w *platformtest.World) error {
 			ctx, stop := context.WithCancel(context.Background())
-			u := &upstreams{rows: w.Rows, owner: map[uint64]string{}}
+			u := &upstreamPair{rows: w.Rows, senders: map[uint64]string{}}
 			var group sync.WaitGroup
 			for _, name := range []string{"vm-1", "vm-2"} {
 				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
-					m := testManager(p)
-					_ = m.Campaign(p.Context, "upstreams/a", u.command(p, name))
+					m := newTestManager(p)
+					_ = m.Campaign(p.Context, "upstreams/a", u.issueOrders(p, name))
 				})
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(matrixLength)
-			since := u.silence()
+			time.Sleep(matrixDuration)
+			since := u.sinceLastOrder()
 			stop()
 			group.Wait()
 			time.Sleep(time.Minute)
-			if u.broken != "" {
-				return errors.Newf("%s", u.broken)
+			if u.violation != "" {
+				return errors.Newf("%s", u.violation)
 			}
 			if since > 3*testTerm {
-				return errors.Newf("nobody gave an order for %v", since)
+				return errors.Newf("no VM gave an order for %v", since)
 			}
 			return nil
 		},
--- a/internal/lease/rank.go
+++ b/internal/lease/rank.go
@@ -6,54 +6,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Ranker returns this VM's rank among those that may contend for a lease, from
-// 0. It may be wrong or differ between VMs: ranks only spare the store reads
-// and lost races, they decide nothing.
+// Ranker returns this VM's rank, from 0, among the VMs that may contend for a lease.
+// The rank may be wrong or differ between VMs: ranks only save reads of the store and
+// lost races, and don't affect who may take a lease.
 type Ranker func(lease string) int
 
-// candidates is how many VMs contend for each lease; the others step in only
-// after silentTerms terms in which nothing happened.
+// maxCandidates is how many VMs contend for each lease. The other VMs are on standby:
+// they wait standbyTerms terms longer than a candidate before they take a lease.
 const (
-	candidates  = 3
-	silentTerms = 3
+	maxCandidates = 3
+	standbyTerms  = 3
 )
 
-// Rank returns the rank of self among the live VMs by rendezvous hash. A VM
-// that the list does not name yet is ranked as if it did.
-func Rank(lease, self string, live []string) int {
-	own := weight(lease, self)
+// Rank returns the rank of self, from 0, among the live VMs for a duty by rendezvous
+// hashing. If live does not contain self, self is ranked as if it did.
+func Rank(duty, self string, live []string) int {
+	ownWeight := hashWeight(duty, self)
 	rank := 0
 	for _, vm := range live {
-		if vm != self && weight(lease, vm) > own {
+		if vm != self && hashWeight(duty, vm) > ownWeight {
 			rank++
 		}
 	}
 	return rank
 }
 
-// First returns the VM that Rank ranks first; ok is false when there is none.
-func First(lease string, live []string) (first string, ok bool) {
-	var most uint64
+// First returns the live VM with the rank 0 for a duty; ok is false when there is none.
+func First(duty string, live []string) (first string, ok bool) {
+	var maxWeight uint64
 	for _, vm := range live {
-		if w := weight(lease, vm); !ok || w > most {
-			first, most, ok = vm, w, true
+		if w := hashWeight(duty, vm); !ok || w > maxWeight {
+			first, maxWeight, ok = vm, w, true
 		}
 	}
 	return first, ok
 }
 
-func weight(lease, vm string) uint64 {
-	var d xxhash.Digest
-	d.Reset()
-	// A digest takes any text.
-	_, _ = d.WriteString(lease)
-	_, _ = d.WriteString("\x00")
-	_, _ = d.WriteString(vm)
-	return d.Sum64()
+func hashWeight(duty, vm string) uint64 {
+	var digest xxhash.Digest
+	digest.Reset()
+	// Writes to a digest never fail.
+	_, _ = digest.WriteString(duty)
+	_, _ = digest.WriteString("\x00")
+	_, _ = digest.WriteString(vm)
+	return digest.Sum64()
 }
 
-// spread returns a share in [0,1) that is fixed for a lease and an owner, so
-// that contenders don't all read the store at the same moment.
-func spread(lease, owner string) float64 {
-	return float64(weight(lease, owner)) / float64(math.MaxUint64)
+// jitter returns a fraction in [0,1) that is fixed for a lease and an identity, so that
+// contenders don't all read the store at the same moment.
+func jitter(lease, identity string) float64 {
+	return float64(hashWeight(lease, identity)) / float64(math.MaxUint64)
 }
--- a/internal/lease/timed.go
+++ b/internal/lease/timed.go
@@ -7,9 +7,8 @@
 	"dogwoodpond/internal/platform"
 )
 
-// timedTables bounds each call. One call that hangs must leave enough of the
-// term to find out what became of it; otherwise a single lost reply would end
-// the lease.
+// timedTables limits each call by a timeout. A call that hangs must leave enough of the
+// term to find out its outcome; otherwise a single lost reply would end the lease.
 type timedTables struct {
 	tables  platform.Tables
 	timeout time.Duration
