--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,10 +1,10 @@
-// Package fence ties requests on the wire to a lease. A process can be paused
-// between its last look at the lease and the write of an order; the order would
-// then go out although another process is in charge by now, and upstreams that
-// ignore fencing numbers would carry out both. So the lease is asked again once
-// the connection stands, directly before the write, and the connection gets the
-// end of the term as its write deadline. What was written and not answered in time is
-// taken back by a reset of the connection.
+// Package fence ties requests on the wire to a lease. A process can be paused between
+// its last check of the lease and the write of an order. The order would then be sent
+// although another process holds the lease by now, and upstreams that ignore fencing
+// tokens would execute the orders of both. So the lease is checked again once the
+// connection is established, directly before the write, and the end of the term becomes
+// the write deadline of the connection. The connection of a request that is not
+// answered in time is reset, so that the kernel does not deliver the request later.
 package fence
 
 import (
@@ -17,28 +17,29 @@
 	"dogwoodpond/internal/dial"
 )
 
-// Guard tells whether a lease is held.
+// Guard checks whether a lease is held.
 type Guard interface {
-	// Check fails with *fault.LeaseLost once the lease may have lapsed.
+	// Check fails with *fault.LeaseLost once the lease may have expired.
 	Check() error
-	// Epoch is the fencing number.
+	// Epoch returns the fencing token.
 	Epoch() uint64
-	// Deadline is the end of the present term on the local monotonic clock.
+	// Deadline returns the end of the present term on the local monotonic clock.
 	Deadline() time.Time
 }
 
-// Context returns a context whose HTTP requests are written only while the
-// guard's lease is held. Use it with a client of NewClient: on a connection
-// that is used again the write deadline would outlive the request.
+// Context returns a context whose HTTP requests are written only while the guard's
+// lease is held. Use it with a client of NewClient: on a reused connection the write
+// deadline would outlast the request.
 func Context(ctx context.Context, guard Guard) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(info httptrace.GotConnInfo) { limit(info.Conn, guard) },
+		GotConn: func(info httptrace.GotConnInfo) { limitWrites(info.Conn, guard) },
 	})
 }
 
-// limit lets nothing be written behind the end of the term. When the deadline
-// can't be set the connection is closed, which fails the request unwritten.
-func limit(conn net.Conn, guard Guard) {
+// limitWrites makes writes to conn fail after the end of the term, and at once if the
+// lease is not held. If it can't set the deadline it closes the connection, so that the
+// request fails unwritten.
+func limitWrites(conn net.Conn, guard Guard) {
 	deadline := guard.Deadline()
 	if guard.Check() != nil {
 		deadline = time.Unix(1, 0)
@@ -48,8 +49,8 @@
 	}
 }
 
-// NewClient returns an HTTP client that uses a connection once only, and resets it when
-// the call is over.
+// NewClient returns an HTTP client that uses each connection for one request only, and
+// resets it when the call ends.
 func NewClient(dialTimeout, callTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Timeout: callTimeout,
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -16,30 +16,30 @@
 	"dogwoodpond/internal/fault"
 )
 
-// switched is a lease that can be lost at any moment.
-type switched struct {
+// fakeGuard guards a lease that a test can take away.
+type fakeGuard struct {
 	lost     atomic.Bool
 	deadline time.Time
 }
 
-func (s *switched) Check() error {
-	if s.lost.Load() {
+func (g *fakeGuard) Check() error {
+	if g.lost.Load() {
 		return errors.WithStack(&fault.LeaseLost{Lease: "l", Epoch: 1})
 	}
 	return nil
 }
 
-func (s *switched) Epoch() uint64       { return 1 }
-func (s *switched) Deadline() time.Time { return s.deadline }
+func (g *fakeGuard) Epoch() uint64       { return 1 }
+func (g *fakeGuard) Deadline() time.Time { return g.deadline }
 
-func counting(t *testing.T) (target string, count *atomic.Int64) {
+func startCountingServer(t *testing.T) (target string, count *atomic.Int64) {
 	count = new(atomic.Int64)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { count.Add(1) }))
 	t.Cleanup(server.Close)
 	return server.URL, count
 }
 
-func send(t *testing.T, ctx context.Context, target string) error {
+func sendOrder(t *testing.T, ctx context.Context, target string) error {
 	t.Helper()
 	client := NewClient(time.Second, 10*time.Second)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, target, strings.NewReader("order"))
@@ -53,10 +53,10 @@
 	return err
 }
 
-func TestOrderGoesOutWhileTheLeaseIsHeld(t *testing.T) {
-	target, count := counting(t)
-	guard := &switched{deadline: time.Now().Add(time.Hour)}
-	if err := send(t, Context(t.Context(), guard), target); err != nil {
+func TestOrderIsSentWhileTheLeaseIsHeld(t *testing.T) {
+	target, count := startCountingServer(t)
+	guard := &fakeGuard{deadline: time.Now().Add(time.Hour)}
+	if err := sendOrder(t, Context(t.Context(), guard), target); err != nil {
 		t.Fatalf("send: %v", err)
 	}
 	if count.Load() != 1 {
@@ -64,17 +64,17 @@
 	}
 }
 
-// The holder looks at its lease, and loses it while the connection is being
-// set up. Without a second look the receiver would get an order from a process
-// that is not in charge any more.
-func TestOrderDoesNotGoOutWhenTheLeaseIsLostWhileConnecting(t *testing.T) {
-	target, count := counting(t)
-	guard := &switched{deadline: time.Now().Add(time.Hour)}
+// The lease is lost between a check and the moment at which the connection is
+// established. Without a second check the receiver would get an order from a process
+// that does not hold the lease any more.
+func TestOrderIsNotSentWhenTheLeaseIsLostWhileConnecting(t *testing.T) {
+	target, count := startCountingServer(t)
+	guard := &fakeGuard{deadline: time.Now().Add(time.Hour)}
 	if err := guard.Check(); err != nil {
 		t.Fatal(err)
 	}
 	guard.lost.Store(true)
-	if err := send(t, Context(t.Context(), guard), target); err == nil {
+	if err := sendOrder(t, Context(t.Context(), guard), target); err == nil {
 		t.Error("the order was sent without the lease")
 	}
 	if count.Load() != 0 {
@@ -82,18 +82,18 @@
 	}
 }
 
-// The holder sends an order into a cut, gets no answer and gives up. If its kernel kept
-// the bytes, the receiver would get the order after the cut, behind those of the next
-// holder and with a lower epoch.
-func TestOrderThatWasGivenUpIsNotDeliveredLater(t *testing.T) {
+// The holder sends an order during a network failure, gets no answer and cancels the
+// request. If its kernel still had the bytes, the receiver would get the order after
+// the failure: later than the orders of the next holder, and with a lower epoch.
+func TestCanceledOrderIsNotDeliveredLater(t *testing.T) {
 	peer := dialtest.NewSilent(t)
-	ctx, giveUp := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-peer.Received
-		giveUp()
+		cancel()
 	}()
-	guard := &switched{deadline: time.Now().Add(time.Hour)}
-	if err := send(t, Context(ctx, guard), "http://"+peer.Address); err == nil {
+	guard := &fakeGuard{deadline: time.Now().Add(time.Hour)}
+	if err := sendOrder(t, Context(ctx, guard), "http://"+peer.Address); err == nil {
 		t.Fatal("the order was answered")
 	}
 	if err := <-peer.Ended; !errors.Is(err, syscall.ECONNRESET) {
@@ -101,14 +101,14 @@
 	}
 }
 
-// The process is paused between the look at the lease and the system call that
-// writes. The term ends meanwhile, and only the connection's deadline is left
-// to stop the write.
-func TestOrderIsNotWrittenBehindTheTerm(t *testing.T) {
-	target, count := counting(t)
-	guard := &switched{deadline: time.Now().Add(-time.Millisecond)}
-	if err := send(t, Context(t.Context(), guard), target); err == nil {
-		t.Error("the order was written behind the end of the term")
+// The process is paused between its check of the lease and the system call that writes.
+// The term ends in the meantime, and only the write deadline of the connection can
+// prevent the write.
+func TestOrderIsNotWrittenAfterTheTerm(t *testing.T) {
+	target, count := startCountingServer(t)
+	guard := &fakeGuard{deadline: time.Now().Add(-time.Millisecond)}
+	if err := sendOrder(t, Context(t.Context(), guard), target); err == nil {
+		t.Error("the order was written after the end of the term")
 	}
 	if count.Load() != 0 {
 		t.Errorf("the receiver got %d orders, want none", count.Load())
