--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses loops that have to end with their context.
+// Package wait provides a wait that ends with its context, for loops.
 package wait
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For pauses for d or until ctx ends, and reports whether ctx is still alive. It doesn't
-// pause if d is 0 or less.
+// For waits for d or until ctx ends, and reports whether ctx is still active. It
+// doesn't wait if d is 0 or less.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
