--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -22,9 +22,9 @@
 
 // SettleTime returns how long a new holder waits before its first order to receivers
 // that ignore fencing tokens. An earlier holder may have sent an order just before its
-// term ended, and that order can take effect until orderTimeout has passed. A margin
-// covers clocks that run at different rates: after a release, the new holder has not
-// waited for the margin of a term.
+// term ended; orderTimeout is the longest time after which that order can still take
+// effect. A margin is added for clocks that run at different rates, because after a
+// release the new holder has not waited for the margin of a term.
 func SettleTime(orderTimeout time.Duration) time.Duration {
 	return orderTimeout + orderTimeout/marginDivisor
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -40,8 +40,8 @@
 	Margin time.Duration
 }
 
-// marginDivisor gives the margin of a duration as a fraction of it. The monotonic
-// clocks of healthy machines differ by far less.
+// marginDivisor is the divisor of a term or timeout that gives its margin. The
+// monotonic clocks of healthy machines differ by far less than that margin.
 const marginDivisor = 4
 
 // NewTiming returns the timing for a term, with the default margin.
@@ -106,8 +106,8 @@
 }
 
 // isHeldByPredecessor reports whether the holder is an earlier process of this VM. That
-// process can't act any more, so waiting for the end of its term guards against
-// nothing: after a power loss of all VMs, no VM would hold the lease for a full term.
+// process can't act any more, so there is no need to wait for the end of its term. With
+// that wait, no VM would hold the lease for a full term after a power loss of all VMs.
 func (c *Contender) isHeldByPredecessor(record Record) bool {
 	return c.predecessorPrefix != "" && strings.HasPrefix(record.Holder, c.predecessorPrefix)
 }
@@ -190,8 +190,8 @@
 
 // Seen records the row as it was read after a renewal failed, and reports whether this
 // hold still has the lease. A row of the same holder and epoch shows a renewal whose
-// reply was lost. That renewal does not extend the term, because it is not known when
-// it was sent.
+// reply was lost. That renewal does not extend the term, because it is not known which
+// attempt wrote the row.
 func (h *Hold) Seen(record Record, version uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -10,10 +10,10 @@
 	"github.com/leanovate/gopter/gen"
 )
 
-// machineNodes is how many nodes contend, as in spec/lease.pml.
+// nodeCount is how many nodes contend, as in spec/lease.pml.
 const nodeCount = 2
 
-// node is one process of the model: it contends or holds.
+// node is one process: it contends for the lease or holds it.
 type node struct {
 	incarnations int
 	contender    *Contender
@@ -56,9 +56,9 @@
 	return true
 }
 
-// contend reads the row and takes the lease if it may. If lost, the reply of the commit
-// is lost. delay passes before the row is observed, between sending the commit and its
-// effect, and between the effect and the reply.
+// contend reads the row and takes the lease if it may. If lost is true, the reply of
+// the commit is lost. delay passes before the row is observed, between sending the
+// commit and its effect, and between the effect and the reply.
 func (m *machine) contend(n *node, lost bool, delay time.Duration) {
 	record, version := m.row, m.version
 	m.now = m.now.Add(delay)
@@ -114,7 +114,8 @@
 	m.compareAndSwap(version, next)
 }
 
-// The kinds of actions. actionCommit contends or renews.
+// The kinds of actions. actionCommit contends or renews. A node that does not hold the
+// lease contends instead of checking the guard or releasing.
 const (
 	actionAdvanceClock = iota
 	actionCommit
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -17,8 +17,9 @@
 // keyPrefix is the prefix of the row keys of leases.
 const keyPrefix = "lease/"
 
-// Divisors of the term. A holder renews three times per term, so that two renewals may
-// fail before it must stop.
+// Divisors of the term that give the renewal interval, the backoff after a failed
+// write, the poll interval of candidates and the timeout of a call. A holder renews
+// three times per term, so that two renewals may fail before it must stop.
 const (
 	renewDivisor       = 3
 	retryDivisor       = 12
@@ -113,8 +114,9 @@
 }
 
 // Serve campaigns for the named lease until ctx ends, and calls serve each time it has
-// acquired the lease. It discards the errors of serve, because events report the loss
-// and the release of the lease, and that of Campaign, which is only the end of ctx.
+// acquired the lease. It discards the errors of serve; events report when the lease is
+// lost or released. The error of Campaign is discarded too, because it only reports the
+// end of ctx.
 func (m *Manager) Serve(ctx context.Context, name string, serve func(ctx context.Context, g Guard) error) {
 	_ = m.Campaign(ctx, name, func(ctx context.Context, g Guard) (bool, error) { return false, serve(ctx, g) })
 }
@@ -200,8 +202,8 @@
 func (c *campaign) serve(ctx context.Context, hold *Hold, run func(context.Context, Guard) (bool, error)) (bool, error) {
 	renewCtx, stopRenewing := context.WithCancel(context.WithoutCancel(ctx))
 	runCtx, stopRun := context.WithCancelCause(ctx)
-	// The loss can be found by renewLoop or after run has returned; the event is
-	// emitted once.
+	// Both renewLoop and the check after run can find the loss; the event is emitted
+	// once.
 	emitLoss := sync.OnceFunc(func() { c.emit(event.LeaseLost, hold.Epoch()) })
 	var renewals sync.WaitGroup
 	renewals.Go(func() {
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -50,7 +50,8 @@
 	return names
 }
 
-// check fails the test unless epochs never fall and each epoch belongs to one sender.
+// check fails the test if an order has a lower epoch than an earlier one, or if two
+// senders share an epoch.
 func (u *fakeUpstream) check(t *testing.T) {
 	t.Helper()
 	u.mu.Lock()
@@ -171,9 +172,9 @@
 	})
 }
 
-// The replies of commits are lost although the commits took effect. The holder reads
-// its nonce back and keeps the lease, instead of taking its own commit for another
-// VM's.
+// The replies of many commits are lost although the commits took effect. The holder
+// reads its nonce back and keeps the lease, instead of taking its own commit for
+// another VM's.
 func TestLostRepliesDontEndTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
@@ -199,8 +200,8 @@
 	})
 }
 
-// An outage of the store lasts for several terms. No VM gives orders; after the outage
-// one VM holds the lease again, under a new epoch.
+// An outage of the store lasts for several terms. Every VM stops giving orders; after
+// the outage one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
@@ -269,7 +270,8 @@
 	})
 }
 
-// A holder may ignore that its context has ended; the guard still refuses.
+// The context of a holder that loses its lease ends at the end of the term, with the
+// cause. The guard refuses from then on, even if the holder ignores the context.
 func TestLostLeaseEndsTheContextWithTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
--- a/internal/lease/matrix_test.go
+++ b/internal/lease/matrix_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// orderTimeout is the longest time after which an order takes effect.
+	// orderTimeout is the longest time after which an order can still take effect.
 	orderTimeout   = 12 * time.Second
 	matrixDuration = 25 * testTerm
 )
--- a/internal/lease/rank.go
+++ b/internal/lease/rank.go
@@ -8,7 +8,7 @@
 
 // Ranker returns this VM's rank, from 0, among the VMs that may contend for a lease.
 // The rank may be wrong or differ between VMs: ranks only save reads of the store and
-// lost races, and don't affect who may take a lease.
+// lost races, and correctness does not depend on them.
 type Ranker func(lease string) int
 
 // maxCandidates is how many VMs contend for each lease. The other VMs are on standby:
