--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,8 +1,8 @@
 // Package member maintains the list of the fleet's VMs. Each VM writes its own status
-// row at regular intervals, its heartbeat; the other VMs read the rows of a failure
-// domain together. A VM counts as dead once its row has not changed for some time while
-// the store was available. During an outage of the store no VM can write a heartbeat,
-// so none is declared dead because of the outage.
+// row at regular intervals; such a write is a heartbeat. The other VMs read the rows of
+// a failure domain together. A VM counts as dead once its row has not been written for
+// some time while the store was available. During an outage of the store no VM can
+// write a heartbeat, so none is declared dead because of the outage.
 package member
 
 import (
@@ -33,27 +33,28 @@
 	// them, in a small fleet. In a large fleet the store's budget makes the interval
 	// longer, and a dead VM's work is taken over later.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// jitterDivisor limits the random time by which a heartbeat comes early: it is less
-	// than the interval divided by jitterDivisor.
+	// jitterDivisor sets the jitter of heartbeats: each comes early by a random time
+	// that is less than the interval divided by jitterDivisor.
 	jitterDivisor = 5
 	// readBackoff is the wait after a failed read.
 	readBackoff = 100 * time.Millisecond
-	// fullReadInterval is the interval at which all rows are read again, because
-	// changes may have been missed around a loss of the store's history.
+	// fullReadInterval is the interval at which all rows are read again, in case
+	// changes were missed when the store lost its history of changes.
 	fullReadInterval = 20 * time.Second
-	// maxMissedHeartbeats is the number of heartbeat intervals without a change of the
-	// row after which a VM counts as dead. One late heartbeat has no effect.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a new version of
+	// the row after which a VM counts as dead. One late heartbeat has no effect.
 	maxMissedHeartbeats = 3
 	// callTimeout is the timeout of one read or write; a slow store answers within it.
 	callTimeout = 1200 * time.Millisecond
 	// awaitTimeout is how long an unresponsive VM is awaited by callers that need the
 	// data of all VMs. It is longer than most network failures. After a VM was
-	// replaced, each usage window waits so long for it, and must still be reported in
-	// time.
+	// replaced, each usage window is delayed by this time, and must still be reported
+	// in time.
 	awaitTimeout = 8 * time.Second
-	// returnGracePeriod is how long a VM that was unresponsive is awaited after its
-	// next heartbeat, and all VMs after an outage of the store. Their usage totals
-	// follow within the timeout of one write and the interval until the next write.
+	// returnGracePeriod is how long a VM that was unresponsive is still awaited after
+	// its next heartbeat, and how long all VMs are awaited after an outage of the
+	// store. Their usage totals follow within the timeout of one write and the interval
+	// until the next write.
 	returnGracePeriod = 2 * time.Second
 )
 
@@ -80,7 +81,8 @@
 	vm      VM
 	value   []byte
 	version int64
-	// unchangedFor is how long the row has not changed while the store was available.
+	// unchangedFor is how long the version has not changed while the store was
+	// available.
 	unchangedFor time.Duration
 	// returnedAt is when the VM wrote a heartbeat again after it had been unresponsive.
 	returnedAt time.Time
@@ -241,6 +243,8 @@
 	return after, nil
 }
 
+// markUnavailable records that a read failed, so that the time until the next successful
+// read does not count toward unchangedFor.
 func (l *List) markUnavailable() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -257,7 +261,7 @@
 	if l.polledAt.IsZero() {
 		l.availableSince = now
 	} else {
-		// A pause of this process says nothing about the other VMs.
+		// Limited, because a pause of this process says nothing about the other VMs.
 		elapsed = min(now.Sub(l.polledAt), 2*l.pollInterval())
 	}
 	l.polledAt, l.ready = now, true
@@ -281,7 +285,8 @@
 	l.budget.SetFleet(len(l.rows))
 }
 
-// applyRow records a row and reports whether it changed.
+// applyRow records a row, and reports whether its version is newer and its value
+// readable.
 func (l *List) applyRow(row kept.Row) bool {
 	status, ok := l.rows[row.Name]
 	if ok && status.version >= row.Version {
@@ -388,10 +393,10 @@
 	return others
 }
 
-// AllHeard reports whether the last read succeeded and no VM has to be awaited. A VM is
-// awaited while it is unresponsive, for at most awaitTimeout, and for returnGracePeriod
-// after it returned. After an outage of the store all VMs are awaited for
-// returnGracePeriod.
+// AllHeard reports whether the last read succeeded and no other VM has to be awaited. A
+// VM is awaited while it is unresponsive, for at most awaitTimeout, and for
+// returnGracePeriod after it returned. After an outage of the store all VMs are awaited
+// for returnGracePeriod.
 func (l *List) AllHeard() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -407,8 +412,9 @@
 	return true
 }
 
-// Rank returns this VM's rank among the live VMs for a duty, from 0. Ranks only avoid
-// lost races; they don't decide who is in charge.
+// Rank returns this VM's rank among the live VMs for a duty, from 0. The VMs that
+// preferredVMs selects rank before the others. Ranks only avoid lost races; correctness
+// does not depend on them.
 func (l *List) Rank(duty string) int { return l.RankWithin(duty, route.Residency{}) }
 
 // RankWithin is Rank among the VMs in the failure domains that a residency allows.
@@ -425,7 +431,7 @@
 	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return !residency.Allows(vm.FailureDomain) })
 }
 
-// First returns the live VM with the rank 0 for a duty, among the VMs that a residency
+// First returns the live VM that ranks first for a duty among the VMs that a residency
 // allows. If any of these are in the failure domain, only they are considered. ok is
 // false when there is none.
 func (l *List) First(duty, domain string, residency route.Residency) (first VM, ok bool) {
@@ -443,8 +449,8 @@
 	return first, ok
 }
 
-// minCoresShare is the share of the largest number of cores from which on VMs count as
-// equally strong.
+// minCoresShare is the share of the largest number of cores that a VM must have to
+// count as equally strong.
 const minCoresShare = 0.75
 
 // preferredVMs returns the VMs with the most cores among those that reach the store
@@ -467,7 +473,8 @@
 	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.FailureDomain != domain })
 }
 
-// RankIn is Rank with the VMs of a failure domain ranked before all others.
+// RankIn returns this VM's rank for a duty, from 0, with the VMs of a failure domain
+// ranked before all others. Unlike Rank it does not call preferredVMs.
 func (l *List) RankIn(duty, domain string) int {
 	live := l.Live()
 	inside := inDomain(live, domain)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -139,8 +139,8 @@
 }
 
 // An outage of the store lasts longer than a VM may be unresponsive. No VM could write
-// a heartbeat, so none may be declared dead after the outage: every step would be taken
-// over.
+// a heartbeat, so none may be declared dead after the outage; otherwise every step
+// would be taken over.
 func TestNoVMIsDeclaredDeadForAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
