--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,6 +1,6 @@
 // Package fence ties requests on the wire to a lease. A process can be paused between
 // its last check of the lease and the write of an order. The order would then be sent
-// although another process holds the lease by now, and upstreams that ignore fencing
+// although another process holds the lease by then, and upstreams that ignore fencing
 // tokens would execute the orders of both. So the lease is checked again once the
 // connection is established, directly before the write, and the end of the term becomes
 // the write deadline of the connection. The connection of a request that is not
