--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait provides a wait that ends with its context, for loops.
+// Package wait lets loops wait until a time has passed or their context ends.
 package wait
 
 import (
