--- /dev/null
+++ b/internal/kept/commit.go
@@ -0,0 +1,86 @@
+package kept
+
+import (
+	"bytes"
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"dogwoodpond/internal/fault"
+	"dogwoodpond/internal/wait"
+)
+
+const (
+	// minCommitBackoff and maxCommitBackoff bound the backoff between the attempts of a
+	// commit with an unknown outcome. An available store answers within 5 ms, and its
+	// outages last seconds.
+	minCommitBackoff = 30 * time.Millisecond
+	maxCommitBackoff = 400 * time.Millisecond
+)
+
+// CommitSurely runs a transaction and retries it until its outcome is known or ctx ends. A
+// commit without an answer may have taken effect, or may do so seconds later if its
+// expectations still hold, so reading the rows proves nothing. Therefore the same
+// transaction is sent again: the first copy that the store runs changes the versions of the
+// expected rows, and every other copy is refused. If a refusal shows the values of this
+// transaction, one of its copies has taken effect.
+//
+// The transaction must put at least one row that it also expects, with a value that no
+// other writer writes. CommitSurely fails with *Conflict if another writer won; then no
+// copy ever takes effect. If ctx ends first it fails with *fault.StoreUnavailable, whose
+// EffectUnknown is true if a copy may have taken effect or may still do so.
+func CommitSurely(ctx context.Context, store Store, txn Txn) (int64, error) {
+	backoff, effectUnknown := minCommitBackoff, false
+	for {
+		version, err := store.Commit(ctx, txn)
+		if err == nil {
+			return version, nil
+		}
+		var conflict *Conflict
+		if errors.As(err, &conflict) {
+			if committed, at := isCommitted(conflict, txn); effectUnknown && committed {
+				return at, nil
+			}
+			return 0, err
+		}
+		var unavailable *fault.StoreUnavailable
+		if !errors.As(err, &unavailable) {
+			return 0, err
+		}
+		effectUnknown = effectUnknown || unavailable.EffectUnknown
+		if unavailable.Back {
+			// The store has answered other calls since, so the outage is over.
+			backoff = minCommitBackoff
+		}
+		if !wait.For(ctx, backoff) {
+			return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: effectUnknown})
+		}
+		backoff = min(2*backoff, maxCommitBackoff)
+	}
+}
+
+// isCommitted reports whether the rows that the transaction both expects and puts have the
+// values of its puts, and the version of these rows.
+func isCommitted(conflict *Conflict, txn Txn) (committed bool, version int64) {
+	for _, put := range txn.Puts {
+		if !expects(txn, put.Key) {
+			continue
+		}
+		row := conflict.Row(put.Key)
+		if row.Version == 0 || !bytes.Equal(row.Value, put.Value) {
+			return false, 0
+		}
+		committed, version = true, row.Version
+	}
+	return committed, version
+}
+
+func expects(txn Txn, key Key) bool {
+	for _, e := range txn.Expected {
+		if e.Key == key {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/kept/memory/memory.go
+++ b/internal/kept/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory keeps a partitioned store in memory for tests. Faults are
-// switched on by SetFate and SetDown: lost answers, late effects, refusals.
+// Package memory is an in-memory implementation of the partitioned store for tests. SetFate
+// and SetDown inject faults: lost requests, lost answers, delayed effects and refusals.
 package memory
 
 import (
@@ -19,49 +19,50 @@
 
 // Store implements kept.Store and kept.Clock in memory.
 type Store struct {
-	mu      sync.Mutex
-	rows    map[kept.Key]kept.Row
-	changes []kept.Row
-	dropped int64
-	version int64
-	objects map[string][]byte
-	started time.Time
-	wake    chan struct{}
-	late    []kept.Txn
-	fate    func(kept.Txn) Fate
-	isDown  bool
+	mu           sync.Mutex
+	rows         map[kept.Key]kept.Row
+	changes      []kept.Row
+	historyStart int64 // changes after this version are available
+	version      int64
+	objects      map[string][]byte
+	started      time.Time
+	notify       chan struct{} // closed and replaced to signal open calls of Changes
+	delayed      []kept.Txn
+	chooseFault  func(kept.Txn) Fate
+	isDown       bool
 }
 
-// SetFate lets f decide each commit's fate before it runs; nil lets all run.
+// SetFate makes f choose the fault of each commit before it runs. A nil f injects none.
 func (s *Store) SetFate(f func(kept.Txn) Fate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fate = f
+	s.chooseFault = f
 }
 
-// SetDown makes every call fail, or lets them through again.
+// SetDown takes the store down or up again. While it is down every call fails except StoreNow
+// and DropObject. Open calls of Changes notice it at once.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isDown = down
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.notify)
+	s.notify = make(chan struct{})
 }
 
-// Fate is what happens to a commit.
+// Fate is a fault that is injected into a commit.
 type Fate int
 
-// The fates of a commit.
+// The faults of a commit.
 const (
-	// Normal runs and answers it.
+	// Normal is no fault: the commit runs and is answered.
 	Normal Fate = iota
-	// AnswerLost runs it without an answer.
+	// AnswerLost runs the commit and loses the answer.
 	AnswerLost
-	// EffectLate holds it back until RunLate, without an answer.
+	// EffectLate delays the commit until RunLate and gives no answer.
 	EffectLate
-	// Refused does nothing and says so.
+	// Refused refuses the commit: it has no effect, and the error says so.
 	Refused
-	// NeverArrived does nothing, without an answer.
+	// NeverArrived loses the request: the commit has no effect and gets no answer.
 	NeverArrived
 )
 
@@ -71,14 +72,15 @@
 		rows:    make(map[kept.Key]kept.Row),
 		objects: make(map[string][]byte),
 		started: time.Now(),
-		wake:    make(chan struct{}),
+		notify:  make(chan struct{}),
 	}
 }
 
 // StoreNow implements kept.Clock.
 func (s *Store) StoreNow() (int64, bool) { return time.Since(s.started).Milliseconds(), true }
 
-func (s *Store) down(operation string) error {
+// checkDown returns the error of a call while the store is down.
+func (s *Store) checkDown(operation string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isDown {
@@ -92,49 +94,50 @@
 	if ctx.Err() != nil {
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit"})
 	}
-	if err := s.down("commit"); err != nil {
+	if err := s.checkDown("commit"); err != nil {
 		return 0, err
 	}
-	switch s.fateOf(txn) {
+	switch s.faultOf(txn) {
 	case Refused:
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit"})
 	case NeverArrived:
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 	case EffectLate:
 		s.mu.Lock()
-		s.late = append(s.late, txn)
+		s.delayed = append(s.delayed, txn)
 		s.mu.Unlock()
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 	case AnswerLost:
-		_, _ = s.run(txn)
+		_, _ = s.apply(txn)
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 	case Normal:
 	}
-	return s.run(txn)
+	return s.apply(txn)
 }
 
-func (s *Store) fateOf(txn kept.Txn) Fate {
+func (s *Store) faultOf(txn kept.Txn) Fate {
 	s.mu.Lock()
-	decide := s.fate
+	choose := s.chooseFault
 	s.mu.Unlock()
-	if decide == nil {
+	if choose == nil {
 		return Normal
 	}
-	return decide(txn)
+	return choose(txn)
 }
 
-// RunLate carries out the commits that were held back.
+// RunLate runs the commits that EffectLate delayed.
 func (s *Store) RunLate() {
 	s.mu.Lock()
-	late := s.late
-	s.late = nil
+	delayed := s.delayed
+	s.delayed = nil
 	s.mu.Unlock()
-	for _, txn := range late {
-		_, _ = s.run(txn)
+	for _, txn := range delayed {
+		_, _ = s.apply(txn)
 	}
 }
 
-func (s *Store) run(txn kept.Txn) (int64, error) {
+// apply runs a transaction without faults.
+func (s *Store) apply(txn kept.Txn) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var current []kept.Row
@@ -156,8 +159,8 @@
 	for _, key := range txn.Removes {
 		s.write(kept.Row{Key: key, Version: s.version, Deleted: true})
 	}
-	close(s.wake)
-	s.wake = make(chan struct{})
+	close(s.notify)
+	s.notify = make(chan struct{})
 	return s.version, nil
 }
 
@@ -170,33 +173,34 @@
 	s.rows[row.Key] = row
 }
 
-// Set writes a row as another writer would.
+// Set writes a row without an expectation and without faults, like another writer.
 func (s *Store) Set(key kept.Key, value string) {
-	_, _ = s.run(kept.Txn{Puts: []kept.Put{{Key: key, Value: []byte(value)}}})
+	_, _ = s.apply(kept.Txn{Puts: []kept.Put{{Key: key, Value: []byte(value)}}})
 }
 
-// Remove removes a row as another writer would.
-func (s *Store) Remove(key kept.Key) { _, _ = s.run(kept.Txn{Removes: []kept.Key{key}}) }
+// Remove deletes a row without an expectation and without faults, like another writer.
+func (s *Store) Remove(key kept.Key) { _, _ = s.apply(kept.Txn{Removes: []kept.Key{key}}) }
 
-// Forget drops the history of changes.
+// Forget drops the history of changes, so that Changes fails with *kept.HistoryGone for all
+// versions before the present one.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.changes, s.dropped = nil, s.version
-	close(s.wake)
-	s.wake = make(chan struct{})
+	s.changes, s.historyStart = nil, s.version
+	close(s.notify)
+	s.notify = make(chan struct{})
 }
 
 // Read implements kept.Store.
-func (s *Store) Read(_ context.Context, table, part, from, to string) (kept.Page, error) {
-	if err := s.down("read"); err != nil {
+func (s *Store) Read(_ context.Context, table, partition, from, to string) (kept.Page, error) {
+	if err := s.checkDown("read"); err != nil {
 		return kept.Page{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	page := kept.Page{Version: s.version}
 	for key, row := range s.rows {
-		if key.Table == table && key.Part == part && key.Name >= from && (to == "" || key.Name < to) {
+		if key.Table == table && key.Part == partition && key.Name >= from && (to == "" || key.Name < to) {
 			page.Rows = append(page.Rows, row)
 		}
 	}
@@ -206,21 +210,21 @@
 
 // Parts implements kept.Store.
 func (s *Store) Parts(_ context.Context, table, after string) ([]string, bool, error) {
-	if err := s.down("parts"); err != nil {
+	if err := s.checkDown("parts"); err != nil {
 		return nil, false, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := map[string]bool{}
-	var parts []string
+	var partitions []string
 	for key := range s.rows {
 		if key.Table == table && key.Part > after && !seen[key.Part] {
 			seen[key.Part] = true
-			parts = append(parts, key.Part)
+			partitions = append(partitions, key.Part)
 		}
 	}
-	sort.Strings(parts)
-	return parts, false, nil
+	sort.Strings(partitions)
+	return partitions, false, nil
 }
 
 // Changes implements kept.Store.
@@ -228,10 +232,10 @@
 	timeout := time.NewTimer(max(wait, time.Nanosecond))
 	defer timeout.Stop()
 	for {
-		if err := s.down("changes"); err != nil {
+		if err := s.checkDown("changes"); err != nil {
 			return kept.Page{}, err
 		}
-		page, wake, err := s.changed(table, after)
+		page, notify, err := s.changesAfter(table, after)
 		if err != nil || len(page.Rows) > 0 || wait <= 0 {
 			return page, err
 		}
@@ -240,15 +244,17 @@
 			return kept.Page{}, errors.WithStack(&fault.StoreUnavailable{Operation: "changes"})
 		case <-timeout.C:
 			return page, nil
-		case <-wake:
+		case <-notify:
 		}
 	}
 }
 
-func (s *Store) changed(table string, after int64) (kept.Page, <-chan struct{}, error) {
+// changesAfter returns the changes of a table after a version, and a channel that is closed by
+// the next transaction, SetDown or Forget.
+func (s *Store) changesAfter(table string, after int64) (kept.Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.dropped {
+	if after < s.historyStart {
 		return kept.Page{}, nil, errors.WithStack(&kept.HistoryGone{Table: table, After: after})
 	}
 	page := kept.Page{Version: s.version}
@@ -257,12 +263,12 @@
 			page.Rows = append(page.Rows, row)
 		}
 	}
-	return page, s.wake, nil
+	return page, s.notify, nil
 }
 
 // PutObject implements kept.Store.
 func (s *Store) PutObject(_ context.Context, name string, body []byte) error {
-	if err := s.down("put object"); err != nil {
+	if err := s.checkDown("put object"); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -273,7 +279,7 @@
 
 // GetObject implements kept.Store.
 func (s *Store) GetObject(_ context.Context, name string) ([]byte, error) {
-	if err := s.down("get object"); err != nil {
+	if err := s.checkDown("get object"); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -285,14 +291,14 @@
 	return body, nil
 }
 
-// Row returns the row with a key; its version is 0 when there is none.
+// Row returns the row with the given key, or a row with version 0 if it is absent.
 func (s *Store) Row(key kept.Key) kept.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rows[key]
 }
 
-// ObjectNames returns the names of all objects, in order.
+// ObjectNames returns the sorted names of all objects.
 func (s *Store) ObjectNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- /dev/null
+++ b/internal/kept/store_test.go
@@ -0,0 +1,353 @@
+package kept_test
+
+import (
+	"context"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"dogwoodpond/internal/fault"
+	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/kept/memory"
+	"dogwoodpond/internal/platform"
+)
+
+var key = kept.Key{Table: "t", Part: "p", Name: "row"}
+
+// createRow returns a transaction that creates the row key with a value.
+func createRow(value string) kept.Txn {
+	return kept.Txn{
+		Expected: []kept.Expectation{{Key: key}},
+		Puts:     []kept.Put{{Key: key, Value: []byte(value)}},
+	}
+}
+
+// firstCommit returns a fault injector that affects only the first commit.
+func firstCommit(injected memory.Fate) func(kept.Txn) memory.Fate {
+	done := false
+	return func(kept.Txn) memory.Fate {
+		if done {
+			return memory.Normal
+		}
+		done = true
+		return injected
+	}
+}
+
+// Guards against a writer that takes its own row for that of another writer and reports a
+// conflict for a committed transaction. The store runs the commit, the answer is lost, and
+// the retry is refused.
+func TestRetriedCommitRecognizesItsOwnRow(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.SetFate(firstCommit(memory.AnswerLost))
+		version, err := kept.CommitSurely(t.Context(), store, createRow("mine"))
+		if err != nil || version != 1 {
+			t.Errorf("the commit returned version %d, error %v; want version 1 and no error", version, err)
+		}
+	})
+}
+
+// Guards against a transaction that takes effect twice. The first copy gets no answer, its
+// retry commits, another writer changes the row, and then the store runs the first copy.
+func TestDelayedCopyHasNoSecondEffect(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.SetFate(firstCommit(memory.EffectLate))
+		if _, err := kept.CommitSurely(t.Context(), store, createRow("mine")); err != nil {
+			t.Fatal(err)
+		}
+		store.Set(key, "later")
+		store.RunLate()
+		page, _ := store.Read(t.Context(), "t", "p", "", "")
+		if got := string(page.Rows[0].Value); got != "later" {
+			t.Errorf("the row has the value %q after the delayed copy, want that of the later write", got)
+		}
+	})
+}
+
+// Guards against two processes that both consider themselves the owner of a row. The request
+// of a commit is lost, and another writer creates the row before the retry: the retry has to
+// report a conflict.
+func TestRetriedCommitReportsTheRowOfAnotherWriter(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.SetFate(firstCommit(memory.NeverArrived))
+		store.Set(key, "theirs")
+		_, err := kept.CommitSurely(t.Context(), store, createRow("mine"))
+		var conflict *kept.Conflict
+		if !errors.As(err, &conflict) || string(conflict.Row(key).Value) != "theirs" {
+			t.Errorf("the commit failed with %v, want a conflict with the other writer's row", err)
+		}
+	})
+}
+
+// Guards against a commit that is reported as not executed although one of its copies may
+// have taken effect. The store refuses all attempts, or all but one that gets no answer.
+func TestEffectIsUnknownOnlyAfterALostRequest(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		faults  []memory.Fate
+		unknown bool
+	}{
+		{"all refused", []memory.Fate{memory.Refused, memory.Refused, memory.Refused}, false},
+		{"one lost", []memory.Fate{memory.Refused, memory.NeverArrived, memory.Refused}, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				store, n := memory.New(), 0
+				store.SetFate(func(kept.Txn) memory.Fate {
+					injected := memory.Refused
+					if n < len(c.faults) {
+						injected = c.faults[n]
+					}
+					n++
+					return injected
+				})
+				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
+				defer cancel()
+				_, err := kept.CommitSurely(ctx, store, createRow("mine"))
+				var unavailable *fault.StoreUnavailable
+				if !errors.As(err, &unavailable) || unavailable.EffectUnknown != c.unknown {
+					t.Errorf("the commit failed with %v, want an unavailable store with EffectUnknown %v", err, c.unknown)
+				}
+			})
+		})
+	}
+}
+
+// startWatcher runs a watcher until the test ends. The returned function gives the value of
+// the row that the watcher delivered last.
+func startWatcher(t *testing.T, store *memory.Store) func() string {
+	var seen string
+	apply := func(rows []kept.Row) {
+		for _, row := range rows {
+			seen = string(row.Value)
+		}
+	}
+	w := kept.Watcher{Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply}
+	ctx, cancel := context.WithCancel(t.Context())
+	t.Cleanup(cancel)
+	go w.Run(ctx)
+	return func() string {
+		synctest.Wait()
+		return seen
+	}
+}
+
+// Guards against a change that a watcher never sees. The store drops its history after the
+// change; a watcher that only continued from the newest version would miss it, and a withdrawn
+// key would stay valid.
+func TestWatcherReadsInFullAfterLossOfHistory(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.Set(key, "one")
+		seen := startWatcher(t, store)
+		if got := seen(); got != "one" {
+			t.Fatalf("the watcher delivered %q, want the first value", got)
+		}
+		store.SetDown(true)
+		time.Sleep(3 * time.Second)
+		store.Set(key, "two")
+		store.Forget()
+		store.SetDown(false)
+		time.Sleep(time.Second)
+		if got := seen(); got != "two" {
+			t.Errorf("the watcher delivered %q last, want the second value", got)
+		}
+	})
+}
+
+// Guards against a false report of an outage. A process that ends cancels its watches; the
+// failed reads are no outage of the store, and reporting one would mislead the analysis of a
+// failure at that time.
+func TestStoppedWatcherReportsNoOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		lost := false
+		w := kept.Watcher{Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: func([]kept.Row) {}, Lost: func(error) { lost = true }}
+		ctx, cancel := context.WithCancel(t.Context())
+		go w.Run(ctx)
+		time.Sleep(300 * time.Millisecond)
+		cancel()
+		synctest.Wait()
+		if lost {
+			t.Error("the watcher reported an outage after its context ended")
+		}
+	})
+}
+
+// noChanges is a store that answers calls for changes without rows, whatever has changed.
+type noChanges struct{ *memory.Store }
+
+func (s noChanges) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (kept.Page, error) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(wait):
+	}
+	return kept.Page{Version: after}, nil
+}
+
+// Guards against a VM that uses an old configuration for ever. Its long polls succeed but
+// return no changes; only a periodic full read shows them.
+func TestWatcherReadsInFullPeriodically(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.Set(key, "one")
+		var seen string
+		apply := func(rows []kept.Row) { seen = string(rows[len(rows)-1].Value) }
+		w := kept.Watcher{Store: noChanges{store}, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply}
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		go w.Run(ctx)
+		synctest.Wait()
+		store.Set(key, "two")
+		time.Sleep(25 * time.Second)
+		synctest.Wait()
+		if seen != "two" {
+			t.Errorf("the watcher delivered %q last, want the second value", seen)
+		}
+	})
+}
+
+// partitionAfterList is a store in which another writer creates a row of a new partition
+// right after the partitions were listed.
+type partitionAfterList struct {
+	*memory.Store
+	key kept.Key
+}
+
+func (s partitionAfterList) Parts(ctx context.Context, table, after string) ([]string, bool, error) {
+	partitions, more, err := s.Store.Parts(ctx, table, after)
+	s.Set(s.key, "new")
+	return partitions, more, err
+}
+
+// Guards against a partition that a watcher does not see until the next full read. It is
+// created during a full read, after the partitions were listed.
+func TestWatcherSeesAPartitionCreatedDuringAFullRead(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := memory.New()
+		store.Set(key, "one")
+		added := kept.Key{Table: key.Table, Part: key.Part + " later", Name: key.Name}
+		seen := make(map[string]bool)
+		apply := func(rows []kept.Row) {
+			for _, row := range rows {
+				seen[row.Part] = true
+			}
+		}
+		w := kept.Watcher{Store: partitionAfterList{store, added}, Table: "t", AllParts: true, Wait: time.Second, Replace: apply, Apply: apply}
+		go w.Run(t.Context())
+		time.Sleep(2 * time.Second)
+		synctest.Wait()
+		if !seen[key.Part] || !seen[added.Part] {
+			t.Errorf("the watcher delivered rows of the partitions %v, want both partitions", seen)
+		}
+	})
+}
+
+// Guards against leases whose every renewal fails. Leases expect a version that counts the
+// writes of a row, while the store's versions come from one counter over all rows.
+func TestTablesVersionCountsWritesOfARow(t *testing.T) {
+	store := memory.New()
+	tables := kept.NewTables(store, "lease")
+	for n := uint64(0); n < 3; n++ {
+		store.Set(key, "noise")
+		txn := platform.Txn{
+			Nonce:         platform.NewNonce(),
+			Preconditions: []platform.Precondition{{Key: "a", Version: n}},
+			Writes:        []platform.Write{{Key: "a", Value: []byte("x")}},
+		}
+		if err := tables.Commit(t.Context(), txn); err != nil {
+			t.Fatalf("write %d: %v", n+1, err)
+		}
+		row, err := tables.Get(t.Context(), "a")
+		if err != nil || row.Version != n+1 || row.Nonce != txn.Nonce {
+			t.Fatalf("after the write the row is %+v, error %v", row, err)
+		}
+	}
+	err := tables.Commit(t.Context(), platform.Txn{
+		Preconditions: []platform.Precondition{{Key: "a", Version: 1}},
+		Writes:        []platform.Write{{Key: "a"}},
+	})
+	if !fault.Is[*fault.PreconditionFailed](err) {
+		t.Errorf("a write that expects an old version failed with %v, want a failed precondition", err)
+	}
+}
+
+// Guards against a VM that overwrites the lease of another VM. The other VM writes the lease
+// between two writes of this VM, so that the version cached here is out of date.
+func TestTablesRefuseToOverwriteAnotherVM(t *testing.T) {
+	store := memory.New()
+	own, other := kept.NewTables(store, "lease"), kept.NewTables(store, "lease")
+	write := func(tables *kept.Tables, version uint64) error {
+		return tables.Commit(t.Context(), platform.Txn{
+			Preconditions: []platform.Precondition{{Key: "a", Version: version}},
+			Writes:        []platform.Write{{Key: "a", Value: []byte("x")}},
+		})
+	}
+	if err := write(own, 0); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := other.Get(t.Context(), "a"); err != nil {
+		t.Fatal(err)
+	}
+	if err := write(other, 1); err != nil {
+		t.Fatal(err)
+	}
+	if err := write(own, 1); !fault.Is[*fault.PreconditionFailed](err) {
+		t.Errorf("the write over that of another VM failed with %v, want a failed precondition", err)
+	}
+}
+
+// countingStore counts the calls for changes and delays each by a few milliseconds.
+type countingStore struct {
+	*memory.Store
+	calls atomic.Int64
+}
+
+func (c *countingStore) Changes(ctx context.Context, table string, after int64, wait time.Duration) (kept.Page, error) {
+	c.calls.Add(1)
+	time.Sleep(4 * time.Millisecond)
+	return c.Store.Changes(ctx, table, after, wait)
+}
+
+// Guards against watches that overload the store. Thousands of upstreams renew their entries,
+// so the list changes every few milliseconds. A VM that polls again after each answer makes a
+// hundred reads a second; with 300 VMs the store refuses most calls of all VMs, and edits and
+// steps make no progress. A single change must still be seen at once.
+func TestWatcherLimitsPollsOfABusyTable(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		store := &countingStore{Store: memory.New()}
+		var rows atomic.Int64
+		apply := func(page []kept.Row) { rows.Add(int64(len(page))) }
+		w := kept.Watcher{
+			Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply,
+			Pace: func() time.Duration { return 200 * time.Millisecond },
+		}
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		go w.Run(ctx)
+		time.Sleep(2500 * time.Millisecond)
+		store.Set(key, "alone")
+		time.Sleep(10 * time.Millisecond)
+		if n := rows.Load(); n != 1 {
+			t.Errorf("the watcher delivered %d rows 10 ms after a single change, want 1", n)
+		}
+		store.calls.Store(0)
+		for range 1000 {
+			store.Set(key, "again")
+			time.Sleep(2 * time.Millisecond)
+		}
+		if n := store.calls.Load(); n > 11 {
+			t.Errorf("the watcher polled %d times in 2 s of changes, want at most 11", n)
+		}
+		time.Sleep(300 * time.Millisecond)
+		if n := rows.Load(); n != 1001 {
+			t.Errorf("the watcher delivered %d of 1001 changes", n)
+		}
+	})
+}
--- a/internal/kept/tables.go
+++ b/internal/kept/tables.go
@@ -12,37 +12,37 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Tables offers a table of the partitioned store as platform.Tables, which the
-// leases use. Each key gets a partition of its own, so that a transaction holds
-// one row. The versions of platform.Tables count the writes of a row; here they
-// are kept beside the value.
+// Tables implements platform.Tables, which the leases use, on one table of the store. Each
+// key has its own partition, so a transaction covers one row. A version of platform.Tables
+// counts the writes of a row; this count is stored next to the value.
 type Tables struct {
 	store Store
 	table string
 
 	mu    sync.Mutex
-	known map[string]knownRow
+	cache map[string]cachedRow
 }
 
-// knownRow maps the latest count of a row to its version in the store, which
-// saves a read before each write.
-type knownRow struct {
+// cachedRow maps the latest count of a row to its version in the store. The cache saves a
+// read before each write.
+type cachedRow struct {
 	count   uint64
 	version int64
 }
 
-// NewTables returns the named table of a store.
+// NewTables returns the named table of the store.
 func NewTables(store Store, table string) *Tables {
-	return &Tables{store: store, table: table, known: make(map[string]knownRow)}
+	return &Tables{store: store, table: table, cache: make(map[string]cachedRow)}
 }
 
-// counted is the stored form of a row.
-type counted struct {
+// storedRow is the encoding of a row in the store.
+type storedRow struct {
 	Count uint64 `json:"count"`
 	Nonce string `json:"nonce"`
 	Value []byte `json:"value"`
 }
 
+// rowName is the name of the only row of a partition.
 const rowName = "row"
 
 func (t *Tables) key(key string) Key { return Key{Table: t.table, Part: key, Name: rowName} }
@@ -55,15 +55,15 @@
 	}
 	row := platform.Row{Key: key}
 	if len(page.Rows) == 0 {
-		t.remember(key, knownRow{})
+		t.setCached(key, cachedRow{})
 		return row, nil
 	}
-	var c counted
-	if err := json.Unmarshal(page.Rows[0].Value, &c); err != nil {
+	var stored storedRow
+	if err := json.Unmarshal(page.Rows[0].Value, &stored); err != nil {
 		return row, errors.WithStack(&fault.Internal{Where: "row " + page.Rows[0].String()})
 	}
-	t.remember(key, knownRow{count: c.Count, version: page.Rows[0].Version})
-	row.Version, row.Nonce, row.Value = c.Count, c.Nonce, c.Value
+	t.setCached(key, cachedRow{count: stored.Count, version: page.Rows[0].Version})
+	row.Version, row.Nonce, row.Value = stored.Count, stored.Nonce, stored.Value
 	return row, nil
 }
 
@@ -71,16 +71,16 @@
 func (t *Tables) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	var rows []platform.Row
 	for {
-		parts, more, err := t.store.Parts(ctx, t.table, after)
+		partitions, more, err := t.store.Parts(ctx, t.table, after)
 		if err != nil {
 			return nil, err
 		}
-		for _, part := range parts {
-			after = part
-			if !strings.HasPrefix(part, prefix) {
+		for _, partition := range partitions {
+			after = partition
+			if !strings.HasPrefix(partition, prefix) {
 				continue
 			}
-			row, err := t.Get(ctx, part)
+			row, err := t.Get(ctx, partition)
 			if err != nil {
 				return nil, err
 			}
@@ -97,27 +97,27 @@
 	}
 }
 
-// Commit implements platform.Tables. It takes transactions of one row only.
+// Commit implements platform.Tables. It accepts only transactions over one row.
 func (t *Tables) Commit(ctx context.Context, txn platform.Txn) error {
 	if len(txn.Preconditions) != 1 || len(txn.Writes) != 1 || txn.Writes[0].Key != txn.Preconditions[0].Key {
 		return errors.WithStack(&fault.Internal{Where: "transaction over several rows"})
 	}
 	pre, write := txn.Preconditions[0], txn.Writes[0]
-	version, err := t.versionAt(ctx, pre)
+	version, err := t.storeVersion(ctx, pre)
 	if err != nil {
 		return err
 	}
-	next := counted{Count: pre.Version + 1, Nonce: txn.Nonce, Value: write.Value}
+	next := storedRow{Count: pre.Version + 1, Nonce: txn.Nonce, Value: write.Value}
 	key := t.key(pre.Key)
-	written, err := t.store.Commit(ctx, Txn{
+	newVersion, err := t.store.Commit(ctx, Txn{
 		Expected: []Expectation{{Key: key, Version: version}},
 		Puts:     []Put{{Key: key, Value: platform.EncodeValue(next)}},
 	})
 	if err == nil {
-		t.remember(pre.Key, knownRow{count: next.Count, version: written})
+		t.setCached(pre.Key, cachedRow{count: next.Count, version: newVersion})
 		return nil
 	}
-	t.forget(pre.Key)
+	t.dropCached(pre.Key)
 	var conflict *Conflict
 	if errors.As(err, &conflict) {
 		return errors.WithStack(&fault.PreconditionFailed{Row: pre.Key, Want: pre.Version})
@@ -125,38 +125,40 @@
 	return err
 }
 
-// versionAt returns the store's version of a row at a count.
-func (t *Tables) versionAt(ctx context.Context, pre platform.Precondition) (int64, error) {
-	if known, ok := t.recall(pre.Key); ok && known.count == pre.Version {
-		return known.version, nil
+// storeVersion returns the version in the store of the row that a precondition names, or fails
+// with *fault.PreconditionFailed if the row's count is not the expected one.
+func (t *Tables) storeVersion(ctx context.Context, pre platform.Precondition) (int64, error) {
+	if cached, ok := t.getCached(pre.Key); ok && cached.count == pre.Version {
+		return cached.version, nil
 	}
 	row, err := t.Get(ctx, pre.Key)
 	if err != nil {
-		// Nothing was written yet, whatever the read ran into.
+		// Nothing has been written yet, whatever made the read fail, so EffectUnknown
+		// is false.
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "read before commit"})
 	}
 	if row.Version != pre.Version {
 		return 0, errors.WithStack(&fault.PreconditionFailed{Row: pre.Key, Want: pre.Version, Have: row.Version})
 	}
-	known, _ := t.recall(pre.Key)
-	return known.version, nil
+	cached, _ := t.getCached(pre.Key)
+	return cached.version, nil
 }
 
-func (t *Tables) remember(key string, row knownRow) {
+func (t *Tables) setCached(key string, row cachedRow) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.known[key] = row
+	t.cache[key] = row
 }
 
-func (t *Tables) forget(key string) {
+func (t *Tables) dropCached(key string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.known, key)
+	delete(t.cache, key)
 }
 
-func (t *Tables) recall(key string) (knownRow, bool) {
+func (t *Tables) getCached(key string) (cachedRow, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	row, ok := t.known[key]
+	row, ok := t.cache[key]
 	return row, ok
 }
--- a/internal/kept/watch.go
+++ b/internal/kept/watch.go
@@ -10,191 +10,198 @@
 )
 
 const (
-	// retryPause is the pause after a failed read of a watch.
-	retryPause = 100 * time.Millisecond
-	// rereadEvery is how often a watch reads its rows anew without a reason. A
-	// feed can fall silent while its connection stays open, or miss changes
-	// around a loss of history; this bounds how long that goes unnoticed.
-	rereadEvery = 20 * time.Second
-	// rereadPause is how many times as long as a whole read lies at least between two.
-	rereadPause = 10
+	// defaultRetryBackoff is the backoff after a failed read if Watcher.Retry is nil.
+	defaultRetryBackoff = 100 * time.Millisecond
+	// fullReadInterval is the longest time between two full reads of a small table. Long
+	// polls can stop returning changes although the connection stays open, and can miss
+	// changes around a loss of history; the interval bounds how long that goes unnoticed.
+	fullReadInterval = 20 * time.Second
+	// fullReadFactor is the minimum time between two full reads as a multiple of the duration
+	// of the first of them.
+	fullReadFactor = 10
 )
 
-// Watcher follows one table.
+// Watcher watches one table: it reads the table in full and then follows its changes by long
+// polls. It repeats the full read periodically and after a loss of history.
 type Watcher struct {
 	Store Store
 	Table string
-	// Part limits full reads to one partition; without it all partitions are read.
+	// Part is the partition that a full read covers. Long polls return the changes of all
+	// partitions.
 	Part string
-	// AllParts makes full reads cover every partition of the table.
+	// AllParts extends a full read to every partition of the table.
 	AllParts bool
-	// Wait is how long one call for changes may stay open. It bounds how long a
-	// feed that fell silent goes unnoticed.
+	// Wait is the longest time that the store holds one long poll open. It bounds how long
+	// an unresponsive connection goes unnoticed.
 	Wait time.Duration
-	// WaitNow, if set, gives the time for each call in place of Wait.
+	// WaitNow, if set, is called before each long poll and replaces Wait.
 	WaitNow func() time.Duration
-	// Replace takes the whole table after a full read; Apply takes changed rows.
-	// A row may come more than once; its version tells old from new.
+	// Replace receives all rows after a full read, Apply the rows of a page of changes.
+	// A row may be delivered several times and out of order; its version decides which
+	// state is newer.
 	Replace func(rows []Row)
 	Apply   func(rows []Row)
-	// Lost and Regained, if set, are told when the table can't be read any more,
-	// and when it can again, and for how long it could not.
+	// Lost, if set, is called at the first failed read of an outage. Regained, if set, is
+	// called at the first successful read after it, with the duration of the outage.
 	Lost     func(error)
 	Regained func(time.Duration)
-	// Pace, if set, is the least time between the starts of two calls for changes. A
-	// table that changes all the time would otherwise be asked again as soon as it
-	// answers, by every VM. A change that comes alone is not delayed.
+	// Pace, if set, returns the minimum interval between the starts of two long polls.
+	// Without it, each VM polls a table that changes all the time as fast as the store
+	// answers. A single change after a quiet period is not delayed.
 	Pace func() time.Duration
-	// Retry, if set, is the pause after a call that failed.
+	// Retry, if set, returns the backoff after a failed read.
 	Retry func() time.Duration
-	// Reached, if set, is called whenever the table was read.
+	// Reached, if set, is called after each full read and each successful long poll.
 	Reached func()
 
-	lostAt time.Time
+	outageSince time.Time // zero while the table can be read
 }
 
-// Run follows the table until ctx ends.
+// Run watches the table until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		started := time.Now()
-		after, err := w.reread(ctx)
+		after, err := w.readTable(ctx)
 		if err == nil {
-			// Those that started together reread apart.
-			err = w.follow(ctx, after, max(rereadEvery-rand.N(rereadEvery/4), rereadPause*time.Since(started)))
+			// The jitter spreads the full reads of VMs that started together.
+			err = w.follow(ctx, after, max(fullReadInterval-rand.N(fullReadInterval/4), fullReadFactor*time.Since(started)))
 		}
 		if err != nil && ctx.Err() == nil {
-			w.failed(err)
-			wait.For(ctx, w.retry())
+			w.noteFailure(err)
+			wait.For(ctx, w.retryBackoff())
 		}
 	}
 }
 
-func (w *Watcher) wait() time.Duration {
+// pollTimeout returns how long the store may hold the next long poll open.
+func (w *Watcher) pollTimeout() time.Duration {
 	if w.WaitNow == nil {
 		return w.Wait
 	}
 	return w.WaitNow()
 }
 
-func (w *Watcher) retry() time.Duration {
+func (w *Watcher) retryBackoff() time.Duration {
 	if w.Retry == nil {
-		return retryPause
+		return defaultRetryBackoff
 	}
 	return w.Retry()
 }
 
-// reread reads the whole table and returns the version to go on from. Pages of several
-// partitions are of different moments, so the version of the first one counts. That one is
-// read before the partitions are listed: a partition that is written after the list was
-// made is then among the changes.
-func (w *Watcher) reread(ctx context.Context) (int64, error) {
-	store := Patient{Store: w.Store, Pause: w.retry, Failed: w.failed}
+// readTable reads the table in full and returns the version from which to follow changes. The
+// pages of several partitions are read at different times, so this is the version of the
+// first page. Part is read before the partitions are listed, so that a partition that is
+// created after the listing is among the changes.
+func (w *Watcher) readTable(ctx context.Context) (int64, error) {
+	store := Patient{Store: w.Store, Pause: w.retryBackoff, Failed: w.noteFailure}
 	first, err := ReadPartition(ctx, store, w.Table, w.Part)
 	if err != nil {
 		return 0, err
 	}
 	rows := first.Rows
 	if w.AllParts {
-		others, err := w.otherParts(ctx, store)
+		others, err := w.readOtherPartitions(ctx, store)
 		if err != nil {
 			return 0, err
 		}
 		rows = append(rows, others...)
 	}
-	w.reached()
+	w.noteSuccess()
 	w.Replace(rows)
 	return first.Version, nil
 }
 
-// otherParts reads the partitions that the table has besides Part.
-func (w *Watcher) otherParts(ctx context.Context, store Store) ([]Row, error) {
+// readOtherPartitions reads all partitions of the table except Part.
+func (w *Watcher) readOtherPartitions(ctx context.Context, store Store) ([]Row, error) {
 	var rows []Row
 	for after, more := "", true; more; {
-		parts, further, err := store.Parts(ctx, w.Table, after)
+		partitions, hasMore, err := store.Parts(ctx, w.Table, after)
 		if err != nil {
 			return nil, err
 		}
-		for _, part := range parts {
-			after = part
-			if part == w.Part {
+		for _, partition := range partitions {
+			after = partition
+			if partition == w.Part {
 				continue
 			}
-			page, err := ReadPartition(ctx, store, w.Table, part)
+			page, err := ReadPartition(ctx, store, w.Table, partition)
 			if err != nil {
 				return nil, err
 			}
 			rows = append(rows, page.Rows...)
 		}
-		more = further && len(parts) > 0
+		more = hasMore && len(partitions) > 0
 	}
 	return rows, nil
 }
 
-// follow takes changes until a read fails or the rows have to be read anew, after a time
-// at the latest.
-func (w *Watcher) follow(ctx context.Context, after int64, most time.Duration) error {
-	until := time.Now().Add(most)
-	for ctx.Err() == nil && time.Now().Before(until) {
-		asked := time.Now()
-		page, err := w.Store.Changes(ctx, w.Table, after, w.wait())
+// follow applies changes after a version. It returns nil when the table has to be read in full
+// again, because maxDuration has passed or the history was lost, and when ctx has ended. It
+// returns an error if a long poll fails.
+func (w *Watcher) follow(ctx context.Context, after int64, maxDuration time.Duration) error {
+	deadline := time.Now().Add(maxDuration)
+	for ctx.Err() == nil && time.Now().Before(deadline) {
+		pollStart := time.Now()
+		page, err := w.Store.Changes(ctx, w.Table, after, w.pollTimeout())
 		if fault.Is[*HistoryGone](err) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		w.reached()
+		w.noteSuccess()
 		if len(page.Rows) > 0 {
 			w.Apply(page.Rows)
 		}
 		after = max(after, page.Version)
 		if w.Pace != nil {
-			wait.For(ctx, w.Pace()-time.Since(asked))
+			wait.For(ctx, w.Pace()-time.Since(pollStart))
 		}
 	}
 	return nil
 }
 
-// ReadPartition returns all rows of a partition, over as many reads as it has pages. The
-// version is that of the first page, so that nothing written in between is missed.
-func ReadPartition(ctx context.Context, store Store, table, part string) (Page, error) {
-	whole, err := store.Read(ctx, table, part, "", "")
-	for more := whole.More && len(whole.Rows) > 0; err == nil && more; {
+// ReadPartition returns all rows of a partition, page by page. The version is that of the
+// first page, so that changes made between the reads are not missed afterwards.
+func ReadPartition(ctx context.Context, store Store, table, partition string) (Page, error) {
+	all, err := store.Read(ctx, table, partition, "", "")
+	for more := all.More && len(all.Rows) > 0; err == nil && more; {
 		var page Page
-		from := whole.Rows[len(whole.Rows)-1].Name + "\x00"
-		page, err = store.Read(ctx, table, part, from, "")
-		whole.Rows = append(whole.Rows, page.Rows...)
+		from := all.Rows[len(all.Rows)-1].Name + "\x00"
+		page, err = store.Read(ctx, table, partition, from, "")
+		all.Rows = append(all.Rows, page.Rows...)
 		more = page.More && len(page.Rows) > 0
 	}
-	return whole, err
+	return all, err
 }
 
-// ReadAll returns all rows of a partition, over several reads if need be.
-func ReadAll(ctx context.Context, store Store, table, part string) ([]Row, error) {
-	page, err := ReadPartition(ctx, store, table, part)
+// ReadAll returns all rows of a partition, page by page.
+func ReadAll(ctx context.Context, store Store, table, partition string) ([]Row, error) {
+	page, err := ReadPartition(ctx, store, table, partition)
 	return page.Rows, err
 }
 
-func (w *Watcher) reached() {
+// noteSuccess records a successful read and reports the end of an outage.
+func (w *Watcher) noteSuccess() {
 	if w.Reached != nil {
 		w.Reached()
 	}
-	if w.lostAt.IsZero() {
+	if w.outageSince.IsZero() {
 		return
 	}
 	if w.Regained != nil {
-		w.Regained(time.Since(w.lostAt))
+		w.Regained(time.Since(w.outageSince))
 	}
-	w.lostAt = time.Time{}
+	w.outageSince = time.Time{}
 }
 
-// failed tells of the first failure only: while the store is away there would be
-// ten a second.
-func (w *Watcher) failed(err error) {
-	if !w.lostAt.IsZero() {
+// noteFailure records a failed read. It reports only the first one of an outage, because
+// failures can occur ten times a second.
+func (w *Watcher) noteFailure(err error) {
+	if !w.outageSince.IsZero() {
 		return
 	}
-	w.lostAt = time.Now()
+	w.outageSince = time.Now()
 	if w.Lost != nil {
 		w.Lost(err)
 	}
