--- a/internal/carry/carry.go
+++ b/internal/carry/carry.go
@@ -1,8 +1,8 @@
-// Package carry lets a VM that can't reach the platform's store use it through
-// another VM. The store may turn some VMs away while it serves others, and a
-// network partition may do the same; without this a third of the fleet would be
-// of no use for minutes. The VMs of a fleet trust each other, and what makes a
-// commit safe are its expectations, whoever carries it.
+// Package carry relays calls to the platform's store through another VM for a VM that can't
+// reach the store itself. The store may refuse some VMs while it serves others, and a network
+// partition may cut some VMs off; without relays a third of the fleet would be unusable for
+// minutes. The VMs of a fleet trust each other. A relayed commit is as safe as a direct one,
+// because its expectations protect it on either path.
 package carry
 
 import (
@@ -21,46 +21,46 @@
 )
 
 const (
-	// dialTimeout bounds the dial to a peer; a way between failure domains takes
-	// a few milliseconds, one between regions some 20.
+	// dialTimeout bounds the dial to a peer. The latency is a few milliseconds between
+	// failure domains and about 20 ms between regions.
 	dialTimeout = 400 * time.Millisecond
-	// idleTime closes kept connections that were not used.
-	idleTime = 20 * time.Second
-	// perPeer bounds the kept connections to one peer.
-	perPeer = 4
-	// slack is added to a call's own timeout for the way to the peer.
-	slack = 300 * time.Millisecond
+	// idleTimeout is the time after which an unused pooled connection is closed.
+	idleTimeout = 20 * time.Second
+	// maxIdlePerPeer bounds the pooled connections to one peer.
+	maxIdlePerPeer = 4
+	// peerMargin is added to the timeout of a call for the way to the peer and back.
+	peerMargin = 300 * time.Millisecond
 )
 
-// Call is one call to the store.
+// Call is one HTTP call to the store.
 type Call struct {
 	Method, URI string
 	Body        []byte
-	// IfAbsent asks that nothing be overwritten.
+	// IfAbsent makes the call create an object only if it is absent.
 	IfAbsent bool
 	Timeout  time.Duration
 }
 
-// Answer is the store's answer.
+// Answer is the HTTP answer of the store.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Direct makes a call to the store. sent tells, on a failure, whether the call
-// may have reached it.
+// Direct is a function that makes a call to the store without another relay. If it fails, sent
+// is true if the call may have reached the store.
 type Direct func(ctx context.Context, call Call) (answer Answer, sent bool, err error)
 
-// Serve answers peers on a listener until ctx ends.
-func Serve(ctx context.Context, listener net.Listener, direct Direct) error {
+// Serve relays the calls that peers make on a listener, by callStore, until ctx ends.
+func Serve(ctx context.Context, listener net.Listener, callStore Direct) error {
 	mux := drpcmux.New()
-	if err := carrypb.DRPCRegisterCarrier(mux, &server{direct: direct}); err != nil {
-		return errors.WithStack(&fault.Internal{Where: "carrier registration"})
+	if err := carrypb.DRPCRegisterCarrier(mux, &server{callStore: callStore}); err != nil {
+		return errors.WithStack(&fault.Internal{Where: "registration of the relay service"})
 	}
 	return drpcserver.New(mux).Serve(ctx, listener)
 }
 
-type server struct{ direct Direct }
+type server struct{ callStore Direct }
 
 // Carry implements carrypb.DRPCCarrierServer.
 func (s *server) Carry(ctx context.Context, in *carrypb.Call) (*carrypb.Answer, error) {
@@ -68,30 +68,30 @@
 		Method: in.GetMethod(), URI: in.GetUri(), Body: in.GetBody(), IfAbsent: in.GetIfAbsent(),
 		Timeout: time.Duration(in.GetTimeoutMillis()) * time.Millisecond,
 	}
-	answer, sent, err := s.direct(ctx, call)
+	answer, sent, err := s.callStore(ctx, call)
 	if err != nil {
 		return &carrypb.Answer{Sent: sent}, nil
 	}
 	return &carrypb.Answer{Status: int32(answer.Status), Body: answer.Body, Sent: true}, nil
 }
 
-// Client asks peers. It is safe for concurrent use.
+// Client makes calls to the store through peers. It is safe for concurrent use.
 type Client struct {
 	pool *drpcpool.Pool[string, *drpcconn.Conn]
 }
 
-// NewClient returns a client.
+// NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{pool: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{Expiration: idleTime, KeyCapacity: perPeer})}
+	return &Client{pool: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: maxIdlePerPeer})}
 }
 
-// Close closes the kept connections.
+// Close closes the pooled connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// Carry makes a call through the peer at an address. sent tells, on a failure,
-// whether the call may have reached the store.
+// Carry makes a call to the store through the peer at an address. If it fails, sent is true if
+// the call may have reached the store.
 func (c *Client) Carry(ctx context.Context, address string, call Call) (answer Answer, sent bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, call.Timeout+slack)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout+peerMargin)
 	defer cancel()
 	dialed := false
 	conn := c.pool.Get(ctx, address, func(ctx context.Context, address string) (*drpcconn.Conn, error) {
@@ -108,8 +108,9 @@
 		TimeoutMillis: call.Timeout.Milliseconds(),
 	})
 	if err != nil {
-		// A connection that was kept may have taken the call before it broke.
-		return Answer{}, dialed || ctx.Err() != nil || !isDial(err), errors.WithStack(&fault.PeerUnavailable{VM: address})
+		// Only a failed dial proves that nothing was sent: an established connection
+		// may have delivered the call before it failed.
+		return Answer{}, dialed || ctx.Err() != nil || !isDialError(err), errors.WithStack(&fault.PeerUnavailable{VM: address})
 	}
 	if out.GetStatus() == 0 {
 		return Answer{}, out.GetSent(), errors.WithStack(&fault.StoreUnavailable{Operation: call.URI, EffectUnknown: out.GetSent()})
@@ -117,8 +118,8 @@
 	return Answer{Status: int(out.GetStatus()), Body: out.GetBody()}, true, nil
 }
 
-// isDial reports whether a failure came before any byte could be sent.
-func isDial(err error) bool {
+// isDialError reports whether a call failed at the dial, before any byte was sent.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/carry/carrypb/doc.go
+++ b/internal/carry/carrypb/doc.go
@@ -1,2 +1,2 @@
-// Package carrypb is the generated form of carry.proto.
+// Package carrypb is the code generated from carry.proto.
 package carrypb
--- a/internal/carry/selector.go
+++ b/internal/carry/selector.go
@@ -8,38 +8,42 @@
 )
 
 const (
-	// avoidTime is how long a peer that did not carry a call is asked last.
-	avoidTime = time.Second
-	// restTime is how long no peer is asked after none of those that were asked carried a
-	// call: then the store itself is away or refuses the fleet's rate, and asking would
-	// multiply the calls. It doubles with each failure in a row up to longestRest.
-	restTime    = 300 * time.Millisecond
-	longestRest = 2400 * time.Millisecond
+	// failedPeerBackoff is how long a peer that failed to relay a call sorts behind all
+	// others.
+	failedPeerBackoff = time.Second
+	// minRelayBackoff is how long no peer is asked after all peers that were asked failed
+	// to relay a call: the store is then unavailable, or refuses calls above the fleet's
+	// rate, and relays would multiply the calls. The backoff doubles with each such call
+	// in a row, up to maxRelayBackoff.
+	minRelayBackoff = 300 * time.Millisecond
+	maxRelayBackoff = 2400 * time.Millisecond
 )
 
-// Selector remembers which peers reach the store. The load is a store that turns a part of
-// the fleet away, or answers nobody: a peer that carried a call is asked again, so that
-// most calls take one hop, and peers that did not are left alone for a while. It is safe
-// for concurrent use.
+// Selector chooses the peers that are asked to relay a call. It is designed for a store that
+// refuses part of the fleet or is unavailable to all VMs: it prefers the peer that relayed the
+// last call, so that most calls need one relay, and backs off from peers that failed. It is
+// safe for concurrent use.
 type Selector struct {
-	mu    sync.Mutex
-	good  string
-	avoid map[string]time.Time
-	// failures counts in a row the calls that no peer carried; rest ends the pause
-	// after the last of them.
-	failures int
-	rest     time.Time
+	mu sync.Mutex
+	// preferred is the last peer that relayed a call, until it fails.
+	preferred string
+	// avoidUntil holds the end of the backoff of each peer that failed.
+	avoidUntil map[string]time.Time
+	// failures counts the calls in a row that no peer relayed. No peer is asked until
+	// backoffUntil.
+	failures     int
+	backoffUntil time.Time
 }
 
-// NewSelector returns a selector that knows nothing of any peer.
-func NewSelector() *Selector { return &Selector{avoid: make(map[string]time.Time)} }
+// NewSelector returns a selector that prefers and avoids no peer.
+func NewSelector() *Selector { return &Selector{avoidUntil: make(map[string]time.Time)} }
 
-// Order returns the peers to ask for a call, in order, or none while peers are left
-// alone.
+// Order returns the peers in the order in which to ask them to relay a call. It returns none
+// during the backoff after a call that no peer relayed.
 func (s *Selector) Order(peers []string, now time.Time) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.Before(s.rest) {
+	if now.Before(s.backoffUntil) {
 		return nil
 	}
 	order := slices.Clone(peers)
@@ -48,52 +52,52 @@
 	return order
 }
 
-// rank orders peers: the one that carried the last call, those of which nothing bad is
-// known, and those that failed a moment ago.
+// rank returns 0 for the preferred peer, 2 for a peer in its backoff after a failure, and 1 for
+// all others.
 func (s *Selector) rank(peer string, now time.Time) int {
 	switch {
-	case peer == s.good:
+	case peer == s.preferred:
 		return 0
-	case now.Before(s.avoid[peer]):
+	case now.Before(s.avoidUntil[peer]):
 		return 2
 	}
 	return 1
 }
 
-// Carried notes that a peer carried a call.
+// Carried records that a peer relayed a call.
 func (s *Selector) Carried(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.good, s.failures = peer, 0
-	delete(s.avoid, peer)
+	s.preferred, s.failures = peer, 0
+	delete(s.avoidUntil, peer)
 }
 
-// Known reports whether a peer is known to reach the store.
+// Known reports whether there is a peer that relayed a call and has not failed since.
 func (s *Selector) Known() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.good != ""
+	return s.preferred != ""
 }
 
-// Failed notes that a peer did not carry a call.
+// Failed records that a peer failed to relay a call.
 func (s *Selector) Failed(peer string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.good == peer {
-		s.good = ""
+	if s.preferred == peer {
+		s.preferred = ""
 	}
-	for other, until := range s.avoid {
+	for other, until := range s.avoidUntil {
 		if now.After(until) {
-			delete(s.avoid, other)
+			delete(s.avoidUntil, other)
 		}
 	}
-	s.avoid[peer] = now.Add(avoidTime)
+	s.avoidUntil[peer] = now.Add(failedPeerBackoff)
 }
 
-// NoneCarried notes that none of the peers that were asked carried a call.
+// NoneCarried records that all peers that were asked failed to relay a call.
 func (s *Selector) NoneCarried(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rest = now.Add(min(restTime<<min(s.failures, 8), longestRest))
+	s.backoffUntil = now.Add(min(minRelayBackoff<<min(s.failures, 8), maxRelayBackoff))
 	s.failures++
 }
--- a/internal/carry/selector_test.go
+++ b/internal/carry/selector_test.go
@@ -6,46 +6,49 @@
 	"time"
 )
 
-// ask asks peers in the order of selector, of which those in away do not reach the store,
-// and reports whether one carried the call and how many were asked.
-func ask(w *Selector, peers []string, away map[string]bool, most int, now time.Time) (carried bool, asked int) {
-	order := w.Order(peers, now)
-	for _, peer := range order[:min(most, len(order))] {
+// relay relays one call through at most maxAsked peers in the selector's order. The peers in
+// refused do not reach the store. It reports whether a peer relayed the call and how many were
+// asked.
+func relay(selector *Selector, peers []string, refused map[string]bool, maxAsked int, now time.Time) (relayed bool, asked int) {
+	order := selector.Order(peers, now)
+	for _, peer := range order[:min(maxAsked, len(order))] {
 		asked++
-		if !away[peer] {
-			w.Carried(peer)
+		if !refused[peer] {
+			selector.Carried(peer)
 			return true, asked
 		}
-		w.Failed(peer, now)
+		selector.Failed(peer, now)
 	}
 	if asked > 0 {
-		w.NoneCarried(now)
+		selector.NoneCarried(now)
 	}
 	return false, asked
 }
 
-func fleet(n, away int) (peers []string, turnedAway map[string]bool) {
-	turnedAway = make(map[string]bool)
+// newPeers returns n peers; the store refuses the first refusedCount of them.
+func newPeers(n, refusedCount int) (peers []string, refused map[string]bool) {
+	refused = make(map[string]bool)
 	for i := range n {
 		peers = append(peers, fmt.Sprint("peer", i))
-		turnedAway[peers[i]] = i < away
+		refused[peers[i]] = i < refusedCount
 	}
-	return peers, turnedAway
+	return peers, refused
 }
 
-// Guards against VMs that are useless while the store turns half of the fleet away: calls
-// of steps would fail one time in four although every second peer reaches the store.
-func TestHalfOfTheFleetReachesTheStoreForTheOther(t *testing.T) {
-	const vms, calls, most = 40, 200, 4
-	peers, away := fleet(vms, vms/2)
+// Guards against VMs that can't use the store while it refuses half of the fleet. Without a
+// preferred peer one call of a step in four would fail, although every second peer reaches
+// the store.
+func TestHalfOfTheFleetRelaysForTheOther(t *testing.T) {
+	const vms, calls, maxAsked = 40, 200, 4
+	peers, refused := newPeers(vms, vms/2)
 	start := time.Now()
 	failed, asked := 0, 0
 	for range vms {
-		w := NewSelector()
+		selector := NewSelector()
 		for n := range calls {
-			carried, hops := ask(w, peers, away, most, start.Add(time.Duration(n)*20*time.Millisecond))
-			asked += hops
-			if !carried {
+			relayed, attempts := relay(selector, peers, refused, maxAsked, start.Add(time.Duration(n)*20*time.Millisecond))
+			asked += attempts
+			if !relayed {
 				failed++
 			}
 		}
@@ -58,33 +61,33 @@
 	}
 }
 
-// Guards against calls that are multiplied while the store is away for everybody.
-func TestPeersAreLeftAloneWhileNobodyReachesTheStore(t *testing.T) {
-	const calls, most = 500, 4
-	peers, away := fleet(40, 40)
-	w, start, asked := NewSelector(), time.Now(), 0
+// Guards against relays that multiply the calls while the store is unavailable to all VMs.
+func TestRelaysBackOffWhileNoPeerReachesTheStore(t *testing.T) {
+	const calls, maxAsked = 500, 4
+	peers, refused := newPeers(40, 40)
+	selector, start, asked := NewSelector(), time.Now(), 0
 	for n := range calls {
-		_, hops := ask(w, peers, away, most, start.Add(time.Duration(n)*20*time.Millisecond))
-		asked += hops
+		_, attempts := relay(selector, peers, refused, maxAsked, start.Add(time.Duration(n)*20*time.Millisecond))
+		asked += attempts
 	}
 	if limit := calls / 10; asked > limit {
-		t.Errorf("%d peers were asked for %d calls of 10 s, at most %d are allowed", asked, calls, limit)
+		t.Errorf("%d peers were asked for %d calls in 10 s, at most %d are allowed", asked, calls, limit)
 	}
 }
 
-// Guards against a peer that is asked on and on after it stopped reaching the store.
-func TestPeerThatStopsCarryingIsLeft(t *testing.T) {
-	peers, away := fleet(10, 0)
-	w, now := NewSelector(), time.Now()
-	ask(w, peers, away, 1, now)
-	first := w.good
-	away[first] = true
+// Guards against a preferred peer that is still asked first after it lost the store.
+func TestFailedPeerIsNoLongerPreferred(t *testing.T) {
+	peers, refused := newPeers(10, 0)
+	selector, now := NewSelector(), time.Now()
+	relay(selector, peers, refused, 1, now)
+	first := selector.preferred
+	refused[first] = true
 	for range 20 {
-		if carried, asked := ask(w, peers, away, 2, now); !carried || asked > 2 {
-			t.Fatalf("carried %t after %d peers", carried, asked)
+		if relayed, asked := relay(selector, peers, refused, 2, now); !relayed || asked > 2 {
+			t.Fatalf("relayed is %t after %d peers were asked", relayed, asked)
 		}
 	}
-	if w.good == first {
-		t.Error("the peer that fails is still asked first")
+	if selector.preferred == first {
+		t.Error("the failed peer is still asked first")
 	}
 }
