--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,8 +1,8 @@
-// Package budget divides the calls that the platform's store takes among the VMs of a
-// fleet. Every loop that calls the store again and again asks it how often it may. The
-// load is a fleet that grows while the store stays as it is: each period is what the
-// rates of the store, the number of VMs and the share of the loop leave, and grows while
-// the store refuses calls.
+// Package budget divides the rate of calls that the platform's store accepts among the
+// VMs of a fleet. Every loop that calls the store periodically asks it for the interval
+// between calls. A fleet may grow while the capacity of the store stays the same, so the
+// interval is computed from the rates of the store, the number of VMs and the share of
+// the loop's purpose. It becomes longer while the store refuses calls.
 package budget
 
 import (
@@ -13,80 +13,86 @@
 	"time"
 )
 
-// Rates are the calls a second that the store takes from the whole fleet.
+// Rates are the numbers of calls per second that the store accepts from the whole fleet.
 type Rates struct{ Writes, Reads int }
 
-// defaultRates hold where the settings name none.
+// defaultRates apply to rates that the settings leave out.
 var defaultRates = Rates{Writes: 800, Reads: 2000}
 
-// Use is one purpose of calls to the store.
+// Use is a purpose of calls to the store.
 type Use int
 
-// The uses of the store that recur. What they leave is for acceptance, listing and
-// ownership of steps and for leases, whose calls follow the work and not a period.
+// The purposes of periodic calls. They leave a part of the rates for accepting steps,
+// committing their results, step ownership and leases, whose calls depend on the load and
+// not on an interval.
 const (
-	// Beats are the writes by which VMs tell that they live.
+	// Beats are the writes of the VMs' heartbeats.
 	Beats Use = iota
-	// Totals are the writes of usage.
+	// Totals are the writes of usage totals.
 	Totals
-	// Members are the reads of the others' beats.
+	// Members are the reads of other VMs' heartbeats.
 	Members
-	// Configuration are the calls for changes of the configuration and named versions.
+	// Configuration are the calls for changes of the configuration and of the announced
+	// weight versions.
 	Configuration
 	// Upstreams are the calls for changes of the list of upstreams.
 	Upstreams
 	// Steps are the calls for changes of the states of steps.
 	Steps
-	// Loads are the calls for changes of the engines' loads of weights.
+	// Loads are the calls for changes of the engines' weight loads.
 	Loads
-	// Probes are the reads that look whether the store answers again. The other loops
-	// wait meanwhile, so that they take their part.
+	// Probes are the reads that check during an outage whether the store is available
+	// again. The other loops wait during an outage, so Probes may use their shares.
 	Probes
-	uses
+	useCount
 )
 
-// shares are the parts of the writes or the reads that the uses may take.
-var shares = [uses]struct {
-	part   float64
+// shares are the parts of the write rate or of the read rate for each use.
+var shares = [useCount]struct {
+	share  float64
 	writes bool
-	// firm uses are not slowed by refusals, and the others make room for them: they bound
-	// by how old a configuration a VM serves, and when the work of a dead one goes on.
-	firm bool
+	// critical reads are not slowed down by refusals. The other reads are, which
+	// leaves capacity for the critical ones. Critical reads determine how old the
+	// configuration of a VM can be, and how soon the steps of a dead VM are taken over.
+	critical bool
 }{
-	Beats:         {part: 0.25, writes: true},
-	Totals:        {part: 0.25, writes: true},
-	Members:       {part: 0.15, firm: true},
-	Configuration: {part: 0.20, firm: true},
-	Upstreams:     {part: 0.15},
-	Steps:         {part: 0.15},
-	Loads:         {part: 0.10},
-	Probes:        {part: 0.50},
+	Beats:         {share: 0.25, writes: true},
+	Totals:        {share: 0.25, writes: true},
+	Members:       {share: 0.15, critical: true},
+	Configuration: {share: 0.20, critical: true},
+	Upstreams:     {share: 0.15},
+	Steps:         {share: 0.15},
+	Loads:         {share: 0.10},
+	Probes:        {share: 0.50},
 }
 
 const (
-	// slowBy is how much the periods grow when the store refuses calls, mostSlow how
-	// much they grow at most, and slowEvery how often.
-	slowBy    = 1.5
-	mostSlow  = 8
-	slowEvery = 250 * time.Millisecond
-	// recoverBy is how much of the growth is taken back in each recoverEvery without
-	// refusals.
-	recoverBy    = 0.25
-	recoverEvery = 500 * time.Millisecond
+	// The backoff factor, by which intervals are lengthened, is multiplied by
+	// backoffGrowth when the store refuses a call, at most once per
+	// backoffGrowthInterval and up to maxBackoffFactor.
+	backoffGrowth         = 1.5
+	maxBackoffFactor      = 8
+	backoffGrowthInterval = 250 * time.Millisecond
+	// recoveryShare is the part of the backoff factor that is taken off in each
+	// recoveryInterval without refusals.
+	recoveryShare    = 0.25
+	recoveryInterval = 500 * time.Millisecond
 )
 
-// Budget is the part of one VM. It is safe for concurrent use.
+// Budget is one VM's part of the rates. It is safe for concurrent use.
 type Budget struct {
 	rates Rates
 	vms   atomic.Int64
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// factor is the backoff factor, at least 1.
 	factor float64
-	// changed is when the factor grew or shrank last.
-	changed time.Time
+	// changedAt is the time of the last change of factor.
+	changedAt time.Time
 }
 
-// New returns the budget of a VM that knows no others yet.
+// New returns the budget of a VM that does not know of other VMs yet. Rates that are not
+// positive get their defaults.
 func New(rates Rates) *Budget {
 	if rates.Writes <= 0 {
 		rates.Writes = defaultRates.Writes
@@ -99,64 +105,68 @@
 	return b
 }
 
-// SetFleet sets among how many VMs the calls are divided.
+// SetFleet sets the number of VMs among which the calls are divided.
 func (b *Budget) SetFleet(vms int) { b.vms.Store(int64(max(vms, 1))) }
 
-// FleetSize returns among how many VMs the calls are divided.
+// FleetSize returns the number of VMs among which the calls are divided.
 func (b *Budget) FleetSize() int { return int(b.vms.Load()) }
 
-// Period returns the least time between two calls of this VM for a use, and at least
-// the time that the use wants. Refusals slow reads only: the other VMs know by the size
-// of the fleet how long they have to wait for what this one writes.
-func (b *Budget) Period(use Use, wanted time.Duration) time.Duration {
-	period := b.period(use, wanted)
-	if shares[use].writes || shares[use].firm {
-		return period
+// Period returns the interval between two calls of this VM for a use; it is at least
+// minInterval. Refusals lengthen only the intervals of reads that are not critical. The
+// intervals of writes must depend on the size of the fleet alone, because other VMs
+// compute from it how long to wait for the rows that this VM writes.
+func (b *Budget) Period(use Use, minInterval time.Duration) time.Duration {
+	interval := b.interval(use, minInterval)
+	if shares[use].writes || shares[use].critical {
+		return interval
 	}
-	return time.Duration(float64(period) * b.BackoffFactor(time.Now()))
+	return time.Duration(float64(interval) * b.BackoffFactor(time.Now()))
 }
 
-// Retry returns the pause after a read that failed: the one that is wanted, or, while the
-// store refuses calls, some time around the period of the use. VMs whose calls were refused
-// together come again apart.
-func (b *Budget) Retry(use Use, wanted time.Duration) time.Duration {
+// Retry returns the backoff after a failed read. It is minInterval, or, while the store
+// refuses calls, a random time around the interval of the use (around half of it for a
+// critical use). The randomness spreads the retries of VMs whose calls were refused at
+// the same time.
+func (b *Budget) Retry(use Use, minInterval time.Duration) time.Duration {
 	if b.BackoffFactor(time.Now()) <= 1 {
-		return wanted
+		return minInterval
 	}
-	period := b.period(use, wanted)
-	if shares[use].firm {
-		period /= 2
+	interval := b.interval(use, minInterval)
+	if shares[use].critical {
+		interval /= 2
 	}
-	return period/2 + rand.N(period)
+	return interval/2 + rand.N(interval)
 }
 
-// period divides the calls a second that a use may make among the VMs.
-func (b *Budget) period(use Use, wanted time.Duration) time.Duration {
+// interval returns the interval, at least minInterval, at which each VM of the fleet may
+// make calls for a use so that they all stay within its share of the rate.
+func (b *Budget) interval(use Use, minInterval time.Duration) time.Duration {
 	rate := b.rates.Reads
 	if shares[use].writes {
 		rate = b.rates.Writes
 	}
-	perVM := float64(b.FleetSize()) / (shares[use].part * float64(rate))
-	return max(wanted, time.Duration(perVM*float64(time.Second)))
+	seconds := float64(b.FleetSize()) / (shares[use].share * float64(rate))
+	return max(minInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// Refused notes that the store refused a call because of its rate.
+// Refused records that the store refused a call because of its rate limit.
 func (b *Budget) Refused(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.changed) < slowEvery {
+	if now.Sub(b.changedAt) < backoffGrowthInterval {
 		return
 	}
-	b.factor, b.changed = min(b.factor*slowBy, mostSlow), now
+	b.factor, b.changedAt = min(b.factor*backoffGrowth, maxBackoffFactor), now
 }
 
-// BackoffFactor returns by how much the periods of reads are longer than the rates ask for.
+// BackoffFactor returns the factor by which refusals lengthen the intervals of reads that
+// are not critical; 1 means no backoff.
 func (b *Budget) BackoffFactor(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if quiet := int(now.Sub(b.changed) / recoverEvery); quiet > 0 && b.factor > 1 {
-		b.factor = max(1, b.factor*math.Pow(1-recoverBy, float64(quiet)))
-		b.changed = b.changed.Add(time.Duration(quiet) * recoverEvery)
+	if n := int(now.Sub(b.changedAt) / recoveryInterval); n > 0 && b.factor > 1 {
+		b.factor = max(1, b.factor*math.Pow(1-recoveryShare, float64(n)))
+		b.changedAt = b.changedAt.Add(time.Duration(n) * recoveryInterval)
 	}
 	return b.factor
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Guards against a fleet that uses up the calls of a store that does not grow with it:
-// edits would not be in force in time, and steps would not be accepted.
-func TestPeriodsOfLargeFleetsFitTheStore(t *testing.T) {
+// Guards against a large fleet whose periodic calls use up the rates of the store:
+// configuration edits would take effect too late, and steps would not be accepted.
+func TestIntervalsOfLargeFleetsFitStoreRates(t *testing.T) {
 	for _, rates := range []Rates{{800, 2000}, {3200, 16000}} {
 		for _, vms := range []int{9, 60, 195, 300, 390, 1000} {
 			b := New(rates)
 			b.SetFleet(vms)
 			var writes, reads float64
-			for use := range uses {
+			for use := range useCount {
 				if use == Probes {
 					continue
 				}
@@ -35,36 +35,36 @@
 	}
 }
 
-func TestSmallFleetsGetThePeriodThatTheyWant(t *testing.T) {
+func TestSmallFleetsUseMinInterval(t *testing.T) {
 	b := New(Rates{})
 	b.SetFleet(9)
-	for use := range uses {
+	for use := range useCount {
 		if got := b.Period(use, 500*time.Millisecond); got != 500*time.Millisecond {
-			t.Errorf("use %d has a period of %s", use, got)
+			t.Errorf("use %d has an interval of %s", use, got)
 		}
 	}
 }
 
-// Guards against VMs that go on calling at their usual rate while the store refuses them:
-// a burst of calls after an outage would keep refusals up.
-func TestRefusalsSlowTheLoopsForAWhile(t *testing.T) {
+// Guards against VMs that continue to call at their usual rate while the store refuses
+// calls: the burst of calls after an outage would keep the store refusing them.
+func TestRefusalsLengthenIntervalsTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Rates{})
 		b.SetFleet(9)
-		const usual = time.Second
+		const minInterval = time.Second
 		for range 100 {
 			b.Refused(time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got := b.Period(Beats, usual); got != usual {
-			t.Errorf("beats come every %s, want %s: the others would take this VM for dead", got, usual)
+		if got := b.Period(Beats, minInterval); got != minInterval {
+			t.Errorf("the heartbeat interval is %s, want %s: other VMs would consider this VM dead", got, minInterval)
 		}
-		if got := b.Period(Upstreams, usual); got != mostSlow*usual {
-			t.Errorf("after 10 s of refusals the period is %s, want %s", got, mostSlow*usual)
+		if got := b.Period(Upstreams, minInterval); got != maxBackoffFactor*minInterval {
+			t.Errorf("after 10 s of refusals the interval is %s, want %s", got, maxBackoffFactor*minInterval)
 		}
 		time.Sleep(10 * time.Second)
-		if got := b.Period(Upstreams, usual); got != usual {
-			t.Errorf("10 s after the last refusal the period is %s, want %s", got, usual)
+		if got := b.Period(Upstreams, minInterval); got != minInterval {
+			t.Errorf("10 s after the last refusal the interval is %s, want %s", got, minInterval)
 		}
 	})
 }
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -1,6 +1,7 @@
-// Package outage tells whether a dependency answers. What waits for one that has fallen
-// silent should go on as soon as it answers again: a call that was sent into the silence
-// is never answered, and waiting for its timeout makes the outage longer for callers.
+// Package outage tracks whether a dependency is available. Calls that wait for an
+// unresponsive dependency should be retried as soon as it is available again: a call that
+// was sent during the outage is never answered, and waiting for its timeout prolongs the
+// outage for callers.
 package outage
 
 import (
@@ -12,107 +13,111 @@
 )
 
 const (
-	// leastGrace, mostGrace and graceAnswers give the calls of an outage, behind its end,
-	// the time of some answers like the one that ended it: the dependency may be slow.
-	leastGrace   = 30 * time.Millisecond
-	mostGrace    = 500 * time.Millisecond
-	graceAnswers = 3
+	// Calls that were sent during an outage get a grace period after its end, because some
+	// of them may have reached the dependency after it became available. The period is
+	// minGrace plus graceFactor times the duration of the call that ended the outage, as
+	// the dependency may be slow, and at most maxGrace.
+	minGrace    = 30 * time.Millisecond
+	maxGrace    = 500 * time.Millisecond
+	graceFactor = 3
 )
 
-// Watch follows one dependency. Its zero value says that it answers. It is safe for
-// concurrent use.
+// Watch tracks the outages of one dependency. Its zero value takes the dependency as
+// available. It is safe for concurrent use.
 type Watch struct {
-	mu    sync.Mutex
-	since time.Time
-	// over is closed when the outage ends; nil without one.
-	over chan struct{}
-	// grace is how long the calls of the last outage may go on after its end: they may
-	// have been sent behind it.
+	mu sync.Mutex
+	// startedAt is the start of the current or last outage.
+	startedAt time.Time
+	// ended is closed when the current outage ends; it is nil without an outage.
+	ended chan struct{}
+	// grace is the grace period of the last outage.
 	grace time.Duration
-	// begun wakes Probe.
-	begun chan struct{}
+	// began notifies Probe of the start of an outage.
+	began chan struct{}
 }
 
-// Lost notes that the dependency did not answer, and reports whether that began an
-// outage.
-func (w *Watch) Lost(now time.Time) (first bool) {
+// Lost records that the dependency did not answer a call, and reports whether this is
+// the start of an outage.
+func (w *Watch) Lost(now time.Time) (started bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over != nil {
+	if w.ended != nil {
 		return false
 	}
-	w.since, w.over = now, make(chan struct{})
+	w.startedAt, w.ended = now, make(chan struct{})
 	select {
-	case w.wakeUp() <- struct{}{}:
+	case w.beganSignal() <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// Answers notes that the dependency answered a call after some time, and returns how long
-// the outage took that ended with it; ok is false when there was none.
-func (w *Watch) Answers(now time.Time, after time.Duration) (took time.Duration, ok bool) {
+// Answers records that the dependency answered a call, which took callDuration. If that
+// ends an outage, it returns the outage's duration and true.
+func (w *Watch) Answers(now time.Time, callDuration time.Duration) (outageDuration time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.over == nil {
+	if w.ended == nil {
 		return 0, false
 	}
-	w.grace = min(leastGrace+graceAnswers*after, mostGrace)
-	close(w.over)
-	w.over = nil
-	return now.Sub(w.since), true
+	w.grace = min(minGrace+graceFactor*callDuration, maxGrace)
+	close(w.ended)
+	w.ended = nil
+	return now.Sub(w.startedAt), true
 }
 
-// Well reports whether the dependency answered the last time that it was asked.
+// Well reports whether the dependency is available: there is no outage.
 func (w *Watch) Well() bool { return w.Over() == nil }
 
-// Over returns a channel that is closed when the present outage ends; nil without one.
+// Over returns a channel that is closed when the current outage ends, or nil if there is
+// no outage.
 func (w *Watch) Over() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.over
+	return w.ended
 }
 
-// wakeUp returns the channel that wakes Probe. The lock must be held.
-func (w *Watch) wakeUp() chan struct{} {
-	if w.begun == nil {
-		w.begun = make(chan struct{}, 1)
+// beganSignal returns the channel began and creates it if necessary. w.mu must be held.
+func (w *Watch) beganSignal() chan struct{} {
+	if w.began == nil {
+		w.began = make(chan struct{}, 1)
 	}
-	return w.begun
+	return w.began
 }
 
-// Probe asks the dependency again and again during each outage until ctx ends: one
-// question at a time, each on a connection of its own. ask must bound its time, and call
-// Answers when it gets an answer.
-func (w *Watch) Probe(ctx context.Context, period func() time.Duration, ask func(context.Context)) {
+// Probe calls probe at an interval during each outage, until ctx ends. Probes don't run
+// concurrently. probe must use a new connection, limit its duration, and call Answers if
+// it gets an answer.
+func (w *Watch) Probe(ctx context.Context, interval func() time.Duration, probe func(context.Context)) {
 	w.mu.Lock()
-	begun := w.wakeUp()
+	began := w.beganSignal()
 	w.mu.Unlock()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-begun:
+		case <-began:
 		}
-		for asked := time.Now(); !w.Well() && wait.For(ctx, period()-time.Since(asked)); {
-			asked = time.Now()
-			ask(ctx)
+		for probedAt := time.Now(); !w.Well() && wait.For(ctx, interval()-time.Since(probedAt)); {
+			probedAt = time.Now()
+			probe(ctx)
 		}
 	}
 }
 
-// Bound returns a context for a call that begins now. During an outage it ends when the
-// outage does: the call was sent into the silence.
+// Bound returns a context for a call that is sent now. If there is an outage, the context
+// ends a grace period after the outage: the call is probably lost and should be retried
+// without waiting for its timeout.
 func (w *Watch) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	over := w.Over()
+	ended := w.Over()
 	ctx, cancel := context.WithCancel(ctx)
-	if over == nil {
+	if ended == nil {
 		return ctx, cancel
 	}
 	go func() {
 		select {
 		case <-ctx.Done():
-		case <-over:
+		case <-ended:
 			if wait.For(ctx, w.lastGrace()) {
 				cancel()
 			}
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Guards against calls that hang until their timeout although the dependency is back.
-func TestCallsOfAnOutageEndWithIt(t *testing.T) {
+// Guards against calls that hang until their timeout although the dependency is available
+// again.
+func TestCallsSentDuringOutageEndAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var w Watch
 		before, cancel := w.Bound(t.Context())
 		defer cancel()
 		if !w.Lost(time.Now()) || w.Lost(time.Now()) {
-			t.Fatal("an outage begins once")
+			t.Fatal("only the first failed call starts an outage")
 		}
 		during, cancel := w.Bound(t.Context())
 		defer cancel()
 		time.Sleep(3 * time.Second)
 		if during.Err() != nil {
-			t.Error("the call ended before the outage")
+			t.Error("a call sent during the outage was canceled before the outage ended")
 		}
 		if took, ok := w.Answers(time.Now(), 10*time.Millisecond); !ok || took != 3*time.Second {
-			t.Errorf("the outage took %s", took)
+			t.Errorf("the outage took %s, want 3s", took)
 		}
 		time.Sleep(50 * time.Millisecond)
 		if during.Err() != nil {
-			t.Error("a call that may have been sent behind the outage got no time for its answer")
+			t.Error("a call sent during the outage was canceled within its grace period")
 		}
 		time.Sleep(50 * time.Millisecond)
 		if during.Err() == nil {
-			t.Error("the call goes on though it was sent into the silence")
+			t.Error("a call sent during the outage was not canceled after the grace period")
 		}
 		if before.Err() != nil {
-			t.Error("a call from before the outage was ended")
+			t.Error("a call sent before the outage was canceled")
 		}
 	})
 }
 
-// Guards against an end of the outage that nobody notices, because every call hangs.
-func TestProbesNoticeTheEndOfASilence(t *testing.T) {
+// Guards against an outage whose end is not noticed because every call hangs.
+func TestProbesDetectEndOfOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var w Watch
 		ctx, stop := context.WithCancel(t.Context())
-		back := time.Now().Add(5 * time.Second)
-		var asked atomic.Int32
-		const period = 100 * time.Millisecond
-		go w.Probe(ctx, func() time.Duration { return period }, func(ctx context.Context) {
-			asked.Add(1)
-			if time.Now().Before(back) {
-				call, cancel := context.WithTimeout(ctx, period)
+		availableAt := time.Now().Add(5 * time.Second)
+		var probes atomic.Int32
+		const interval = 100 * time.Millisecond
+		go w.Probe(ctx, func() time.Duration { return interval }, func(ctx context.Context) {
+			probes.Add(1)
+			if time.Now().Before(availableAt) {
+				call, cancel := context.WithTimeout(ctx, interval)
 				defer cancel()
 				<-call.Done()
 				return
@@ -59,18 +60,18 @@
 			w.Answers(time.Now(), 0)
 		})
 		time.Sleep(time.Second)
-		if asked.Load() > 0 {
-			t.Error("a dependency that answers is probed")
+		if probes.Load() > 0 {
+			t.Error("an available dependency is probed")
 		}
 		w.Lost(time.Now())
-		time.Sleep(4*time.Second + 2*period)
+		time.Sleep(4*time.Second + 2*interval)
 		if !w.Well() {
-			t.Error("the end of the outage is not noticed")
+			t.Error("the end of the outage was not detected")
 		}
-		many := asked.Load()
+		probesDuringOutage := probes.Load()
 		time.Sleep(time.Second)
-		if asked.Load() > many {
-			t.Error("probes go on after the outage")
+		if probes.Load() > probesDuringOutage {
+			t.Error("the dependency is still probed after the outage")
 		}
 		stop()
 	})
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,55 +1,55 @@
-// Package retry decides whether and when a failed attempt is repeated: a budget
-// that is a share of recent successes, a back-off with jitter, and a circuit
-// per upstream that probes its way back.
+// Package retry limits and spaces the retries of failed attempts. It has a retry
+// budget that successes refill, an exponential backoff with jitter, and a circuit
+// breaker per upstream that closes again after a successful probe.
 package retry
 
 import "sync/atomic"
 
-// The budget counts in thousandths of a retry, so that a success can pay for a
-// part of one.
+// A budget is counted in thousandths of a retry, so that a success can add a
+// fraction of one.
 const (
-	oneRetry = 1000
-	// perSuccess lets one request in five be retried.
-	perSuccess = oneRetry / 5
-	// reserve is what a budget holds at most, and at the start. It covers the
-	// streams that one VM has on one crashed engine, which all have to move at
-	// once.
-	reserve = 64 * oneRetry
+	retryCost = 1000
+	// successCredit allows one retry for every five successful requests.
+	successCredit = retryCost / 5
+	// budgetCapacity is the largest balance, and the initial one. It covers the
+	// streams that one VM has at one engine: if the engine crashes, all of them
+	// move at once.
+	budgetCapacity = 64 * retryCost
 )
 
-// Budget bounds the retries of one pool. When every upstream fails, unbounded
-// retries multiply the load by the number of attempts and keep an overloaded
-// pool down; with a budget the pool sees the plain load once the reserve is
-// spent. It is safe for concurrent use.
+// Budget limits the retries of one pool. When every upstream fails, unlimited
+// retries multiply the load by the number of attempts and prevent an overloaded
+// pool from recovering. With a budget, the pool gets only the original load once
+// the balance is used up. It is safe for concurrent use.
 type Budget struct {
-	left atomic.Int64
+	balance atomic.Int64
 }
 
 // NewBudget returns a full budget.
 func NewBudget() *Budget {
 	b := &Budget{}
-	b.left.Store(reserve)
+	b.balance.Store(budgetCapacity)
 	return b
 }
 
-// Success pays for a part of a later retry.
+// Success adds the credit of one successful request, up to the budget's capacity.
 func (b *Budget) Success() {
 	for {
-		left := b.left.Load()
-		if left >= reserve || b.left.CompareAndSwap(left, min(left+perSuccess, reserve)) {
+		balance := b.balance.Load()
+		if balance >= budgetCapacity || b.balance.CompareAndSwap(balance, min(balance+successCredit, budgetCapacity)) {
 			return
 		}
 	}
 }
 
-// Take takes one retry and reports whether the budget held one.
+// Take takes one retry from the budget and reports whether there was one.
 func (b *Budget) Take() bool {
 	for {
-		left := b.left.Load()
-		if left < oneRetry {
+		balance := b.balance.Load()
+		if balance < retryCost {
 			return false
 		}
-		if b.left.CompareAndSwap(left, left-oneRetry) {
+		if b.balance.CompareAndSwap(balance, balance-retryCost) {
 			return true
 		}
 	}
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -13,45 +13,47 @@
 )
 
 const (
-	// tripAfter consecutive failures open an upstream's circuit.
-	tripAfter = 5
-	// openTime passes before an open circuit lets one attempt probe.
-	openTime = 2 * time.Second
+	// tripThreshold is the number of consecutive failures that opens an upstream's
+	// circuit.
+	tripThreshold = 5
+	// openTimeout is the time after which an open circuit allows one attempt as a
+	// probe.
+	openTimeout = 2 * time.Second
 )
 
-// Outcome tells a circuit how an attempt ended.
+// Outcome is the result of an attempt that is reported to a circuit.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
-	// Succeeded says that the upstream answered.
+	// Succeeded means that the upstream answered.
 	Succeeded Outcome = iota
-	// Failed says that the upstream is to blame.
+	// Failed means that the attempt failed because of the upstream.
 	Failed
-	// Abandoned says that the attempt ended for a reason that tells nothing
-	// about the upstream, for example a caller that left.
+	// Abandoned means that the attempt ended for a reason that says nothing about
+	// the upstream, for example because the caller canceled it.
 	Abandoned
 )
 
-// errAbandoned keeps an abandoned attempt out of a circuit's counts.
+// errAbandoned excludes an abandoned attempt from a circuit's counts.
 var errAbandoned = errors.WithStack(&fault.CallerGone{})
 
-// Circuits holds a circuit for each upstream. An entry costs some 500 bytes and
-// stays for the life of the process. It is safe for concurrent use.
+// Circuits holds a circuit breaker for each upstream. An upstream's entry takes
+// about 500 bytes and is never removed. It is safe for concurrent use.
 type Circuits struct {
 	events *event.Recorder
-	// open counts the circuits that are not closed, so that the ordinary case
-	// looks at none.
-	open     atomic.Int64
-	circuits sync.Map
+	// notClosed counts the open and half-open circuits. It is usually 0, and Open
+	// then need not iterate over the circuits.
+	notClosed atomic.Int64
+	circuits  sync.Map
 }
 
-// NewCircuits returns closed circuits.
+// NewCircuits returns circuits that are all closed.
 func NewCircuits(events *event.Recorder) *Circuits { return &Circuits{events: events} }
 
-// Open returns the upstreams that get no attempt now.
+// Open returns the upstreams whose circuit is open. They get no attempts now.
 func (c *Circuits) Open() []string {
-	if c.open.Load() == 0 {
+	if c.notClosed.Load() == 0 {
 		return nil
 	}
 	var names []string
@@ -64,8 +66,8 @@
 	return names
 }
 
-// Allow asks for an attempt at an upstream. If it may run, done must be called
-// with its outcome.
+// Allow reports whether an attempt may be sent to an upstream. If so, the caller
+// must call done with the outcome of the attempt.
 func (c *Circuits) Allow(upstream string) (done func(Outcome), allowed bool) {
 	report, err := c.circuit(upstream).Allow()
 	if err != nil {
@@ -87,25 +89,25 @@
 	if found, ok := c.circuits.Load(upstream); ok {
 		return found.(*gobreaker.TwoStepCircuitBreaker[any])
 	}
-	fresh := gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
+	created := gobreaker.NewTwoStepCircuitBreaker[any](gobreaker.Settings{
 		Name:          upstream,
 		MaxRequests:   1,
-		Timeout:       openTime,
-		ReadyToTrip:   func(counts gobreaker.Counts) bool { return counts.ConsecutiveFailures >= tripAfter },
+		Timeout:       openTimeout,
+		ReadyToTrip:   func(counts gobreaker.Counts) bool { return counts.ConsecutiveFailures >= tripThreshold },
 		IsExcluded:    func(err error) bool { return errors.Is(err, errAbandoned) },
-		OnStateChange: c.changed,
+		OnStateChange: c.handleStateChange,
 	})
-	kept, _ := c.circuits.LoadOrStore(upstream, fresh)
-	return kept.(*gobreaker.TwoStepCircuitBreaker[any])
+	stored, _ := c.circuits.LoadOrStore(upstream, created)
+	return stored.(*gobreaker.TwoStepCircuitBreaker[any])
 }
 
-func (c *Circuits) changed(upstream string, from, to gobreaker.State) {
+func (c *Circuits) handleStateChange(upstream string, from, to gobreaker.State) {
 	switch {
 	case from == gobreaker.StateClosed:
-		c.open.Add(1)
+		c.notClosed.Add(1)
 		c.events.Emit(event.CircuitOpened, event.Subject{Upstream: upstream})
 	case to == gobreaker.StateClosed:
-		c.open.Add(-1)
+		c.notClosed.Add(-1)
 		c.events.Emit(event.CircuitClosed, event.Subject{Upstream: upstream})
 	}
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -19,13 +19,13 @@
 	retries *prometheus.CounterVec
 }
 
-// The results that the counter of retries tells apart.
+// The values of the label "result" of the retry counter.
 const (
 	resultRetried = "retried"
 	resultDenied  = "denied"
 )
 
-// NewPolicy returns a policy with full budgets that registers its metrics.
+// NewPolicy returns a policy with full budgets and registers its metrics.
 func NewPolicy(registry prometheus.Registerer, events *event.Recorder) *Policy {
 	p := &Policy{
 		Circuits: NewCircuits(events),
@@ -38,7 +38,7 @@
 	return p
 }
 
-// Success pays into a pool's budget.
+// Success adds the credit of one successful request to a pool's budget.
 func (p *Policy) Success(pool string) { p.budget(pool).Success() }
 
 // Take takes a retry from a pool's budget and reports whether there was one.
@@ -55,17 +55,17 @@
 	if found, ok := p.budgets.Load(pool); ok {
 		return found.(*Budget)
 	}
-	kept, _ := p.budgets.LoadOrStore(pool, NewBudget())
-	return kept.(*Budget)
+	stored, _ := p.budgets.LoadOrStore(pool, NewBudget())
+	return stored.(*Budget)
 }
 
 const (
-	firstDelay = 20 * time.Millisecond
-	maxDelay   = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// Delays spaces the attempts of one request. The jitter keeps requests that
-// failed together from coming back together.
+// Delays spaces the attempts of one request by an exponential backoff. Its jitter
+// keeps requests that failed together from being retried together.
 type Delays struct {
 	policy *backoff.ExponentialBackOff
 }
@@ -73,12 +73,12 @@
 // NewDelays returns the delays of one request.
 func NewDelays() *Delays {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = firstDelay
-	policy.MaxInterval = maxDelay
+	policy.InitialInterval = initialBackoff
+	policy.MaxInterval = maxBackoff
 	return &Delays{policy: policy}
 }
 
-// Wait waits before the next attempt and reports whether ctx still goes on.
+// Wait waits until the next attempt may start. It returns false if ctx ends first.
 func (d *Delays) Wait(ctx context.Context) bool {
 	timer := time.NewTimer(d.policy.NextBackOff())
 	defer timer.Stop()
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -22,12 +22,12 @@
 	return NewPolicy(prometheus.NewRegistry(), events)
 }
 
-// Every upstream fails and every request is tried again and again. The retries
-// come on top of the load that the upstreams can't bear already, and keep them
-// down.
+// Guards against retries that keep a pool overloaded: when every upstream fails and
+// every request is retried without limit, the retries add to a load that the
+// upstreams can't handle already.
 func TestBudgetBoundsRetriesByRecentSuccesses(t *testing.T) {
 	properties := gopter.NewProperties(&gopter.TestParameters{MinSuccessfulTests: 200, MaxSize: 400, Rng: gopter.DefaultTestParametersWithSeed(7).Rng, Workers: 1})
-	properties.Property("retries never exceed the reserve and a fifth of the successes", prop.ForAll(
+	properties.Property("retries never exceed the capacity plus a fifth of the successes", prop.ForAll(
 		func(succeeds []bool) bool {
 			budget := NewBudget()
 			successes, retries := 0, 0
@@ -36,27 +36,27 @@
 					budget.Success()
 					successes++
 				}
-				// Whatever happens, a retry is asked for.
+				// Every request asks for a retry, successful or not.
 				if budget.Take() {
 					retries++
 				}
 			}
-			return retries <= reserve/oneRetry+successes*perSuccess/oneRetry
+			return retries <= budgetCapacity/retryCost+successes*successCredit/retryCost
 		},
 		gen.SliceOf(gen.Bool()),
 	))
 	properties.TestingRun(t)
 }
 
-// Many requests fail in the same moment. Two that take the last retry together
-// would stretch the budget, the more the busier the VM is.
+// Guards against a race in Take: if two requests that fail at the same moment both
+// took the last retry, the budget would be exceeded, the more the busier the VM is.
 func TestBudgetIsExactUnderConcurrency(t *testing.T) {
 	budget := NewBudget()
 	var mu sync.Mutex
-	var asks sync.WaitGroup
+	var takers sync.WaitGroup
 	taken := 0
 	for range 8 {
-		asks.Go(func() {
+		takers.Go(func() {
 			for range 1000 {
 				if budget.Take() {
 					mu.Lock()
@@ -66,14 +66,14 @@
 			}
 		})
 	}
-	asks.Wait()
-	if want := reserve / oneRetry; taken != want {
-		t.Errorf("%d retries were taken of %d", taken, want)
+	takers.Wait()
+	if want := budgetCapacity / retryCost; taken != want {
+		t.Errorf("%d retries were taken, want %d", taken, want)
 	}
 }
 
-// One model's engines all fail. If all pools shared a budget, its retries would
-// leave none to the pools that are well.
+// Guards against a budget that pools share: if all engines of one model fail, their
+// retries would leave none to the pools whose engines are available.
 func TestPoolsHaveTheirOwnBudgets(t *testing.T) {
 	p := newTestPolicy()
 	for p.Take("berry-1") {
@@ -84,9 +84,9 @@
 	}
 }
 
-// An upstream fails every attempt. Without a circuit each request wastes an
-// attempt on it; with one that never closes, a mended upstream stays idle.
-func TestCircuitOpensAndProbesItsWayBack(t *testing.T) {
+// An upstream fails every attempt. Without a circuit, each request wastes an attempt
+// on it; with a circuit that never closes again, a recovered upstream stays idle.
+func TestCircuitOpensAndClosesAfterProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTestPolicy()
 		fail := func() bool {
@@ -96,7 +96,7 @@
 			}
 			return allowed
 		}
-		for n := range tripAfter {
+		for n := range tripThreshold {
 			if !fail() {
 				t.Fatalf("attempt %d was not allowed", n)
 			}
@@ -104,7 +104,7 @@
 		if fail() || !slices.Equal(p.Open(), []string{"e1"}) {
 			t.Errorf("the circuit is not open: %v", p.Open())
 		}
-		time.Sleep(openTime + time.Millisecond)
+		time.Sleep(openTimeout + time.Millisecond)
 		probe, allowed := p.Allow("e1")
 		if !allowed || len(p.Open()) != 0 {
 			t.Fatal("no probe was allowed")
@@ -119,11 +119,11 @@
 	})
 }
 
-// Callers leave while an upstream works for them. Counted against it, their
-// leaving would close an upstream that is well.
-func TestAbandonedAttemptsDoNotOpenACircuit(t *testing.T) {
+// Guards against canceled requests that take a working upstream out of rotation:
+// attempts that end because their caller left must not count as failures.
+func TestAbandonedAttemptsDoNotOpenCircuit(t *testing.T) {
 	p := newTestPolicy()
-	for range 10 * tripAfter {
+	for range 10 * tripThreshold {
 		done, allowed := p.Allow("e1")
 		if !allowed {
 			t.Fatal("the circuit opened")
@@ -132,8 +132,8 @@
 	}
 }
 
-// Requests that failed together come back together, in step, and find the
-// upstream just as busy.
+// Guards against synchronized retries: without jitter, requests that failed together
+// are retried at the same time and overload the upstream again.
 func TestDelaysGrowWithJitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := map[string]bool{}
@@ -143,20 +143,20 @@
 			for range 12 {
 				before := time.Now()
 				if !delays.Wait(t.Context()) {
-					t.Fatal("the wait was ended")
+					t.Fatal("Wait returned false although the context has not ended")
 				}
 				last = time.Since(before)
-				if last > maxDelay*3/2 {
-					t.Errorf("waited %v", last)
+				if last > maxBackoff*3/2 {
+					t.Errorf("waited %v, longer than the largest backoff with jitter", last)
 				}
 			}
-			if last < firstDelay {
-				t.Errorf("the last wait of %v is no longer than the first", last)
+			if last < initialBackoff {
+				t.Errorf("the last wait of %v is shorter than the initial backoff", last)
 			}
 			first[fmt.Sprint(time.Since(started))] = true
 		}
 		if len(first) < 16 {
-			t.Errorf("32 requests had only %d different delays", len(first))
+			t.Errorf("32 requests had only %d different total delays", len(first))
 		}
 	})
 }
