--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -47,7 +47,7 @@
 	useCount
 )
 
-// shares are the parts of the write rate or of the read rate for each use.
+// shares gives for each use its share of the write rate or of the read rate.
 var shares = [useCount]struct {
 	share  float64
 	writes bool
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,7 @@
-// Package forward carries callers' requests to the upstreams of a route. It
-// decides how often a request is sent, where to, and what the caller is told; it
-// does no I/O but through target.Caller, and is tested without a network.
+// Package forward sends requests of callers to the upstreams of a route. It decides
+// how many attempts a request gets, which upstreams they go to, and which answer or
+// error the caller gets. All I/O goes through target.Caller, so the package is tested
+// without a network.
 package forward
 
 import (
@@ -19,29 +20,30 @@
 )
 
 const (
-	// hedgeShare is the part of the latency objective after which an idempotent
-	// request without an answer is sent to a second upstream: late enough that few
-	// requests are sent twice, and early enough that one to a dead upstream still
-	// comes in time.
-	hedgeShare = 0.4
-	// hedgeAtLeast keeps routes with a very short objective from doubling
-	// everything.
-	hedgeAtLeast = 20 * time.Millisecond
-	// refusedTries bounds the attempts that upstreams refused unrun; each costs
-	// a round trip only.
-	refusedTries = 4
-	// wayBack is what is taken off a request's time for the way of its answer to
-	// the caller.
-	wayBack = 10 * time.Millisecond
-	// maxBuffered is how much of an answer in bytes is read before the caller gets its
-	// first one. Until then an attempt that breaks off can be repeated.
-	maxBuffered = 64 << 10
-	// busyWait is the Retry-After when every upstream refused; slots of a plain
-	// service free all the time.
-	busyWait = 250 * time.Millisecond
-	// absentWait is the Retry-After when a service has no upstream: a crashed one has
-	// to start again first, or its successor to be listed.
-	absentWait = time.Second
+	// hedgeDelayShare is the share of the latency objective after which an idempotent
+	// request without an answer is hedged. It is high enough that few requests are
+	// hedged, and low enough that the hedge of a request to a dead upstream is still
+	// answered within the objective.
+	hedgeDelayShare = 0.4
+	// minHedgeDelay is the smallest delay of a hedge. Without it, nearly every request
+	// of a route with a very short objective would be hedged.
+	minHedgeDelay = 20 * time.Millisecond
+	// maxNotRunRetries limits the retries after attempts that upstreams refused without
+	// running the request. Such an attempt costs only a round trip.
+	maxNotRunRetries = 4
+	// returnMargin is subtracted from the time that an upstream gets for a request, so
+	// that its answer reaches the caller before the deadline.
+	returnMargin = 10 * time.Millisecond
+	// maxBufferedBytes is how much of an answer is read before the caller gets its first
+	// byte. Until then, an interrupted attempt can be retried.
+	maxBufferedBytes = 64 << 10
+	// busyRetryAfter is the Retry-After of a request that every upstream refused. It is
+	// short because slots of a plain service become free frequently.
+	busyRetryAfter = 250 * time.Millisecond
+	// noUpstreamRetryAfter is the Retry-After of a request whose service has no upstream.
+	// A crashed upstream has to restart first, or its replacement has to be added to the
+	// platform's list.
+	noUpstreamRetryAfter = time.Second
 )
 
 // Call is one request of a caller.
@@ -49,40 +51,45 @@
 	ID      string
 	Route   *route.Route
 	Account string
-	// Arrived is when the request's header came.
+	// Arrived is the time at which the request's header arrived.
 	Arrived time.Time
 	Method  string
 	URI     string
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Residency limits the failure domains to which the request may go.
+	// Residency limits the failure domains to which the request may be sent.
 	Residency route.Residency
-	// Resume is the last event that the caller has, when it resumes a stream.
+	// Resume is the ID of the last event that the caller received, if it resumes a
+	// stream.
 	Resume string
 }
 
-// Answer is what the caller gets of an upstream. Body holds the first bytes;
-// Rest, if not nil, holds what follows and must be closed.
+// Answer is an upstream's answer for the caller. Body holds its first bytes. Rest, if
+// not nil, reads the remaining ones and must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Digest is the upstream's digest of the answer.
+	// Digest is the upstream's digest of the answer; empty if it gave none.
 	Digest string
+	// Length is the length of the complete body in bytes; -1 if it is not known.
 	Length int64
 	Body   []byte
 	Rest   io.ReadCloser
 }
 
-// Meter counts the runs that upstreams began.
+// Meter counts the runs of requests at upstreams for each client account.
 type Meter interface {
-	// Began notes that an upstream began to run a request of the account.
+	// Began counts a run of a request of the account. at is the start of the run, which
+	// determines its usage window.
 	Began(account string, at time.Time)
-	// Refused takes back a run that was counted at that moment.
+	// Refused subtracts a run that Began counted with the same at, because the upstream
+	// did not run the request.
 	Refused(account string, at time.Time)
 }
 
-// Unmetered is the meter of requests that are not callers' own and lie outside usage.
+// Unmetered is a Meter that counts nothing. It is used for requests that do not come
+// from a caller and are not part of any usage.
 type Unmetered struct{}
 
 // Began implements Meter.
@@ -91,7 +98,7 @@
 // Refused implements Meter.
 func (Unmetered) Refused(string, time.Time) {}
 
-// Forwarder sends requests on. It is safe for concurrent use.
+// Forwarder forwards requests to upstreams. It is safe for concurrent use.
 type Forwarder struct {
 	Roster *target.Roster
 	Caller target.Caller
@@ -102,153 +109,164 @@
 	Domain string
 }
 
-// attempt is one try and what became of it.
-type attempt struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	entry  *target.Entry
 	answer *Answer
 	err    error
-	// execution is what is known about the run when err is set.
+	// execution says whether the request ran at the upstream, if err is set.
 	execution fault.Execution
 }
 
-// sent is an attempt that is out.
-type sent struct {
-	cancel context.CancelFunc
-	at     time.Time
+// openAttempt is an attempt that has not ended.
+type openAttempt struct {
+	cancel    context.CancelFunc
+	startedAt time.Time
 }
 
-// run is one request on its way.
-type run struct {
+// inflightRequest is the state of one request while Do forwards it.
+type inflightRequest struct {
 	*Forwarder
 	call    Call
 	service string
-	results chan attempt
-	open    map[*target.Entry]sent
-
-	used    []*target.Entry
-	ran     int
-	refused int
+	results chan attemptResult
+	// open holds the attempts whose result has not been received.
+	open map[*target.Entry]openAttempt
+
+	// tried holds the upstreams to which the request was sent.
+	tried []*target.Entry
+	// ranAttempts counts the failed attempts that ran or may have run.
+	ranAttempts int
+	// notRunAttempts counts the failed attempts that did not run.
+	notRunAttempts int
+	// pending counts the attempts whose result has not been received.
 	pending int
-	// failedAnswers counts the upstreams that answered that the request failed.
+	// failedAnswers counts the answers that say that the request itself failed.
 	failedAnswers int
-	last          error
-	// execution is what is known of the run after all attempts so far.
+	lastErr       error
+	// execution says whether the request ran in any attempt so far.
 	execution fault.Execution
 }
 
-// Do sends a request until an upstream answers it. ctx ends when the caller is
-// gone or the request's time is over. It fails with a failure that is marked with
-// what is known about the run.
+// Do sends a request to upstreams until one of them answers it. It retries failed
+// attempts and hedges slow ones as far as the route and the retry budget allow. ctx
+// must end when the caller cancels the request or its deadline is exceeded. For a
+// returned error, fault.ExecutionOf says whether the request ran.
 func (f *Forwarder) Do(ctx context.Context, call Call) (*Answer, error) {
-	r := &run{
+	r := &inflightRequest{
 		Forwarder: f,
 		call:      call,
 		service:   call.Route.Service(call.ID),
-		results:   make(chan attempt, call.Route.Attempts+refusedTries+1),
-		open:      make(map[*target.Entry]sent),
+		results:   make(chan attemptResult, call.Route.Attempts+maxNotRunRetries+1),
+		open:      make(map[*target.Entry]openAttempt),
 		execution: fault.NotRun,
 	}
-	if !r.launch(ctx) {
-		return nil, r.absent()
+	if !r.startAttempt(ctx) {
+		return nil, r.noUpstreamError()
 	}
-	hedge := time.NewTimer(r.hedgeAfter())
-	defer hedge.Stop()
+	hedgeTimer := time.NewTimer(r.hedgeDelay())
+	defer hedgeTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			r.cancelAll()
-			return nil, r.counted(r.outOfTime(ctx))
-		case <-hedge.C:
-			if r.mayHedge() {
-				r.launch(ctx)
+			return nil, r.withFailedAnswers(r.contextError(ctx))
+		case <-hedgeTimer.C:
+			if r.allowHedge() {
+				r.startAttempt(ctx)
 			}
 		case a := <-r.results:
 			r.pending--
 			if a.err == nil {
-				r.keepOnly(a.entry)
+				r.recordSuccess(a.entry)
 				return a.answer, nil
 			}
-			r.note(a)
-			if ctx.Err() == nil && r.mayRepeat(a) && r.launch(ctx) {
+			r.recordFailure(a)
+			if ctx.Err() == nil && r.allowRetry(a) && r.startAttempt(ctx) {
 				continue
 			}
 			if r.pending == 0 {
 				r.cancelAll()
-				return nil, r.counted(r.failure(ctx))
+				return nil, r.withFailedAnswers(r.finalError(ctx))
 			}
 		}
 	}
 }
 
-func (r *run) hedgeAfter() time.Duration {
-	return max(time.Duration(float64(r.call.Route.Objective)*hedgeShare), hedgeAtLeast)
+func (r *inflightRequest) hedgeDelay() time.Duration {
+	return max(time.Duration(float64(r.call.Route.Objective)*hedgeDelayShare), minHedgeDelay)
 }
 
-// mayHedge reports whether a second attempt may run beside the first.
-func (r *run) mayHedge() bool {
+// allowHedge reports whether a second attempt may run concurrently with the first. If
+// so, it has taken a retry from the budget.
+func (r *inflightRequest) allowHedge() bool {
 	return r.call.Route.Kind == route.Idempotent && r.pending == 1 &&
-		r.ran+r.pending < r.call.Route.Attempts && r.Budget.Take()
+		r.ranAttempts+r.pending < r.call.Route.Attempts && r.Budget.Take()
 }
 
-// mayRepeat reports whether another attempt may follow a failed one. An attempt
-// that the upstream refused unrun does not count as one of the route's attempts.
-func (r *run) mayRepeat(a attempt) bool {
+// allowRetry reports whether the request may be sent again after a failed attempt. An
+// attempt that did not run does not count as one of the route's attempts, and its retry
+// needs no budget. Any other retry has been taken from the budget.
+func (r *inflightRequest) allowRetry(a attemptResult) bool {
 	if a.execution == fault.NotRun {
-		r.refused++
-		return r.refused <= refusedTries
+		r.notRunAttempts++
+		return r.notRunAttempts <= maxNotRunRetries
 	}
-	if !r.call.Route.Repeatable() || r.ran+r.pending >= r.call.Route.Attempts {
+	if !r.call.Route.Repeatable() || r.ranAttempts+r.pending >= r.call.Route.Attempts {
 		return false
 	}
 	return r.Budget.Take()
 }
 
-// launch sends the request to the next upstream; false when there is none left.
-func (r *run) launch(ctx context.Context) bool {
-	entry := r.Roster.Reserve(target.Want{Service: r.service, Domain: r.Domain, Residency: r.call.Residency, Skip: r.used})
+// startAttempt starts an attempt at the next upstream. It returns false if there is none
+// left.
+func (r *inflightRequest) startAttempt(ctx context.Context) bool {
+	entry := r.Roster.Reserve(target.Want{Service: r.service, Domain: r.Domain, Residency: r.call.Residency, Skip: r.tried})
 	if entry == nil {
 		return false
 	}
-	r.used = append(r.used, entry)
+	r.tried = append(r.tried, entry)
 	r.pending++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	r.open[entry] = sent{cancel: cancel, at: time.Now()}
-	r.Events.Emit(event.RequestDispatched, event.Subject{Request: r.call.ID, Account: r.call.Account, Upstream: entry.Info().ID, Attempt: len(r.used)})
+	r.open[entry] = openAttempt{cancel: cancel, startedAt: time.Now()}
+	r.Events.Emit(event.RequestDispatched, event.Subject{Request: r.call.ID, Account: r.call.Account, Upstream: entry.Info().ID, Attempt: len(r.tried)})
 	go func() {
 		defer entry.End()
-		r.results <- r.try(attemptCtx, entry)
+		r.results <- r.runAttempt(attemptCtx, entry)
 	}()
 	return true
 }
 
-// try runs one attempt up to the point from which it can't be repeated.
-func (r *run) try(ctx context.Context, entry *target.Entry) attempt {
+// runAttempt sends the request to an upstream and buffers the first bytes of the answer.
+// After that the attempt can't be retried, since the caller gets these bytes.
+func (r *inflightRequest) runAttempt(ctx context.Context, entry *target.Entry) attemptResult {
 	started := time.Now()
-	// A run counts from when it is sent: its window may be closed before a slow
-	// upstream has answered.
+	// The run is counted when the request is sent, because its usage window may be
+	// closed before a slow upstream answers.
 	r.Meter.Began(r.call.Account, started)
 	response, err := r.send(ctx, entry, r.request(ctx))
 	if err != nil {
 		if fault.ExecutionOf(err) == fault.NotRun {
 			r.Meter.Refused(r.call.Account, started)
 		}
-		return r.failed(entry, err, fault.ExecutionOf(err))
+		return r.failedAttempt(entry, err, fault.ExecutionOf(err))
 	}
 	answer, err := buffer(response)
 	if err != nil {
-		return r.failed(entry, err, fault.Ran)
+		return r.failedAttempt(entry, err, fault.Ran)
 	}
 	entry.NoteSpeed(time.Since(started), time.Now())
 	entry.RunsOn(started)
 	if answer.Status >= http.StatusInternalServerError && r.call.Route.Repeatable() {
 		closeRest(answer)
-		return attempt{entry: entry, answer: nil, err: errors.WithStack(&serverError{answer: answer}), execution: fault.Ran}
+		return attemptResult{entry: entry, answer: nil, err: errors.WithStack(&serverError{answer: answer}), execution: fault.Ran}
 	}
-	return attempt{entry: entry, answer: answer}
+	return attemptResult{entry: entry, answer: answer}
 }
 
-// send sends one attempt to an upstream. An upstream that refuses it unrun is a failure,
-// and one that gives no answer may be starting again.
+// send sends one attempt to an upstream. It returns an error if the upstream refuses to
+// run the request. An upstream that does not answer may be restarting, which is noted in
+// its entry.
 func (f *Forwarder) send(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
 	response, err := f.Caller.Call(ctx, entry, request)
 	if err != nil {
@@ -264,11 +282,13 @@
 	return response, nil
 }
 
-func (r *run) failed(entry *target.Entry, err error, execution fault.Execution) attempt {
-	return attempt{entry: entry, err: err, execution: execution}
+func (r *inflightRequest) failedAttempt(entry *target.Entry, err error, execution fault.Execution) attemptResult {
+	return attemptResult{entry: entry, err: err, execution: execution}
 }
 
-func (r *run) request(ctx context.Context) *target.Request {
+// request returns the request of an attempt, with the time that remains until the deadline
+// of ctx.
+func (r *inflightRequest) request(ctx context.Context) *target.Request {
 	request := &target.Request{
 		ID:          r.call.ID,
 		Method:      r.call.Method,
@@ -280,21 +300,22 @@
 		ResumeAfter: r.call.Resume,
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		request.Left = max(time.Until(deadline)-wayBack, time.Millisecond)
+		request.Left = max(time.Until(deadline)-returnMargin, time.Millisecond)
 	}
 	return request
 }
 
-// buffer reads an answer whole if it is short.
+// buffer reads the first bytes of an answer. An answer of less than maxBufferedBytes is
+// read completely.
 func buffer(response *target.Response) (*Answer, error) {
 	answer := &Answer{Status: response.Status, Header: response.Header, Digest: response.Digest, Length: response.Length}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxBuffered))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
 		_ = response.Body.Close()
 		return nil, errors.WithStack(&fault.AnswerTruncated{})
 	}
 	answer.Body = body
-	if len(body) < maxBuffered {
+	if len(body) < maxBufferedBytes {
 		_ = response.Body.Close()
 		answer.Length = int64(len(body))
 		return answer, nil
@@ -303,68 +324,72 @@
 	return answer, nil
 }
 
-// note takes what a failed attempt tells about its upstream and the run.
-func (r *run) note(a attempt) {
+// recordFailure records a failed attempt in the state of the request and, unless the
+// caller canceled the request, in the entry of the upstream, which is then avoided for a
+// backoff.
+func (r *inflightRequest) recordFailure(a attemptResult) {
 	r.open[a.entry].cancel()
 	delete(r.open, a.entry)
-	r.last = a.err
+	r.lastErr = a.err
 	r.execution = r.execution.Or(a.execution)
 	if a.execution != fault.NotRun {
-		r.ran++
+		r.ranAttempts++
 	}
 	if answer, ok := AnswerOf(a.err); ok && answer.Status == http.StatusInternalServerError {
 		r.failedAnswers++
 	}
 	detail := string(fault.CodeOf(a.err))
-	var rest time.Duration
+	var backoff time.Duration
 	if !fault.Is[*fault.CallerGone](a.err) {
-		rest = a.entry.Failed(time.Now())
+		backoff = a.entry.Failed(time.Now())
 	}
 	r.Events.Emit(event.AttemptFailed, event.Subject{
-		Request: r.call.ID, Account: r.call.Account, Upstream: a.entry.Info().ID, Attempt: len(r.used),
-		Detail: detail + " " + string(a.execution) + ": " + a.err.Error(), Count: rest.Milliseconds(),
+		Request: r.call.ID, Account: r.call.Account, Upstream: a.entry.Info().ID, Attempt: len(r.tried),
+		Detail: detail + " " + string(a.execution) + ": " + a.err.Error(), Count: backoff.Milliseconds(),
 	})
 }
 
-// keepOnly ends the other attempts once one has won. What they took so far counts as
-// their upstreams' pace: one that hangs without failing would otherwise look as good as
-// before, and be the first choice of each request anew.
-func (r *run) keepOnly(winner *target.Entry) {
+// recordSuccess records the answer of an upstream and cancels the other attempts. Their
+// durations so far are noted as unit times of their upstreams: an upstream that hangs
+// without failing would otherwise keep its low average and be the first choice for every
+// new request.
+func (r *inflightRequest) recordSuccess(winner *target.Entry) {
 	winner.Succeeded()
 	r.Budget.Success()
 	now := time.Now()
 	for entry, other := range r.open {
 		if entry != winner {
-			entry.NoteSpeed(now.Sub(other.at), now)
+			entry.NoteSpeed(now.Sub(other.startedAt), now)
 			other.cancel()
 		}
 	}
 }
 
-func (r *run) cancelAll() {
+func (r *inflightRequest) cancelAll() {
 	for _, attempt := range r.open {
 		attempt.cancel()
 	}
 }
 
-func (r *run) absent() error {
-	return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: r.service, Wait: absentWait}), fault.NotRun)
+// noUpstreamError returns the error of a request for which no upstream was found.
+func (r *inflightRequest) noUpstreamError() error {
+	return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: r.service, Wait: noUpstreamRetryAfter}), fault.NotRun)
 }
 
-// failure is what the caller is told when no attempt is left.
-func (r *run) failure(ctx context.Context) error {
+// finalError returns the error for the caller after the last attempt has failed.
+func (r *inflightRequest) finalError(ctx context.Context) error {
 	if ctx.Err() != nil {
-		return r.outOfTime(ctx)
+		return r.contextError(ctx)
 	}
 	if r.execution == fault.NotRun {
-		return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: r.service, Wait: busyWait}), fault.NotRun)
+		return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: r.service, Wait: busyRetryAfter}), fault.NotRun)
 	}
-	return fault.WithExecution(r.last, r.execution)
+	return fault.WithExecution(r.lastErr, r.execution)
 }
 
-// outOfTime is what the caller is told when its time is over: an attempt that is
-// still out may have run.
-func (r *run) outOfTime(ctx context.Context) error {
+// contextError returns the error for the caller after ctx has ended. A pending attempt
+// may have run.
+func (r *inflightRequest) contextError(ctx context.Context) error {
 	execution := r.execution
 	if r.pending > 0 {
 		execution = execution.Or(fault.Unknown)
@@ -375,8 +400,8 @@
 	return fault.WithExecution(errors.WithStack(&fault.CallerGone{}), execution)
 }
 
-// serverError is a failure that an upstream itself answered; its answer is
-// passed on when no other attempt does better.
+// serverError is the error of an attempt that an upstream answered with a status of 500
+// or above. The caller gets that answer if no other attempt succeeds.
 type serverError struct{ answer *Answer }
 
 func (*serverError) Error() string { return "the upstream answered with a server error" }
@@ -384,7 +409,8 @@
 // Code implements fault.Failure.
 func (*serverError) Code() fault.Code { return fault.CodeUpstreamFailed }
 
-// AnswerOf returns the upstream's own failure that a call ended with, if any.
+// AnswerOf returns the answer with a status of 500 or above that caused err, if there is
+// one.
 func AnswerOf(err error) (*Answer, bool) {
 	var s *serverError
 	if errors.As(err, &s) {
@@ -393,32 +419,32 @@
 	return nil, false
 }
 
-// failedCall is the failure of a call with the number of upstreams that answered that
-// the request itself failed.
-type failedCall struct {
+// callError is the error of a call together with the number of answers that say that the
+// request itself failed.
+type callError struct {
 	cause   error
 	answers int
 }
 
-func (f *failedCall) Error() string { return f.cause.Error() }
+func (e *callError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (f *failedCall) Unwrap() error { return f.cause }
+func (e *callError) Unwrap() error { return e.cause }
 
-// counted notes the number of failed answers at a failure.
-func (r *run) counted(err error) error {
+// withFailedAnswers adds the number of failed answers to err, if there are any.
+func (r *inflightRequest) withFailedAnswers(err error) error {
 	if r.failedAnswers == 0 {
 		return err
 	}
-	return &failedCall{cause: err, answers: r.failedAnswers}
+	return &callError{cause: err, answers: r.failedAnswers}
 }
 
-// FailedAnswers returns how many upstreams answered a call that failed by saying that
-// the request failed, rather than that they could not take it.
+// FailedAnswers returns the number of upstreams that answered a failed call with status
+// 500: the request itself failed, as opposed to an upstream that could not run it.
 func FailedAnswers(err error) int {
-	var f *failedCall
-	if errors.As(err, &f) {
-		return f.answers
+	var e *callError
+	if errors.As(err, &e) {
+		return e.answers
 	}
 	return 0
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -20,31 +20,34 @@
 	"dogwoodpond/internal/target"
 )
 
-// answer is how an upstream answers an attempt.
-type answer struct {
-	after  time.Duration
+// fakeAnswer is the answer of a fake upstream to an attempt.
+type fakeAnswer struct {
+	delay  time.Duration
 	status int
 	notRun bool
 	body   io.Reader
-	// execution is the mark of a failure without an answer.
+	// execution, if not empty, makes the attempt fail without an answer. It is the
+	// execution of the error.
 	execution fault.Execution
 }
 
-// upstreams answers attempts. It implements target.Caller.
-type upstreams struct {
-	mu       sync.Mutex
-	reached  []string
-	resumed  []string
-	cancels  int
-	byID     map[string]answer
-	fallback answer
+// fakeUpstreams is a fake target.Caller. byID gives the answer of each upstream;
+// fallback is the answer of the others.
+type fakeUpstreams struct {
+	mu sync.Mutex
+	// attempted and resumeAfter hold the upstream and the ResumeAfter of each attempt.
+	attempted   []string
+	resumeAfter []string
+	cancels     int
+	byID        map[string]fakeAnswer
+	fallback    fakeAnswer
 }
 
-func (u *upstreams) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
+func (u *fakeUpstreams) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
 	id := e.Info().ID
 	u.mu.Lock()
-	u.reached = append(u.reached, id)
-	u.resumed = append(u.resumed, request.ResumeAfter)
+	u.attempted = append(u.attempted, id)
+	u.resumeAfter = append(u.resumeAfter, request.ResumeAfter)
 	a, ok := u.byID[id]
 	u.mu.Unlock()
 	if !ok {
@@ -56,7 +59,7 @@
 		u.cancels++
 		u.mu.Unlock()
 		return nil, fault.WithExecution(errors.WithStack(&fault.UpstreamFailed{Upstream: id}), fault.Unknown)
-	case <-time.After(a.after):
+	case <-time.After(a.delay):
 	}
 	if a.execution != "" {
 		return nil, fault.WithExecution(errors.WithStack(&fault.UpstreamFailed{Upstream: id}), a.execution)
@@ -68,31 +71,31 @@
 	return &target.Response{Status: a.status, NotRun: a.notRun, Length: -1, Header: http.Header{}, Body: io.NopCloser(body)}, nil
 }
 
-func (u *upstreams) sent() int {
+func (u *fakeUpstreams) sentCount() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return len(u.reached)
+	return len(u.attempted)
 }
 
-// meter counts runs.
-type meter struct {
-	mu sync.Mutex
-	n  int
+// fakeMeter is a Meter that counts the runs of all accounts.
+type fakeMeter struct {
+	mu   sync.Mutex
+	runs int
 }
 
-func (m *meter) Began(string, time.Time) {
+func (m *fakeMeter) Began(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.n++
+	m.runs++
 }
 
-func (m *meter) Refused(string, time.Time) {
+func (m *fakeMeter) Refused(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.n--
+	m.runs--
 }
 
-func newForwarder(u *upstreams) *Forwarder {
+func newForwarder(u *fakeUpstreams) *Forwarder {
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
 	var list []target.Instance
@@ -100,23 +103,23 @@
 		list = append(list, target.Instance{ID: id, Service: "desk", Address: id, FailureDomain: "x", Slots: 4})
 	}
 	roster.Replace(list)
-	return &Forwarder{Roster: roster, Caller: u, Meter: &meter{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}
+	return &Forwarder{Roster: roster, Caller: u, Meter: &fakeMeter{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}
 }
 
-// An upstream takes requests and never answers, while its connections stand. A second
-// attempt saves each caller, but only after the pause for it, and each costs another
-// upstream's time; so later requests must go elsewhere at once.
+// An upstream accepts requests on open connections but never answers. Hedges still get
+// an answer for each caller, but only after the hedge delay and at the cost of another
+// upstream; so later requests must go to other upstreams first.
 func TestHangingUpstreamIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{after: 20 * time.Millisecond, status: http.StatusOK}, byID: map[string]answer{"a": {after: time.Hour}}}
+		u := &fakeUpstreams{fallback: fakeAnswer{delay: 20 * time.Millisecond, status: http.StatusOK}, byID: map[string]fakeAnswer{"a": {delay: time.Hour}}}
 		f := newForwarder(u)
 		first := 0
 		for range 20 {
-			before := u.sent()
-			if _, err := f.Do(t.Context(), call(route.Idempotent, 2)); err != nil {
+			before := u.sentCount()
+			if _, err := f.Do(t.Context(), newCall(route.Idempotent, 2)); err != nil {
 				t.Fatal(err)
 			}
-			if u.reached[before] == "a" {
+			if u.attempted[before] == "a" {
 				first++
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -127,109 +130,111 @@
 	})
 }
 
-func call(kind route.Kind, attempts int) Call {
+func newCall(kind route.Kind, attempts int) Call {
 	return Call{ID: "q", Account: "acc", Arrived: time.Now(), Method: http.MethodPost, URI: "/a/", Route: &route.Route{
 		Kind: kind, Attempts: attempts, Objective: 150 * time.Millisecond, Split: []route.Share{{Service: "desk", Weight: 1}},
 	}}
 }
 
-var ok = answer{status: http.StatusOK, after: 20 * time.Millisecond}
+var okAnswer = fakeAnswer{status: http.StatusOK, delay: 20 * time.Millisecond}
 
-func do(t *testing.T, u *upstreams, c Call) (*Answer, error) {
+func do(t *testing.T, u *fakeUpstreams, c Call) (*Answer, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	return newForwarder(u).Do(ctx, c)
 }
 
-// A deposit is charged and the answer is lost. Sent again, it would be charged a
-// second time; refused with a promise, the caller would do the same.
-func TestAtMostOnceIsNeverSentAgain(t *testing.T) {
+// Guards against a request that runs twice, for example a payment that is charged twice:
+// an upstream runs it, but the answer is lost. The request must not be sent again, and
+// the caller must not be told that it has not run, since the caller would then repeat it.
+func TestAtMostOnceIsNotRetriedIfItMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{execution: fault.Unknown}}
-		_, err := do(t, u, call(route.AtMostOnce, 3))
-		if u.sent() != 1 {
-			t.Errorf("sent %d times", u.sent())
+		u := &fakeUpstreams{fallback: fakeAnswer{execution: fault.Unknown}}
+		_, err := do(t, u, newCall(route.AtMostOnce, 3))
+		if u.sentCount() != 1 {
+			t.Errorf("sent %d times, want once", u.sentCount())
 		}
 		if fault.ExecutionOf(err) == fault.NotRun {
-			t.Errorf("the caller is told that it has not run: %v", err)
+			t.Errorf("the error says that the request has not run: %v", err)
 		}
 	})
 }
 
-// An upstream is full and says that it has not run the request. That is the one
-// case in which a request that must not be repeated goes elsewhere.
-func TestAtMostOnceGoesOnAfterARefusal(t *testing.T) {
+// An upstream has no free slot and answers that it has not run the request. Only then may
+// an at-most-once request be sent to another upstream.
+func TestAtMostOnceIsRetriedAfterRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{byID: map[string]answer{"a": {status: 503, notRun: true}}, fallback: ok}
-		got, err := do(t, u, call(route.AtMostOnce, 1))
-		if err != nil || got.Status != http.StatusOK || u.sent() != 2 {
-			t.Errorf("%+v, %v after %d attempts", got, err, u.sent())
+		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {status: 503, notRun: true}}, fallback: okAnswer}
+		got, err := do(t, u, newCall(route.AtMostOnce, 1))
+		if err != nil || got.Status != http.StatusOK || u.sentCount() != 2 {
+			t.Errorf("%+v, %v after %d attempts", got, err, u.sentCount())
 		}
 	})
 }
 
-// Every upstream refuses. The caller may come back, and is told when.
-func TestRefusedEverywhereIsNotRun(t *testing.T) {
+// Every upstream refuses the request. The caller must learn that it has not run and when
+// to retry it.
+func TestRequestRefusedByAllUpstreamsIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{status: 503, notRun: true}}
-		_, err := do(t, u, call(route.AtMostOnce, 2))
+		u := &fakeUpstreams{fallback: fakeAnswer{status: 503, notRun: true}}
+		_, err := do(t, u, newCall(route.AtMostOnce, 2))
 		if fault.ExecutionOf(err) != fault.NotRun || fault.RetryAfterOf(err, 0) == 0 {
 			t.Errorf("Do = %v", err)
 		}
-		if u.sent() != 3 {
-			t.Errorf("sent %d times to 3 upstreams", u.sent())
+		if u.sentCount() != 3 {
+			t.Errorf("sent %d times, want once to each of 3 upstreams", u.sentCount())
 		}
 	})
 }
 
-// Billing wants what upstreams began, no more and no less: neither what was refused
-// nor a run whose answer got lost may be counted wrongly.
-func TestRunsAreCountedAsTheyBegan(t *testing.T) {
+// Guards against wrong usage reports: a refused attempt must not be counted, and a run whose
+// answer was lost must be.
+func TestMeterCountsRunsThatBegan(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		a    answer
+		a    fakeAnswer
 		want int
 	}{
-		{"answered", ok, 1},
-		{"refused, then answered", answer{status: 503, notRun: true}, 1},
-		{"no connection, then answered", answer{execution: fault.NotRun}, 1},
-		{"lost, then answered", answer{execution: fault.Unknown}, 2},
+		{"answered", okAnswer, 1},
+		{"refused, then answered", fakeAnswer{status: 503, notRun: true}, 1},
+		{"no connection, then answered", fakeAnswer{execution: fault.NotRun}, 1},
+		{"lost, then answered", fakeAnswer{execution: fault.Unknown}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				u := &upstreams{byID: map[string]answer{"a": c.a}, fallback: ok}
+				u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": c.a}, fallback: okAnswer}
 				f := newForwarder(u)
-				if _, err := f.Do(t.Context(), call(route.Idempotent, 2)); err != nil {
+				if _, err := f.Do(t.Context(), newCall(route.Idempotent, 2)); err != nil {
 					t.Fatal(err)
 				}
-				if n := f.Meter.(*meter).n; n != c.want {
-					t.Errorf("%d runs counted, want %d", n, c.want)
+				if runs := f.Meter.(*fakeMeter).runs; runs != c.want {
+					t.Errorf("%d runs counted, want %d", runs, c.want)
 				}
 			})
 		})
 	}
 }
 
-// One upstream ran the request and failed, the next one refuses it. "Not run"
-// would be a lie.
-func TestOneRunForbidsThePromise(t *testing.T) {
+// Guards against a wrong "not run": one upstream may have run the request before it
+// failed, and the next ones refuse it.
+func TestRefusalAfterPossibleRunDoesNotReportNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{byID: map[string]answer{"a": {execution: fault.Unknown}}, fallback: answer{status: 503, notRun: true}}
-		_, err := do(t, u, call(route.Idempotent, 3))
+		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {execution: fault.Unknown}}, fallback: fakeAnswer{status: 503, notRun: true}}
+		_, err := do(t, u, newCall(route.Idempotent, 3))
 		if fault.ExecutionOf(err) == fault.NotRun {
-			t.Errorf("the caller is told that it has not run: %v", err)
+			t.Errorf("the error says that the request has not run: %v", err)
 		}
 	})
 }
 
-// An upstream hangs. The caller of an idempotent request must not wait for it
-// until its time is over.
-func TestSlowUpstreamIsHedged(t *testing.T) {
+// An upstream hangs. The caller of an idempotent request must get an answer from another
+// one long before its deadline.
+func TestRequestAtHangingUpstreamIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{byID: map[string]answer{"a": {after: time.Hour}}, fallback: ok}
+		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {delay: time.Hour}}, fallback: okAnswer}
 		started := time.Now()
-		got, err := do(t, u, call(route.Idempotent, 2))
+		got, err := do(t, u, newCall(route.Idempotent, 2))
 		if err != nil || string(got.Body) == "answer of a" {
 			t.Fatalf("%+v, %v", got, err)
 		}
@@ -238,156 +243,157 @@
 		}
 		synctest.Wait()
 		if u.cancels != 1 {
-			t.Errorf("%d attempts were cancelled, the hanging one should be", u.cancels)
+			t.Errorf("%d attempts were canceled, want only the hanging one", u.cancels)
 		}
 	})
 }
 
-// No more upstreams run a request than the operator allows, hedges included.
-func TestAttemptsAreBounded(t *testing.T) {
+// Guards against a request that runs at more upstreams than its route allows, hedges
+// included.
+func TestAttemptsAreLimited(t *testing.T) {
 	for attempts := 1; attempts <= 3; attempts++ {
 		synctest.Test(t, func(t *testing.T) {
-			u := &upstreams{fallback: answer{after: 100 * time.Millisecond, execution: fault.Unknown}}
-			_, err := do(t, u, call(route.Idempotent, attempts))
-			if err == nil || u.sent() > attempts {
-				t.Errorf("%d attempts allowed, %d sent, %v", attempts, u.sent(), err)
+			u := &fakeUpstreams{fallback: fakeAnswer{delay: 100 * time.Millisecond, execution: fault.Unknown}}
+			_, err := do(t, u, newCall(route.Idempotent, attempts))
+			if err == nil || u.sentCount() > attempts {
+				t.Errorf("%d attempts allowed, %d sent, %v", attempts, u.sentCount(), err)
 			}
 		})
 	}
 }
 
-// breaking is a body that breaks off.
-func breaking(text string) io.Reader {
-	return io.MultiReader(strings.NewReader(text), errReader{})
+// truncatedBody returns a body that fails after text.
+func truncatedBody(text string) io.Reader {
+	return io.MultiReader(strings.NewReader(text), truncatedReader{})
 }
 
-type errReader struct{}
+type truncatedReader struct{}
 
-func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncatedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// An answer breaks off half-way. Passed on, the caller would take half a booking
-// for the whole.
+// Guards against a truncated answer that the caller takes for a complete one.
 func TestTruncatedAnswerIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{byID: map[string]answer{"a": {status: 200, body: breaking("half")}}, fallback: ok}
-		got, err := do(t, u, call(route.Idempotent, 2))
+		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {status: 200, body: truncatedBody("half")}}, fallback: okAnswer}
+		got, err := do(t, u, newCall(route.Idempotent, 2))
 		if err != nil || string(got.Body) == "half" {
 			t.Errorf("%+v, %v", got, err)
 		}
-		u = &upstreams{fallback: answer{status: 200, body: breaking("half")}}
-		if got, err := do(t, u, call(route.AtMostOnce, 2)); err == nil {
-			t.Errorf("got %+v", got)
+		u = &fakeUpstreams{fallback: fakeAnswer{status: 200, body: truncatedBody("half")}}
+		if got, err := do(t, u, newCall(route.AtMostOnce, 2)); err == nil {
+			t.Errorf("got the truncated answer %+v", got)
 		}
 	})
 }
 
-// The caller's time ends while an upstream still works: it may have run.
-func TestOutOfTime(t *testing.T) {
+// The deadline is exceeded while an attempt is pending: the request may have run.
+func TestDeadlineExceededDuringAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{after: time.Hour}}
+		u := &fakeUpstreams{fallback: fakeAnswer{delay: time.Hour}}
 		started := time.Now()
-		_, err := do(t, u, call(route.AtMostOnce, 1))
+		_, err := do(t, u, newCall(route.AtMostOnce, 1))
 		if !fault.Is[*fault.DeadlineExceeded](err) || fault.ExecutionOf(err) == fault.NotRun {
 			t.Errorf("Do = %v", err)
 		}
 		if took := time.Since(started); took > 2100*time.Millisecond {
-			t.Errorf("the final answer came after %s", took)
+			t.Errorf("Do returned after %s, deadline 2s", took)
 		}
 	})
 }
 
-// An upstream answers with a failure of its own and no other attempt does better.
-// The caller gets that answer, not one that was made up.
-func TestUpstreamsOwnFailureIsPassedOn(t *testing.T) {
+// All upstreams answer with a server error. The caller must get such an answer, not an
+// error of the forwarder.
+func TestServerErrorIsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{status: 500}}
-		_, err := do(t, u, call(route.Idempotent, 2))
-		own, isOwn := AnswerOf(err)
-		if !isOwn || own.Status != 500 || !strings.HasPrefix(string(own.Body), "answer of") {
+		u := &fakeUpstreams{fallback: fakeAnswer{status: 500}}
+		_, err := do(t, u, newCall(route.Idempotent, 2))
+		got, found := AnswerOf(err)
+		if !found || got.Status != 500 || !strings.HasPrefix(string(got.Body), "answer of") {
 			t.Errorf("Do = %v", err)
 		}
-		if u.sent() != 2 {
-			t.Errorf("sent %d times", u.sent())
+		if u.sentCount() != 2 {
+			t.Errorf("sent %d times, want 2", u.sentCount())
 		}
 	})
 }
 
-// Every upstream fails. Without a budget each request would be sent as often as
-// its route allows, and the load of a failing service would double.
-func TestRetriesAreBudgeted(t *testing.T) {
+// Every upstream fails. Without a retry budget, each request would be sent as often as
+// its route allows, which multiplies the load of a failing service.
+func TestRetriesAreLimitedByBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{execution: fault.Unknown}}
+		u := &fakeUpstreams{fallback: fakeAnswer{execution: fault.Unknown}}
 		f := newForwarder(u)
 		const requests = 400
 		for range requests {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			_, _ = f.Do(ctx, call(route.Idempotent, 3))
+			_, _ = f.Do(ctx, newCall(route.Idempotent, 3))
 			cancel()
 		}
-		if u.sent() > requests+80 {
-			t.Errorf("%d attempts for %d requests", u.sent(), requests)
+		if u.sentCount() > requests+80 {
+			t.Errorf("%d attempts for %d requests, want at most 80 retries", u.sentCount(), requests)
 		}
 	})
 }
 
-// sink collects a stream.
-type sink struct {
+// recordingSink is a Sink that records the events of a stream.
+type recordingSink struct {
 	starts int
 	text   string
 }
 
-func (s *sink) Start(*Answer) error { s.starts++; return nil }
+func (s *recordingSink) Start(*Answer) error { s.starts++; return nil }
 
-func (s *sink) Event(raw []byte) error { s.text += string(raw); return nil }
+func (s *recordingSink) Event(raw []byte) error { s.text += string(raw); return nil }
 
-func stream(t *testing.T, u *upstreams, c Call) (*sink, bool, error) {
+func stream(t *testing.T, u *fakeUpstreams, c Call) (*recordingSink, bool, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	out := &sink{}
+	out := &recordingSink{}
 	started, err := newForwarder(u).Stream(ctx, c, out)
 	return out, started, err
 }
 
-// A stream breaks off inside an event. It goes on at another upstream behind the
-// last whole event; the caller sees one stream without a hole.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// A stream is interrupted within an event. It must be resumed at another upstream after
+// its last complete event, and the caller must get one stream without a gap.
+func TestInterruptedStreamIsResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{
-			byID:     map[string]answer{"a": {status: 200, body: breaking("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")}},
-			fallback: answer{status: 200, body: strings.NewReader("id: 3\ndata: c\n\n")},
+		u := &fakeUpstreams{
+			byID:     map[string]fakeAnswer{"a": {status: 200, body: truncatedBody("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda")}},
+			fallback: fakeAnswer{status: 200, body: strings.NewReader("id: 3\ndata: c\n\n")},
 		}
-		c := call(route.Stream, 2)
+		c := newCall(route.Stream, 2)
 		c.Route.Resumable = true
 		out, _, err := stream(t, u, c)
 		if want := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"; err != nil || out.text != want || out.starts != 1 {
-			t.Errorf("%q, %d starts, %v", out.text, out.starts, err)
+			t.Errorf("text %q, %d starts, %v", out.text, out.starts, err)
 		}
-		if u.resumed[1] != "2" {
-			t.Errorf("resumed after %q", u.resumed[1])
+		if u.resumeAfter[1] != "2" {
+			t.Errorf("resumed after event %q, want 2", u.resumeAfter[1])
 		}
 	})
 }
 
-// The same on a route whose streams run once: it must end visibly broken.
-func TestStreamThatRunsOnceIsNotRepeated(t *testing.T) {
+// A stream is interrupted on a route whose streams are not resumable. It must not be sent
+// again, and the caller must get an error.
+func TestStreamThatIsNotResumableIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &upstreams{fallback: answer{status: 200, body: breaking("id: 1\ndata: a\n\n")}}
-		_, started, err := stream(t, u, call(route.Stream, 3))
-		if err == nil || !started || u.sent() != 1 {
-			t.Errorf("started %v, %v after %d attempts", started, err, u.sent())
+		u := &fakeUpstreams{fallback: fakeAnswer{status: 200, body: truncatedBody("id: 1\ndata: a\n\n")}}
+		_, started, err := stream(t, u, newCall(route.Stream, 3))
+		if err == nil || !started || u.sentCount() != 1 {
+			t.Errorf("started %v, %v after %d attempts", started, err, u.sentCount())
 		}
 	})
 }
 
-// An upstream sends an event twice or leaves one out.
-func TestStreamNoticesHoles(t *testing.T) {
+// Guards against corrupted text: an upstream repeats an event or skips one.
+func TestStreamRejectsRepeatedAndMissingEvents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, body := range []string{"id: 1\n\nid: 1\n\n", "id: 1\n\nid: 3\n\n"} {
-			u := &upstreams{fallback: answer{status: 200, body: strings.NewReader(body)}}
-			out, _, err := stream(t, u, call(route.Stream, 1))
+			u := &fakeUpstreams{fallback: fakeAnswer{status: 200, body: strings.NewReader(body)}}
+			out, _, err := stream(t, u, newCall(route.Stream, 1))
 			if err == nil || out.text != "id: 1\n\n" {
-				t.Errorf("%q, %v", out.text, err)
+				t.Errorf("text %q, %v", out.text, err)
 			}
 		}
 	})
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -14,68 +14,73 @@
 	"dogwoodpond/internal/target"
 )
 
-// stallTime is the silence after which a resumable stream goes on at another
-// upstream: well before its caller leaves, and long against the time between events.
-const stallTime = 900 * time.Millisecond
+// stallTimeout is the time without an event after which a resumable stream is resumed at
+// another upstream. It is well below the time after which callers cancel a stream, and
+// long compared to the time between events.
+const stallTimeout = 900 * time.Millisecond
 
-// Sink takes a stream on its way to the caller.
+// Sink passes a stream on to its caller.
 type Sink interface {
-	// Start passes on the status and header of the first upstream.
+	// Start passes on the status and header of the first answer.
 	Start(answer *Answer) error
-	// Event passes on the bytes of one whole event.
+	// Event passes on the bytes of one complete event.
 	Event(raw []byte) error
 }
 
-// Stream sends a stream's events to sink as they arrive. Only whole events are
-// passed on, so that a stream that breaks off can go on at another upstream
-// behind its last event. It returns nil when the stream ended whole. started tells
-// whether the caller has got anything.
+// Stream forwards a request whose answer is a stream, and passes its events to sink as
+// they arrive. Only complete events are passed on, so that an interrupted stream can be
+// resumed at another upstream after its last event. err is nil if the stream is complete.
+// started reports whether sink.Start was called, even if err is not nil.
 func (f *Forwarder) Stream(ctx context.Context, call Call, sink Sink) (started bool, err error) {
-	s := &streaming{Forwarder: f, call: call, sink: sink, service: call.Route.Service(call.ID), last: call.Resume, execution: fault.NotRun}
+	s := &inflightStream{Forwarder: f, call: call, sink: sink, service: call.Route.Service(call.ID), lastEventID: call.Resume, execution: fault.NotRun}
 	for {
-		entry := f.Roster.Reserve(target.Want{Service: s.service, Domain: f.Domain, Residency: call.Residency, Skip: s.used})
+		entry := f.Roster.Reserve(target.Want{Service: s.service, Domain: f.Domain, Residency: call.Residency, Skip: s.tried})
 		if entry == nil {
-			return s.started, s.exhausted()
+			return s.started, s.exhaustedError()
 		}
-		s.used = append(s.used, entry)
+		s.tried = append(s.tried, entry)
 		err := s.attempt(ctx, entry)
-		if err == nil || !s.goesOn(ctx, err) {
-			return s.started, s.final(ctx, err)
+		if err == nil || !s.allowRetry(ctx, err) {
+			return s.started, s.finalError(ctx, err)
 		}
 	}
 }
 
-// streaming is one stream on its way.
-type streaming struct {
+// inflightStream is the state of one stream while Stream forwards it.
+type inflightStream struct {
 	*Forwarder
-	call      Call
-	sink      Sink
-	service   string
-	used      []*target.Entry
-	ran       int
-	refused   int
-	started   bool
-	last      string
-	lastErr   error
-	execution fault.Execution
+	call    Call
+	sink    Sink
+	service string
+	// tried, ranAttempts, notRunAttempts and execution are as in inflightRequest.
+	tried          []*target.Entry
+	ranAttempts    int
+	notRunAttempts int
+	// started reports whether sink.Start was called.
+	started bool
+	// lastEventID is the ID of the last event that the caller has; empty before the
+	// first one.
+	lastEventID string
+	lastErr     error
+	execution   fault.Execution
 }
 
-// attempt runs the stream at a reserved upstream until it ends.
-func (s *streaming) attempt(ctx context.Context, entry *target.Entry) error {
+// attempt runs the stream at a reserved upstream until it is complete or interrupted.
+func (s *inflightStream) attempt(ctx context.Context, entry *target.Entry) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer entry.End()
-	s.Events.Emit(event.RequestDispatched, event.Subject{Request: s.call.ID, Account: s.call.Account, Upstream: entry.Info().ID, Attempt: len(s.used)})
-	r := &run{Forwarder: s.Forwarder, call: s.call}
+	s.Events.Emit(event.RequestDispatched, event.Subject{Request: s.call.ID, Account: s.call.Account, Upstream: entry.Info().ID, Attempt: len(s.tried)})
+	r := &inflightRequest{Forwarder: s.Forwarder, call: s.call}
 	request := r.request(ctx)
-	request.ResumeAfter = s.last
+	request.ResumeAfter = s.lastEventID
 	response, err := s.send(ctx, entry, request)
 	if err != nil {
 		entry.Failed(time.Now())
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	err = s.pass(ctx, cancel, response)
+	err = s.copyEvents(ctx, cancel, response)
 	if err == nil {
 		entry.Succeeded()
 		s.Budget.Success()
@@ -84,19 +89,20 @@
 	return fault.WithExecution(err, fault.Ran)
 }
 
-// pass hands the events of one upstream to the caller.
-func (s *streaming) pass(ctx context.Context, cancel context.CancelFunc, response *target.Response) error {
+// copyEvents passes the events of one upstream's answer to the sink. It cancels the
+// attempt of a resumable stream if no event arrives within stallTimeout.
+func (s *inflightStream) copyEvents(ctx context.Context, cancel context.CancelFunc, response *target.Response) error {
 	if !s.started {
-		if err := s.begin(response); err != nil {
+		if err := s.startSink(response); err != nil {
 			return err
 		}
 	}
-	stall := time.AfterFunc(time.Hour, cancel)
-	defer stall.Stop()
+	stallTimer := time.AfterFunc(time.Hour, cancel)
+	defer stallTimer.Stop()
 	events := eventstream.NewReader(response.Body)
 	for first := true; ; first = false {
 		if s.call.Route.Resumable {
-			stall.Reset(stallTime)
+			stallTimer.Reset(stallTimeout)
 		}
 		e, err := events.Next()
 		if err == io.EOF {
@@ -108,14 +114,14 @@
 		if first {
 			s.Meter.Began(s.call.Account, time.Now())
 		}
-		if e.HasID && !s.follows(e.ID) {
+		if e.HasID && !s.isNext(e.ID) {
 			return errors.WithStack(&fault.AnswerTruncated{})
 		}
 		if err := s.sink.Event(e.Raw); err != nil {
 			return errors.WithStack(&fault.CallerGone{})
 		}
 		if e.HasID {
-			s.last = strconv.FormatInt(e.ID, 10)
+			s.lastEventID = strconv.FormatInt(e.ID, 10)
 		}
 		if ctx.Err() != nil {
 			return errors.WithStack(&fault.CallerGone{})
@@ -123,43 +129,46 @@
 	}
 }
 
-// follows reports whether an event is the next one. A piece that lacks or comes
-// twice would spoil the caller's text without notice.
-func (s *streaming) follows(id int64) bool {
-	last, err := strconv.ParseInt(s.last, 10, 64)
-	return err != nil || id == last+1
+// isNext reports whether an event follows the last one directly. A missing or repeated
+// event would corrupt the caller's text without notice.
+func (s *inflightStream) isNext(id int64) bool {
+	lastEventID, err := strconv.ParseInt(s.lastEventID, 10, 64)
+	return err != nil || id == lastEventID+1
 }
 
-func (s *streaming) begin(response *target.Response) error {
+func (s *inflightStream) startSink(response *target.Response) error {
 	s.started = true
 	return s.sink.Start(&Answer{Status: response.Status, Header: response.Header, Length: -1})
 }
 
-// goesOn reports whether another upstream may take the stream on.
-func (s *streaming) goesOn(ctx context.Context, err error) bool {
+// allowRetry records a failed attempt and reports whether the stream may be sent to
+// another upstream. If the attempt ran or may have run, that takes a retry from the
+// budget.
+func (s *inflightStream) allowRetry(ctx context.Context, err error) bool {
 	execution := fault.ExecutionOf(err)
 	s.lastErr = err
 	s.execution = s.execution.Or(execution)
-	upstream := s.used[len(s.used)-1].Info().ID
-	s.Events.Emit(event.AttemptFailed, event.Subject{Request: s.call.ID, Account: s.call.Account, Upstream: upstream, Attempt: len(s.used), Detail: string(fault.CodeOf(err)) + " " + string(execution)})
+	upstream := s.tried[len(s.tried)-1].Info().ID
+	s.Events.Emit(event.AttemptFailed, event.Subject{Request: s.call.ID, Account: s.call.Account, Upstream: upstream, Attempt: len(s.tried), Detail: string(fault.CodeOf(err)) + " " + string(execution)})
 	if ctx.Err() != nil || fault.Is[*fault.CallerGone](err) && ctx.Err() != nil {
 		return false
 	}
 	if execution == fault.NotRun {
-		s.refused++
-		return s.refused <= refusedTries
+		s.notRunAttempts++
+		return s.notRunAttempts <= maxNotRunRetries
 	}
-	s.ran++
-	if !s.call.Route.Resumable || s.ran >= s.call.Route.Attempts || !s.Budget.Take() {
+	s.ranAttempts++
+	if !s.call.Route.Resumable || s.ranAttempts >= s.call.Route.Attempts || !s.Budget.Take() {
 		return false
 	}
 	if s.started {
-		s.Events.Emit(event.StreamResumed, event.Subject{Request: s.call.ID, Account: s.call.Account, Detail: s.last})
+		s.Events.Emit(event.StreamResumed, event.Subject{Request: s.call.ID, Account: s.call.Account, Detail: s.lastEventID})
 	}
 	return true
 }
 
-func (s *streaming) final(ctx context.Context, err error) error {
+// finalError returns the error for the caller after an attempt that is not retried.
+func (s *inflightStream) finalError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -169,9 +178,10 @@
 	return err
 }
 
-func (s *streaming) exhausted() error {
+// exhaustedError returns the error for the caller if there is no other upstream to try.
+func (s *inflightStream) exhaustedError() error {
 	if s.execution == fault.NotRun {
-		return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: s.service, Wait: busyWait}), fault.NotRun)
+		return fault.WithExecution(errors.WithStack(&fault.NoUpstream{Pool: s.service, Wait: busyRetryAfter}), fault.NotRun)
 	}
 	return s.lastErr
 }
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -22,8 +22,8 @@
 	graceFactor = 3
 )
 
-// Watch tracks the outages of one dependency. Its zero value takes the dependency as
-// available. It is safe for concurrent use.
+// Watch tracks the outages of one dependency. The dependency is available in its zero
+// value. It is safe for concurrent use.
 type Watch struct {
 	mu sync.Mutex
 	// startedAt is the start of the current or last outage.
@@ -66,7 +66,7 @@
 	return now.Sub(w.startedAt), true
 }
 
-// Well reports whether the dependency is available: there is no outage.
+// Well reports whether the dependency is available, that is, whether there is no outage.
 func (w *Watch) Well() bool { return w.Over() == nil }
 
 // Over returns a channel that is closed when the current outage ends, or nil if there is
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -21,7 +21,7 @@
 	openTimeout = 2 * time.Second
 )
 
-// Outcome is the result of an attempt that is reported to a circuit.
+// Outcome is the result of an attempt, as it is reported to a circuit.
 type Outcome int
 
 // The outcomes of an attempt.
