--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -28,8 +28,8 @@
 	// minHedgeDelay is the smallest delay of a hedge. Without it, nearly every request
 	// of a route with a very short objective would be hedged.
 	minHedgeDelay = 20 * time.Millisecond
-	// maxNotRunRetries limits the retries after attempts that upstreams refused without
-	// running the request. Such an attempt costs only a round trip.
+	// maxNotRunRetries limits the retries after attempts that did not run, for example
+	// because the upstream refused the request. Such an attempt costs only a round trip.
 	maxNotRunRetries = 4
 	// returnMargin is subtracted from the time that an upstream gets for a request, so
 	// that its answer reaches the caller before the deadline.
@@ -265,8 +265,8 @@
 }
 
 // send sends one attempt to an upstream. It returns an error if the upstream refuses to
-// run the request. An upstream that does not answer may be restarting, which is noted in
-// its entry.
+// run the request. An upstream that does not answer becomes uncertain, since it may be
+// restarting.
 func (f *Forwarder) send(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
 	response, err := f.Caller.Call(ctx, entry, request)
 	if err != nil {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -35,7 +35,7 @@
 // fallback is the answer of the others.
 type fakeUpstreams struct {
 	mu sync.Mutex
-	// attempted and resumeAfter hold the upstream and the ResumeAfter of each attempt.
+	// attempted and resumeAfter hold the upstream and ResumeAfter of each attempt.
 	attempted   []string
 	resumeAfter []string
 	cancels     int
@@ -188,8 +188,8 @@
 	})
 }
 
-// Guards against wrong usage reports: a refused attempt must not be counted, and a run whose
-// answer was lost must be.
+// Guards against wrong usage reports: a refused attempt must not be counted, and a run
+// whose answer was lost must be.
 func TestMeterCountsRunsThatBegan(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -22,8 +22,8 @@
 	graceFactor = 3
 )
 
-// Watch tracks the outages of one dependency. The dependency is available in its zero
-// value. It is safe for concurrent use.
+// Watch tracks the outages of one dependency. In the zero value, the dependency is
+// available. A Watch is safe for concurrent use.
 type Watch struct {
 	mu sync.Mutex
 	// startedAt is the start of the current or last outage.
