--- a/internal/step/accept.go
+++ b/internal/step/accept.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// submitTime bounds an acceptance. While the store is away, handing the step in
-	// at another VM would not find a better one, so the trainer is kept waiting.
+	// submitTime is the timeout of a submission. During an outage of the store another
+	// VM could not accept the step either, so the trainer waits here.
 	submitTime = 8 * time.Second
-	// earlyStart is how long an acceptance may be open before its items start all
-	// the same. While the store is away the results are made but not listed, so that
-	// a step that is accepted after an outage is whole a moment later.
+	// earlyStart is how long a submission may remain uncommitted before its items start
+	// anyway. During an outage of the store results are generated but not committed, so
+	// that a step accepted after the outage completes shortly afterwards.
 	earlyStart = 250 * time.Millisecond
-	// refusedWait is the Retry-After when a step can't be kept now.
+	// refusedWait is the Retry-After value when a step can't be stored now.
 	refusedWait = 300 * time.Millisecond
 )
 
-// Submit accepts a step. When it returns nil the step is kept, whatever happens
-// to this VM. Its failures are marked: NotRun promises that no part of the step
-// was kept and none ever will be by this call.
+// Submit accepts a step. When it returns nil, the step is stored and survives the
+// loss of this VM. Errors carry an execution status: NotRun guarantees that this call
+// has stored no part of the step and never will.
 func (m *Manager) Submit(ctx context.Context, spec Spec, items []Item) error {
 	if known, ok := m.lookUp(spec.ID); ok {
 		return sameAccount(known, spec)
@@ -52,16 +52,16 @@
 	timer.Stop()
 	err = m.submitted(record{State: state, version: version}, items, early, err)
 	if early.close() {
-		// Items have run, so that nothing may be promised any more.
+		// Items have run, so the error must not claim that nothing was executed.
 		return fault.WithExecution(err, fault.Unknown)
 	}
 	return err
 }
 
-// ownerFor chooses the owner of a new step: the process that has the other steps of
-// its model. It knows how many slots of the model's engines are taken, where two
-// owners would fill the same ones, and has connections to them. While the store is
-// away the step stays here, where its items can start at once.
+// ownerFor chooses the owner of a new step: the process that owns the other steps of
+// the same model. That process knows how many slots of the model's engines are in use
+// and has connections to them, whereas two owners would fill the same slots. During an
+// outage of the store this VM becomes the owner, because its items can start here at once.
 func (m *Manager) ownerFor(spec Spec) (vm, life string) {
 	if p, ok := m.Prefer(spec.Model, m.stepResidency(spec)); ok && m.StoreWell() {
 		return p.VM, p.Life
@@ -72,7 +72,7 @@
 	return m.VM, m.Life
 }
 
-// work adds up the expected work of items.
+// work returns the expected number of output tokens of all items.
 func work(items []Item) float64 {
 	total := 0.0
 	for _, item := range items {
@@ -81,33 +81,33 @@
 	return total
 }
 
-// behind returns how far a step's oldest allowed version is behind the one named
-// last.
+// behind returns how many versions a step's oldest allowed version is behind the one
+// that the trainer announced last.
 func (m *Manager) behind(spec Spec) int64 {
-	named, ok := m.Named(spec.Model)
+	announced, ok := m.Named(spec.Model)
 	if !ok {
-		named = 1
+		announced = 1
 	}
-	return max(named-spec.MinVersion, 0)
+	return max(announced-spec.MinVersion, 0)
 }
 
-// submitted judges the outcome of an acceptance.
+// submitted handles the outcome of the commit that creates a step.
 func (m *Manager) submitted(r record, items []Item, early *earlyRun, err error) error {
 	var conflict *kept.Conflict
 	if errors.As(err, &conflict) {
-		kept, decodeErr := decodeState(conflict.Row(stateKey(r.ID)))
+		accepted, decodeErr := decodeState(conflict.Row(stateKey(r.ID)))
 		if decodeErr != nil {
 			return decodeErr
 		}
-		m.learn(kept)
-		early.decide(kept)
-		if !slices.Equal(kept.Objects, r.Objects) {
+		m.learn(accepted)
+		early.decide(accepted)
+		if !slices.Equal(accepted.Objects, r.Objects) {
 			m.loops.Go(func() { m.dropUnused(r.Objects) })
 		}
-		return sameAccount(kept, r.Spec)
+		return sameAccount(accepted, r.Spec)
 	}
-	var lost *fault.StoreUnavailable
-	if errors.As(err, &lost) && !lost.EffectUnknown {
+	var unavailable *fault.StoreUnavailable
+	if errors.As(err, &unavailable) && !unavailable.EffectUnknown {
 		return notKept(err)
 	}
 	if err != nil {
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// dropUnused removes the objects of a copy of a step that was not accepted. What can't be
-// removed stays in the store and is told.
+// dropUnused removes the objects of a copy of a step that was not accepted. An object that
+// can't be removed stays in the store and is reported by an event.
 func (m *Manager) dropUnused(objects []string) {
 	for _, name := range objects {
 		if err := m.Store.DropObject(m.ctx, name); err != nil {
@@ -139,12 +139,12 @@
 	return fault.WithExecution(&refusal{cause: err}, fault.NotRun)
 }
 
-// refusal is a failure with the time after which a retry makes sense.
+// refusal is an error with a Retry-After time.
 type refusal struct{ cause error }
 
 func (r *refusal) Error() string { return r.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (r *refusal) Unwrap() error { return r.cause }
 
 // RetryAfter implements fault.RetryAfterer.
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// claimLead is how much sooner than the accepted copy a step must have been handed in
-	// here for its early run to go on in place of the accepted one.
+	// claimLead is how much earlier than the accepted copy a step must have been submitted
+	// here for its early run to replace the run of the accepted copy.
 	claimLead = 500 * time.Millisecond
-	// claimSpread is how long an early run that is at its beginning leaves the step to
-	// those that are further.
+	// claimSpread is the longest delay before an early run claims the step. An early run
+	// waits for this time multiplied by the share of its texts that is not generated yet,
+	// so that those that have progressed further claim the step first.
 	claimSpread = 200 * time.Millisecond
-	// claimGain is how much of what another early run had still to make may be left here
-	// for the step to be claimed from that one.
+	// claimGain limits claims from another early run: the share of the texts that is not
+	// generated here must be at most claimGain times the share that was missing there.
 	claimGain = 0.7
-	// claimTime bounds a change of owner to an early run.
+	// claimTime is the timeout of a change of owner to an early run.
 	claimTime = 2 * time.Second
 )
 
-// earlyRun runs a step's items while its acceptance is still open, because the
-// store does not answer. Nothing is listed before the step is accepted, and if it
-// is not, the items stop and the trainer is told that nothing is known.
+// earlyRun runs a step's items before the step is accepted, because the store does not
+// answer. No result is committed before the step is accepted. If the step is not accepted,
+// the items are canceled and the trainer gets an error with an unknown execution.
 //
-// The trainer hands the step in again and again meanwhile, each time at another VM, and
-// any copy may be accepted in the end. The load is a step of hundreds of items and an
-// outage of seconds: the accepted copy may be at its beginning while an earlier one has
-// nearly all texts. So the early run that is furthest takes the step over.
+// Meanwhile the trainer retries the submission, each time at another VM, and any of the
+// copies may be accepted in the end. With a step of hundreds of items and an outage of
+// seconds, the accepted copy may have just started while an earlier one has generated
+// nearly all texts. So the early run that has progressed furthest takes over the step.
 type earlyRun struct {
 	manager *Manager
 	state   State
@@ -39,12 +40,12 @@
 	mu     sync.Mutex
 	run    *run
 	closed bool
-	// decided is closed when it is clear what becomes of the run after another copy of
-	// the step was accepted; nil until then.
+	// decided is nil until another copy of the step is accepted. It is closed once the run
+	// has either claimed the step or been stopped.
 	decided chan struct{}
 }
 
-// start begins the items, unless the acceptance was decided already.
+// start runs the items, unless the outcome of the submission is already known.
 func (e *earlyRun) start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,8 +59,8 @@
 	}
 }
 
-// accept turns the run into that of an accepted step, and reports whether there
-// is one.
+// accept makes the early run the run of the accepted step r. It reports whether there is
+// an early run that is still active.
 func (e *earlyRun) accept(r record) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,8 +72,9 @@
 	return true
 }
 
-// close ends a run that was not accepted, and reports whether there was one.
-func (e *earlyRun) close() (ran bool) {
+// close stops a run that was not accepted, and reports whether there was one. start has
+// no effect afterwards.
+func (e *earlyRun) close() (hadRun bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
@@ -83,8 +85,8 @@
 	return true
 }
 
-// decide ends the run, or makes it that of the step, after another copy of the step was
-// accepted.
+// decide claims the step for this run after another copy of the step was accepted, or
+// stops the run. Concurrent calls return once the first one has decided.
 func (e *earlyRun) decide(accepted record) {
 	e.mu.Lock()
 	run, decided := e.run, e.decided
@@ -101,25 +103,26 @@
 	}
 }
 
-// claimNewest claims the step as long as the run may, also after another early run was
-// quicker, and reports whether it did.
+// claimNewest tries to claim the step for as long as the run is entitled to it, also from
+// another early run that claimed the step first. It reports whether the claim succeeded.
 func (e *earlyRun) claimNewest(run *run, accepted record) bool {
 	for e.mayClaim(run, accepted) {
 		if e.claim(run, accepted) {
 			return true
 		}
-		now, ok := e.manager.lookUp(accepted.ID)
-		if !ok || now.version <= accepted.version {
+		latest, ok := e.manager.lookUp(accepted.ID)
+		if !ok || latest.version <= accepted.version {
 			return false
 		}
-		accepted = now
+		accepted = latest
 	}
 	return false
 }
 
-// mayClaim reports whether the run began well before the accepted copy. Only the first
-// owner is replaced, or another early run that claimed the step with far less done: that
-// one may just have heard of the acceptance earlier.
+// mayClaim reports whether the run may claim the step: this copy was submitted at least
+// claimLead before the accepted one. Only the first owner is replaced, or another early run
+// that claimed the step with far less progress: it may merely have learned of the
+// acceptance earlier.
 func (e *earlyRun) mayClaim(run *run, accepted record) bool {
 	lead := time.Duration(accepted.SubmittedAt-e.state.SubmittedAt) * time.Millisecond
 	if accepted.Ended || lead < claimLead {
@@ -128,8 +131,9 @@
 	return accepted.Epoch == 1 || accepted.Made > 0 && run.undone() <= claimGain*(1-accepted.Made)
 }
 
-// claim takes the accepted step over, and reports whether it did. What its owner has
-// listed meanwhile is read after the change of owner: nobody else can add any then.
+// claim takes over the accepted step and reports whether it succeeded. The results that
+// the previous owner has committed are read after the change of owner, when that owner can
+// no longer commit any.
 func (e *earlyRun) claim(run *run, accepted record) bool {
 	m := e.manager
 	if !wait.For(run.ctx, time.Duration(run.undone()*float64(claimSpread))) {
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -19,35 +19,43 @@
 )
 
 const (
-	// watchWait bounds one call for changes of states, and so for how long a feed
-	// that fell silent goes unnoticed, and the items of an ended step run on.
+	// watchWait is the timeout of one watch call on the state rows. It also limits how
+	// long an unresponsive watch remains undetected, and how long the items of an ended
+	// step continue to run.
 	watchWait = time.Second
-	// watchPace is the least time between two such calls, of a small fleet.
+	// watchPace is the minimum interval between two such calls in a small fleet.
 	watchPace = 20 * time.Millisecond
-	// considerEvery is the period of looking for steps without a living owner.
+	// considerEvery is the interval at which the manager looks for steps without a live
+	// owner.
 	considerEvery = 200 * time.Millisecond
-	// takeoverStep is how much longer each further VM waits before it takes over
-	// a step: the one before it needs two calls to the store for it.
+	// takeoverStep is how much longer a VM waits before it takes over a step than the
+	// VM that ranks just before it, which needs two calls to the store for a takeover.
 	takeoverStep = 600 * time.Millisecond
-	// loadPause is the pause between tries to read a step that is taken over.
+	// loadPause is the backoff between attempts to read a step that is taken over, and
+	// between attempts to store the objects of large results.
 	loadPause = 100 * time.Millisecond
 )
 
-// Members tells which processes live.
+// Members is the list of the VMs of the fleet.
 type Members interface {
+	// Ready reports whether the list has been read.
 	Ready() bool
+	// Alive reports whether an incarnation of a VM is alive.
 	Alive(id, life string) bool
+	// Rank returns the position of this VM, from 0, in the order of the live VMs for a
+	// piece of work.
 	Rank(work string) int
 	// RankWithin is Rank among the VMs of the failure domains that a residency allows.
 	RankWithin(work string, residency route.Residency) int
 }
 
-// Process names one life of a VM's process.
+// Process identifies one incarnation of a VM's process.
 type Process struct{ VM, Life string }
 
-// Config holds what a manager works with.
+// Config holds the identity and the dependencies of a manager.
 type Config struct {
-	// VM and Life name this process, Domain its failure domain.
+	// VM and Life identify this process: its VM and its incarnation. Domain is its
+	// failure domain.
 	VM, Life, Domain string
 	Store            kept.Store
 	Clock            kept.Clock
@@ -57,14 +65,15 @@
 	Caller           target.Caller
 	Scorer           Scorer
 	Events           *event.Recorder
-	// Named returns the version of a model that its trainer named last.
+	// Named returns the version of a model that its trainer announced last.
 	Named func(model string) (int64, bool)
-	// Prefer returns the process that should own the steps of a model, if one is
-	// known to live where they may be, and StoreWell whether the store answered a moment ago.
+	// Prefer returns the process that should own the steps of a model; ok is false when
+	// no live one is known in the failure domains that the residency allows. StoreWell
+	// reports whether the store is available.
 	Prefer    func(model string, residency route.Residency) (p Process, ok bool)
 	StoreWell func() bool
 	Calls     *budget.Budget
-	// Keep is how long ended steps stay readable after their submission.
+	// Keep is how long ended steps remain readable after their submission.
 	Keep time.Duration
 }
 
@@ -73,9 +82,10 @@
 	Config
 	wake  chan struct{}
 	lanes *scoring.Lanes
-	// look makes the manager look for steps to own at once.
+	// look notifies the takeover loop to look for steps to take over without waiting for
+	// its next tick.
 	look chan struct{}
-	// statesRead is when the states of steps were read last, in Unix nanoseconds.
+	// statesRead is when the state rows were last read, in Unix nanoseconds.
 	statesRead atomic.Int64
 
 	mu      sync.Mutex
@@ -85,17 +95,18 @@
 	orphan  map[string]time.Time
 	carried *carried
 	leaving bool
-	// over is true once Run waits for the last runs.
+	// over is true once Run waits for the remaining runs to end.
 	over bool
 
 	loops sync.WaitGroup
-	// ctx is the life of the runs. It begins with the manager, not with Run: a
-	// step may be accepted just before, and its run must still end with the rest.
+	// ctx is the parent context of the runs. It is created with the manager rather than
+	// by Run: a step may be accepted before Run starts, and its run must end with the
+	// others.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewManager returns a manager; Run brings it to life.
+// NewManager returns a manager. Call Run to start it.
 func NewManager(c Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
@@ -113,7 +124,7 @@
 	}
 }
 
-// Run follows the steps of the fleet and runs those that this VM owns, until ctx
+// Run watches the steps of the fleet and runs those that this VM owns, until ctx
 // ends.
 func (m *Manager) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, m.cancel)()
@@ -131,34 +142,35 @@
 	loops.Go(func() { m.considerLoop(ctx) })
 	loops.Go(func() { m.dispatchLoop(ctx) })
 	loops.Wait()
-	// A step that is handed in now must not begin a run beside the wait for the runs.
+	// A step that is submitted from here on must not start a run, because the
+	// group of the runs must not grow while Run waits for it.
 	m.mu.Lock()
 	m.over = true
 	m.mu.Unlock()
 	m.loops.Wait()
 }
 
-// End ends a step; a repeat is harmless.
+// End ends a step. It has no effect on a step that has ended already.
 func (m *Manager) End(ctx context.Context, id, account string) error {
 	r, err := m.find(ctx, id, account)
 	for err == nil && !r.Ended {
 		next := r.State
 		next.Ended, next.Nonce = true, uuid.NewString()
-		ended, done, commitErr := m.replaceState(ctx, r, next)
+		current, replaced, commitErr := m.replaceState(ctx, r, next)
 		if commitErr != nil {
 			return commitErr
 		}
-		if done {
+		if replaced {
 			m.Events.Emit(event.StepEnded, event.Subject{Step: id, Account: account})
 		}
-		r = ended
+		r = current
 	}
 	return err
 }
 
-// replaceState commits a new state over a known one. done is false when another
-// writer was faster; the returned record is then theirs.
-func (m *Manager) replaceState(ctx context.Context, r record, next State) (now record, done bool, err error) {
+// replaceState replaces the state r of a step by next. replaced is false when another
+// writer has changed the state row since; current is then the state in the store.
+func (m *Manager) replaceState(ctx context.Context, r record, next State) (current record, replaced bool, err error) {
 	value, err := encode(next)
 	if err != nil {
 		return r, false, err
@@ -173,22 +185,23 @@
 		if row.Version == 0 {
 			return r, false, errors.WithStack(&fault.StepUnknown{Step: r.ID})
 		}
-		now, err = decodeState(row)
+		current, err = decodeState(row)
 		if err == nil {
-			m.learn(now)
+			m.learn(current)
 		}
-		return now, false, err
+		return current, false, err
 	}
 	if err != nil {
 		return r, false, err
 	}
-	now = record{State: next, version: version}
-	m.learn(now)
-	return now, true, nil
+	current = record{State: next, version: version}
+	m.learn(current)
+	return current, true, nil
 }
 
-// find returns a step's state, from the store when it is not known here. It
-// fails with *fault.StepUnknown only when the store says so.
+// find returns a step's state, and reads it from the store when this VM does not know
+// it. It fails with *fault.StepUnknown only when the store has no such step or the step
+// belongs to another account.
 func (m *Manager) find(ctx context.Context, id, account string) (record, error) {
 	r, ok := m.lookUp(id)
 	if !ok {
@@ -223,23 +236,24 @@
 	return m.leaving
 }
 
-// replace takes all states after a full read.
+// replace applies the state rows of a full read, and forgets ended steps that the read
+// does not contain.
 func (m *Manager) replace(rows []kept.Row) {
-	listed := make(map[string]bool, len(rows))
+	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
-		listed[row.Part] = true
+		present[row.Part] = true
 	}
 	m.apply(rows)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for id, r := range m.known {
-		if !listed[id] && r.Ended {
+		if !present[id] && r.Ended {
 			delete(m.known, id)
 		}
 	}
 }
 
-// apply takes changed states.
+// apply records changed state rows and notifies the takeover loop.
 func (m *Manager) apply(rows []kept.Row) {
 	for _, row := range rows {
 		if row.Deleted {
@@ -265,7 +279,8 @@
 	delete(m.known, id)
 }
 
-// note keeps a state unless a newer one is known, and reports whether it did.
+// note records a state unless the same or a newer version is known, and reports whether it
+// did.
 func (m *Manager) note(r record) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -282,8 +297,8 @@
 	return true
 }
 
-// learn takes a state and stops the step's run here if it is over or another
-// VM's by now.
+// learn records a state. If the step has ended or has another owner now, it stops the
+// step's run on this VM. An early run that was not accepted may claim the step first.
 func (m *Manager) learn(r record) {
 	if !m.note(r) {
 		return
@@ -299,7 +314,8 @@
 	m.stop(current)
 }
 
-// stop ends a run and forgets it.
+// stop cancels a run and removes it. The texts of its incomplete groups are retained for
+// later steps.
 func (m *Manager) stop(r *run) {
 	m.mu.Lock()
 	if m.runs[r.rec.ID] == r {
@@ -311,32 +327,33 @@
 }
 
 // start runs a step that this VM owns.
-func (m *Manager) start(rec record, items []Item, listed []Result, texts map[string]savedText) {
-	r := m.startRun(rec, items, listed, texts, nil)
+func (m *Manager) start(rec record, items []Item, committed []Result, texts map[string]savedText) {
+	r := m.startRun(rec, items, committed, texts, nil)
 	if r == nil {
 		return
 	}
 	r.accept(rec)
-	m.owned(rec, len(listed))
+	m.owned(rec, len(committed))
 }
 
-// owned tells that this VM owns a step of which some results are listed already.
-func (m *Manager) owned(r record, listed int) {
-	m.Events.Emit(event.StepOwned, event.Subject{Step: r.ID, Account: r.Account, Epoch: uint64(r.Epoch), Count: int64(listed)})
+// owned emits the event that this VM owns a step; committed is the number of results that
+// are committed already.
+func (m *Manager) owned(r record, committed int) {
+	m.Events.Emit(event.StepOwned, event.Subject{Step: r.ID, Account: r.Account, Epoch: uint64(r.Epoch), Count: int64(committed)})
 }
 
-// startRun starts a step's items; its results are listed once the run is accepted.
-// early is set while that is open. It returns nil when the step runs already, or is known
-// to be another VM's.
-func (m *Manager) startRun(rec record, items []Item, listed []Result, texts map[string]savedText, early *earlyRun) *run {
+// startRun starts a step's items. Their results are committed once the run is accepted;
+// early is set if that is not yet decided. It returns nil when the step runs already or has
+// ended, when a newer state of it is known, or when the manager is shutting down.
+func (m *Manager) startRun(rec record, items []Item, committed []Result, texts map[string]savedText, early *earlyRun) *run {
 	m.mu.Lock()
 	known, ok := m.known[rec.ID]
-	overtaken := ok && known.version > rec.version
-	if overtaken || m.runs[rec.ID] != nil || m.leaving || m.over || rec.Ended {
+	superseded := ok && known.version > rec.version
+	if superseded || m.runs[rec.ID] != nil || m.leaving || m.over || rec.Ended {
 		m.mu.Unlock()
 		return nil
 	}
-	r := newRun(m, rec, items, listed)
+	r := newRun(m, rec, items, committed)
 	r.early = early
 	r.resume(m.carried.of(rec.Account, items))
 	r.resume(texts)
@@ -348,10 +365,10 @@
 	return r
 }
 
-// Poke makes the dispatcher look at once: engines or their versions have changed.
+// Poke notifies the dispatcher that engines or their versions have changed.
 func (m *Manager) Poke() { m.poke() }
 
-// poke makes the dispatcher look at once.
+// poke notifies the dispatcher, without waiting for its next tick.
 func (m *Manager) poke() {
 	select {
 	case m.wake <- struct{}{}:
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -25,16 +25,18 @@
 )
 
 const (
-	// matrixItems are handed in; matrixLate is how long a late effect takes, and
-	// matrixFault how long other faults last: longer than a VM counts as alive.
+	// matrixItems is the number of submitted items. matrixLate is the delay of a late
+	// effect, and matrixFault the duration of other faults: longer than it takes until an
+	// unresponsive VM is no longer considered alive.
 	matrixItems = 6
 	matrixLate  = 5 * time.Second
 	matrixFault = 4 * time.Second
-	// matrixTime bounds a run, with two faults in it.
+	// matrixTime is the timeout of each phase of a case with two faults.
 	matrixTime = 60 * time.Second
 )
 
-// episode is one step in the hands of VMs that suffer faults, with a trainer.
+// episode is one case of the fault matrix: a trainer, one step, and VMs with injected
+// faults.
 type episode struct {
 	rows    *memory.Store
 	engines *engines
@@ -44,7 +46,7 @@
 	vms map[string]*Manager
 }
 
-// matrixVM brings a VM to life on a store.
+// matrixVM returns the manager of a new incarnation of a VM and starts its member list.
 func (e *episode) matrixVM(ctx context.Context, name, life string, store interface {
 	kept.Store
 	kept.Clock
@@ -80,9 +82,9 @@
 	return e.vms[name]
 }
 
-// submit hands the step in at one VM after the other until one accepts it.
+// submit submits the step to one VM after the other until one accepts it.
 func (e *episode) submit() error {
-	for until := time.Now().Add(matrixTime); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
+	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		for _, name := range []string{"vm-a", "vm-b", "vm-c"} {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			err := e.vm(name).Submit(ctx, spec("s"), scoredItems(matrixItems))
@@ -91,38 +93,38 @@
 				return nil
 			}
 			if _, accepted := e.state(); accepted && fault.ExecutionOf(err) == fault.NotRun {
-				return errors.Newf("%s says that the step was not kept, and it was", name)
+				return errors.Newf("%s reports that the step was not stored, but it was", name)
 			}
 		}
 	}
-	return errors.New("no VM accepts the step")
+	return errors.New("no VM accepted the step")
 }
 
-// state returns the step's state as it lies in the store.
+// state returns the step's state row from the store, bypassing the faults.
 func (e *episode) state() (record, bool) {
 	r, err := readState(context.Background(), e.rows, "s")
 	return r, err == nil
 }
 
-// pull reads the step at the VMs by turns until it is whole. What one VM showed at
-// a position all must show.
+// pull reads the step from the VMs in rotation until it is complete. A result that one VM
+// has returned at a position must be the same at every VM.
 func (e *episode) pull() ([]Result, error) {
 	var read []Result
-	turns := []string{"vm-b", "vm-a", "vm-c"}
-	for until := time.Now().Add(matrixTime); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
-		turns = append(turns[1:], turns[0])
+	rotation := []string{"vm-b", "vm-a", "vm-c"}
+	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+		rotation = append(rotation[1:], rotation[0])
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		results, total, err := e.vm(turns[0]).Results(ctx, "s", "acc", 0, 0)
+		results, total, err := e.vm(rotation[0]).Results(ctx, "s", "acc", 0, 0)
 		cancel()
 		if fault.Is[*fault.StepUnknown](err) {
-			return nil, errors.Newf("%s does not know the step after its acceptance", turns[0])
+			return nil, errors.Newf("%s does not know the step after it was accepted", rotation[0])
 		}
 		if err != nil {
 			continue
 		}
 		for i := range min(len(read), len(results)) {
 			if !reflect.DeepEqual(read[i], results[i]) {
-				return nil, errors.Newf("position %d holds %+v at %s, and before %+v", i, results[i], turns[0], read[i])
+				return nil, errors.Newf("position %d is %+v at %s, but was read before as %+v", i, results[i], rotation[0], read[i])
 			}
 		}
 		if len(results) > len(read) {
@@ -132,25 +134,26 @@
 			return read, nil
 		}
 	}
-	return nil, errors.Newf("%d of %d results in %s", len(read), matrixItems, matrixTime)
+	return nil, errors.Newf("got %d of %d results in %s", len(read), matrixItems, matrixTime)
 }
 
-// checkWhole checks that each item stands once, with its whole text.
+// checkWhole checks that each item is committed at most once, with its complete text and
+// its own score.
 func checkWhole(results []Result) error {
 	seen := map[string]bool{}
 	for _, r := range results {
 		want := strings.Join([]string{r.Item + "-1", r.Item + "-2", r.Item + "-3"}, "\n")
 		if seen[r.Item] || r.Outcome != Completed || r.Text != want || r.Score != "score of call-"+r.Item {
-			return errors.Newf("item %s is listed as %+v, seen before: %t", r.Item, r, seen[r.Item])
+			return errors.Newf("item %s is committed as %+v, seen before: %t", r.Item, r, seen[r.Item])
 		}
 		seen[r.Item] = true
 	}
 	return nil
 }
 
-// end ends the step and checks that nothing of it runs some time later.
+// end ends the step and checks that none of its items runs some time later.
 func (e *episode) end() error {
-	for until := time.Now().Add(matrixTime); time.Now().Before(until); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		err := e.vm("vm-b").End(ctx, "s", "acc")
 		cancel()
@@ -161,14 +164,14 @@
 		e.engines.mu.Lock()
 		defer e.engines.mu.Unlock()
 		if e.engines.active > 0 {
-			return errors.Newf("%d items run after the end", e.engines.active)
+			return errors.Newf("%d items still run after the end of the step", e.engines.active)
 		}
 		return nil
 	}
-	return errors.New("the step can't be ended")
+	return errors.New("no attempt to end the step succeeded")
 }
 
-// uneven runs last differently each time, so that two owners of a step gather its
+// uneven gives each attempt a different duration, so that two owners of a step commit its
 // results in different groups.
 func uneven(item string, n int) reply {
 	r := good
@@ -176,8 +179,8 @@
 	return r
 }
 
-// unevenScore takes a while and fails a first call at times, so that faults fall
-// between a whole text and its score.
+// unevenScore delays each scoring call and fails the first call of some items, so that
+// faults occur between a complete text and its score.
 func unevenScore(ctx context.Context, item string, n int) error {
 	select {
 	case <-ctx.Done():
@@ -190,7 +193,7 @@
 	return nil
 }
 
-// play runs an episode to its end. VMs a and b suffer the faults, c is well.
+// play runs one case to its end. Faults are injected at vm-a and vm-b, but not at vm-c.
 func play(w *platformtest.World) error {
 	e := &episode{rows: memory.New(), vms: map[string]*Manager{}, engines: &engines{
 		behave: map[string]behaviour{"": uneven}, runs: map[string][]string{}, finished: map[string]int{},
@@ -199,17 +202,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for _, name := range []string{"vm-a", "vm-b"} {
-		lives := 0
+		incarnations := 0
 		w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
-			lives++
-			e.matrixVM(p.Context, name, fmt.Sprintf("%s/%d", name, lives), p.Kept(e.rows)).Run(p.Context)
+			incarnations++
+			e.matrixVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(e.rows)).Run(p.Context)
 		})
 	}
 	group.Go(func() { e.matrixVM(ctx, "vm-c", "vm-c/1", e.rows).Run(ctx) })
 	defer func() {
 		stop()
 		group.Wait()
-		// Effects that come late are over before the bubble ends.
+		// Late effects must have happened before the synctest bubble ends.
 		time.Sleep(2 * matrixLate)
 	}()
 	time.Sleep(2 * time.Second)
@@ -221,7 +224,7 @@
 		err = checkWhole(results)
 	}
 	if err == nil && len(e.judge.early) > 0 {
-		err = errors.Newf("calls for scores came before the texts of %v were whole", e.judge.early)
+		err = errors.Newf("scoring calls were made before the texts of %v were complete", e.judge.early)
 	}
 	if err == nil {
 		err = e.end()
@@ -229,9 +232,9 @@
 	return err
 }
 
-// A step is handed in, run, read and ended while two VMs suffer each fault at each
-// call to the store, alone and in pairs. A trainer notices a wrong rule as a sample
-// that is lost, doubled or changed, or as a step that nobody runs.
+// Fault matrix: a step is submitted, run, read and ended while each fault is injected at
+// each call of two VMs to the store, alone and in pairs. It guards against samples that
+// are lost, duplicated or changed, and against a step that no VM runs.
 func TestMatrixSteps(t *testing.T) {
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name: "steps on the partitioned store",
--- a/internal/step/read.go
+++ b/internal/step/read.go
@@ -9,38 +9,39 @@
 	"dogwoodpond/internal/fault"
 )
 
-// pollEvery is the period of looking for new results of a step that another VM
-// owns; a look costs one small read.
+// pollEvery is the interval at which the store is polled for new results of a step
+// that another VM owns. A poll costs one small read.
 const pollEvery = 120 * time.Millisecond
 
-// Results returns a step's listed results from a position on, waiting for the
-// first for at most wait, and the number of the step's items. It fails with
-// *fault.StepUnknown only when there is no such step for certain.
+// Results returns a step's committed results starting at position from, and the number
+// of the step's items. It waits at most wait for the first result. It fails with
+// *fault.StepUnknown only when the step certainly does not exist.
 func (m *Manager) Results(ctx context.Context, id, account string, from int, wait time.Duration) (results []Result, total int, err error) {
 	rec, err := m.find(ctx, id, account)
 	if err != nil {
 		return nil, 0, err
 	}
-	until := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		var changed <-chan struct{}
 		results, changed, err = m.resultsNow(ctx, id, from)
 		if err == nil && len(results) > 0 {
 			err = moveIn(ctx, m.Store, results)
 		}
-		left := time.Until(until)
-		if err != nil || len(results) > 0 || from >= rec.Total || left <= 0 || m.ended(id) {
+		remaining := time.Until(deadline)
+		if err != nil || len(results) > 0 || from >= rec.Total || remaining <= 0 || m.ended(id) {
 			return results, rec.Total, err
 		}
-		awaitChange(ctx, changed, left)
+		awaitChange(ctx, changed, remaining)
 		if ctx.Err() != nil {
 			return nil, rec.Total, errors.WithStack(&fault.CallerGone{})
 		}
 	}
 }
 
-// resultsNow returns what is listed: from memory when this VM owns the step,
-// otherwise from the store.
+// resultsNow returns the committed results without waiting: from memory when this VM
+// runs the step, otherwise from the store. The channel is closed when there are more
+// results; it is nil when they come from the store.
 func (m *Manager) resultsNow(ctx context.Context, id string, from int) ([]Result, <-chan struct{}, error) {
 	if r := m.runOf(id); r != nil {
 		results, changed := r.resultsFrom(from)
@@ -55,13 +56,14 @@
 	return ok && r.Ended
 }
 
-// awaitChange waits until there may be more results.
-func awaitChange(ctx context.Context, changed <-chan struct{}, left time.Duration) {
-	wait := left
+// awaitChange waits until there may be more results, at most for remaining. A nil changed
+// means that the store must be polled.
+func awaitChange(ctx context.Context, changed <-chan struct{}, remaining time.Duration) {
+	timeout := remaining
 	if changed == nil {
-		wait = min(left, pollEvery)
+		timeout = min(remaining, pollEvery)
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -70,8 +72,8 @@
 	}
 }
 
-// Body returns the body of an item. It fails with *fault.StepUnknown when there
-// is no such step or item for certain.
+// Body returns the body of an item. It fails with *fault.StepUnknown when the step or
+// the item certainly does not exist.
 func (m *Manager) Body(ctx context.Context, id, account, item string) ([]byte, error) {
 	rec, err := m.find(ctx, id, account)
 	if err != nil {
--- a/internal/step/residency.go
+++ b/internal/step/residency.go
@@ -2,7 +2,8 @@
 
 import "dogwoodpond/internal/route"
 
-// stepResidency returns where the data of a step may be, by the configuration in force.
+// stepResidency returns the failure domains in which the data of a step may be, according
+// to the current configuration.
 func (m *Manager) stepResidency(spec Spec) route.Residency {
 	snapshot := m.View.Load()
 	if snapshot == nil || !snapshot.Resident() {
@@ -10,17 +11,18 @@
 	}
 	matched, err := snapshot.Match(spec.Host, spec.Path)
 	if err != nil {
-		// Its route is gone; the account's own limit holds on.
+		// The route was removed; the account's own residency still applies.
 		matched = &route.Route{}
 	}
 	return snapshot.Residency(matched, spec.Account)
 }
 
-// residency returns where a request of an account may go that is sent by a route.
-func (m *Manager) residency(account string, by *route.Route) route.Residency {
+// residency returns the failure domains to which a request of an account may be sent
+// through a route.
+func (m *Manager) residency(account string, through *route.Route) route.Residency {
 	snapshot := m.View.Load()
 	if snapshot == nil {
-		return by.Residency
+		return through.Residency
 	}
-	return snapshot.Residency(by, account)
+	return snapshot.Residency(through, account)
 }
--- a/internal/step/residency_test.go
+++ b/internal/step/residency_test.go
@@ -16,8 +16,9 @@
 	south = []string{"s1", "s2", "s3"}
 )
 
-// newRegions returns a world with an engine, which bears its domain's name, and a VM for
-// each failure domain. Steps must stay in the regions of their route and account.
+// newRegions returns a cluster with one VM and one engine in each failure domain; the
+// engine has the name of its domain. Steps are restricted to the residencies of their route
+// and account.
 func newRegions(t *testing.T, byRoute, byAccount route.Residency) *world {
 	w := newWorld(t)
 	for _, domain := range slices.Concat(north, south) {
@@ -32,7 +33,7 @@
 	return w
 }
 
-// ranAt returns the engines that items reached.
+// ranAt returns the engines that received items.
 func (w *world) ranAt() []string {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
@@ -44,13 +45,15 @@
 	return slices.Compact(all)
 }
 
+// outside returns the used failure domains that are not allowed.
 func outside(used, allowed []string) []string {
 	return slices.DeleteFunc(slices.Clone(used), func(domain string) bool { return slices.Contains(allowed, domain) })
 }
 
-// Guards against items that run in a region where their route or account may not be, also
-// when its engines are full, fail, or lie in the owner's own failure domain.
-func TestItemsStayInTheRegionsOfRouteAndAccount(t *testing.T) {
+// Guards against items that run in a region that the residency of their route or account
+// excludes, also when the allowed engines are full or fail, or when an excluded engine is in
+// the owner's own failure domain.
+func TestItemsStayInResidencyOfRouteAndAccount(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		byRoute, byAccount route.Residency
@@ -58,7 +61,7 @@
 	}{
 		{"route", route.ResideIn(south), route.Residency{}, south},
 		{"account", route.Residency{}, route.ResideIn(south), south},
-		{"both bind", route.ResideIn([]string{"n1", "s1", "s2"}), route.ResideIn(south), []string{"s1", "s2"}},
+		{"route and account", route.ResideIn([]string{"n1", "s1", "s2"}), route.ResideIn(south), []string{"s1", "s2"}},
 		{"neither", route.Residency{}, route.Residency{}, slices.Concat(north, south)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,27 +77,27 @@
 				submit(t, w.vms["vm-n1"], spec("s"), items(60))
 				checkTexts(t, readWhole(t, w.vms["vm-n2"], "s"), 3)
 				if wrong := outside(w.ranAt(), c.allowed); len(wrong) > 0 {
-					t.Errorf("items ran in %v", wrong)
+					t.Errorf("items ran in the excluded domains %v", wrong)
 				}
 				if missing := outside(c.allowed, w.ranAt()); len(missing) > 0 {
-					t.Errorf("no item ran in %v", missing)
+					t.Errorf("no item ran in the allowed domains %v", missing)
 				}
 			})
 		})
 	}
 }
 
-// Guards against the items of a step that are read by a VM in a region where they may not
-// be, after the owner was lost.
-func TestStepIsTakenOverInItsOwnRegion(t *testing.T) {
+// Guards against a takeover after the loss of the owner by a VM outside the step's
+// residency, which would read the items there.
+func TestTakeoverStaysInResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newRegions(t, route.ResideIn(south), route.Residency{})
 		w.engines.behave[""] = paced(20, 100*time.Millisecond)
 		time.Sleep(time.Second)
-		first := w.vms["vm-s2"]
-		submit(t, first, spec("s"), items(8))
+		owner := w.vms["vm-s2"]
+		submit(t, owner, spec("s"), items(8))
 		time.Sleep(500 * time.Millisecond)
-		w.crash(first)
+		w.crash(owner)
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			for _, domain := range north {
@@ -104,25 +107,25 @@
 			}
 		}
 		if w.vms["vm-s1"].runOf("s") == nil {
-			t.Error("nobody runs the step 2 s after the loss of its owner")
+			t.Error("vm-s1 does not run the step 2 s after the loss of its owner")
 		}
 		checkTexts(t, readWhole(t, w.vms["vm-n1"], "s"), 20)
 	})
 }
 
-// Guards against a cold engine that nobody may use, because the owner that ranks first for
-// it owns steps that may not go there.
-func TestOwnerHasNoTurnWhereItsStepMayNotGo(t *testing.T) {
+// Guards against a cold engine that no VM may use, because the owner that ranks first for
+// it owns only steps whose residency excludes the engine.
+func TestFirstSenderRespectsResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newRegions(t, route.ResideIn(south), route.Residency{})
 		a := w.vms["vm-s1"]
 		a.note(record{State: State{Spec: spec("s"), Owner: a.VM}, version: 1})
-		// The call for changes that is under way ends, since no row was written.
+		// The pending watch call ends only by its timeout, since no row was written.
 		time.Sleep(ownersSettle + watchWait)
 		for _, e := range a.Roster.Service("lm") {
-			in := slices.Contains(south, e.Info().FailureDomain)
-			if first, _ := a.FirstSender(e); first != in {
-				t.Errorf("the only owner has the turn at %s: %v", e.Info().ID, first)
+			allowed := slices.Contains(south, e.Info().FailureDomain)
+			if first, _ := a.FirstSender(e); first != allowed {
+				t.Errorf("the only owner is the first sender of %s: %v", e.Info().ID, first)
 			}
 		}
 	})
--- a/internal/step/rows.go
+++ b/internal/step/rows.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// rowLimit bounds what goes into one row; the store takes 64 KiB.
+	// rowLimit is the maximum size of a row's value; the store accepts 64 KiB.
 	rowLimit = 56 << 10
-	// txnLimit bounds what goes into one transaction; the store takes 1 MB with
-	// everything encoded in base64.
+	// txnLimit is the maximum size of the values in one transaction; the store accepts
+	// 1 MB, with all values encoded in base64.
 	txnLimit = 600 << 10
-	// objectLimit bounds one object; the store takes 8 MiB.
+	// objectLimit is the maximum size of an object; the store accepts 8 MiB.
 	objectLimit = 6 << 20
-	// readLimit bounds the texts that one read returns; callers take 1 MB.
+	// readLimit is the maximum size of the texts that one read returns; callers accept
+	// 1 MB.
 	readLimit = 800 << 10
 )
 
-// packed is a run of encoded values that go into one row or object.
+// packed is a JSON array of consecutive values that is stored in one row or object.
 type packed struct {
 	body  []byte
 	count int
 }
 
-// pack joins values into JSON arrays of at most limit bytes each; a value that
-// is longer by itself gets an array of its own.
+// pack encodes values into JSON arrays of at most limit bytes each. A value that alone
+// exceeds the limit gets an array of its own.
 func pack[T any](values []T, limit int) ([]packed, error) {
 	var out []packed
 	for _, value := range values {
@@ -53,9 +54,9 @@
 	return out, nil
 }
 
-// creation builds the transaction that brings a step into being. Items that
-// don't fit into one transaction are stored as objects first, so that the state
-// row never names what is not there.
+// creation returns the transaction that creates a step, and the state that it writes.
+// Items that don't fit into one transaction are stored as objects first, so that the
+// state row never refers to objects that do not exist.
 func creation(ctx context.Context, store kept.Store, state State, items []Item) (kept.Txn, State, error) {
 	chunks, err := pack(items, rowLimit)
 	if err != nil {
@@ -91,6 +92,7 @@
 	return total <= txnLimit && len(chunks) <= maxRows
 }
 
+// putItems stores the items of a step as objects and returns the names of these.
 func putItems(ctx context.Context, store kept.Store, id string, items []Item) ([]string, error) {
 	chunks, err := pack(items, objectLimit)
 	if err != nil {
@@ -141,8 +143,8 @@
 	return items, nil
 }
 
-// readState reads the state row of a step. It fails with *fault.StepUnknown when
-// the store says that there is none.
+// readState reads the state row of a step. It fails with *fault.StepUnknown when the
+// store has no such row.
 func readState(ctx context.Context, store kept.Store, id string) (record, error) {
 	page, err := store.Read(ctx, stateTable, id, stateName, "")
 	if err != nil {
@@ -154,8 +156,8 @@
 	return decodeState(page.Rows[0])
 }
 
-// readResults reads the listed results from a position on, at most readLimit
-// bytes of text but at least one if there is one.
+// readResults reads the committed results starting at position from. It returns at most
+// readLimit bytes of text, but at least one result if there is one.
 func readResults(ctx context.Context, store kept.Store, id string, from int) ([]Result, error) {
 	page, err := store.Read(ctx, resultTable, id, resultName(from), "")
 	if err != nil {
@@ -175,7 +177,7 @@
 	return within(readLimit, out), nil
 }
 
-// readAllResults reads every listed result of a step.
+// readAllResults reads all committed results of a step.
 func readAllResults(ctx context.Context, store kept.Store, id string) ([]Result, error) {
 	rows, err := kept.ReadAll(ctx, store, resultTable, id)
 	if err != nil {
@@ -192,7 +194,7 @@
 	return out, nil
 }
 
-// decodeResults returns the results of a row and the position of the first.
+// decodeResults returns the results of a row and the position of the first one.
 func decodeResults(row kept.Row) (results []Result, first int, err error) {
 	last, err := strconv.Atoi(row.Name)
 	if err == nil {
@@ -204,7 +206,7 @@
 	return results, last + 1 - len(results), nil
 }
 
-// within cuts results to a number of bytes, but leaves the first.
+// within returns the first results up to a total of limit bytes, but at least one.
 func within(limit int, results []Result) []Result {
 	size := 0
 	for i, r := range results {
@@ -216,16 +218,16 @@
 	return results
 }
 
-// listing builds the puts that list results behind a position. Texts too large
-// for a row go into objects first.
+// listing returns the puts that store results starting at a position. Texts that are too
+// large for a row are stored as objects first.
 func listing(ctx context.Context, store kept.Store, id string, position int, results []Result) ([]kept.Put, error) {
 	stored := make([]Result, len(results))
 	for i, r := range results {
-		small, err := moveOut(ctx, store, id, r)
+		inRow, err := moveOut(ctx, store, id, r)
 		if err != nil {
 			return nil, err
 		}
-		stored[i] = small
+		stored[i] = inRow
 	}
 	chunks, err := pack(stored, rowLimit)
 	if err != nil {
@@ -239,11 +241,13 @@
 	return puts, nil
 }
 
-// moveOut stores a long text as an object.
+// moveOut stores the text of a result as an object if it is too large for a row, and
+// returns the result to store in the row.
 func moveOut(ctx context.Context, store kept.Store, id string, r Result) (Result, error) {
-	// JSON takes up to six bytes for one, so that only the encoded length tells.
-	const surelyShort = rowLimit / 8
-	if len(r.Text) <= surelyShort {
+	// JSON encodes a byte in up to six bytes, so the encoded length decides, unless the text
+	// is short enough in any case.
+	const alwaysFits = rowLimit / 8
+	if len(r.Text) <= alwaysFits {
 		return r, nil
 	}
 	if text, err := encode(r); err != nil || len(text) <= rowLimit-2 {
@@ -257,7 +261,7 @@
 	return r, nil
 }
 
-// moveIn brings back the texts that lie in objects.
+// moveIn reads the texts that are stored as objects into the results.
 func moveIn(ctx context.Context, store kept.Store, results []Result) error {
 	for i := range results {
 		if results[i].Object == "" || results[i].Text != "" {
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -1,11 +1,11 @@
-// Package step keeps and runs trainers' steps: many generations that are handed
-// in at once and run later. A step lies in the store in a partition of its own:
-// a state row that names its owner, rows with its items, and rows with its
-// results, each under the position of its last one.
+// Package step stores and runs trainers' steps: batches of generations that are
+// submitted together and run asynchronously. Each step has its own partition in the
+// store: a state row that names the owner, rows with the items, and rows with the
+// results, each row named by the position of its last result.
 //
-// Every commit of results expects the version of the state row, which each change
-// of owner and the end of the step replace. So two owners never list results for
-// one step, and a commit that was under way when the owner changed has no effect.
+// Every commit of results expects the version of the state row. A change of owner and
+// the end of the step replace that row. So two owners never both commit results of
+// one step, and a commit that is in flight when the owner changes has no effect.
 package step
 
 import (
@@ -20,7 +20,7 @@
 	"dogwoodpond/internal/scoring"
 )
 
-// The tables of steps; the partition is the step's ID.
+// The tables of steps. The partition is the step's ID.
 const (
 	stateTable  = "step"
 	itemsTable  = "step_items"
@@ -28,27 +28,28 @@
 	stateName   = "state"
 )
 
-// Spec is what a trainer asks for.
+// Spec is a trainer's request for a step.
 type Spec struct {
 	ID      string `json:"id"`
 	Account string `json:"account"`
-	// Host and Path are those of the submission; the route that they match
-	// decides where the items run.
+	// Host and Path are those of the submission. The route that they match
+	// determines where the items run.
 	Host  string `json:"host"`
 	Path  string `json:"path"`
 	Model string `json:"model,omitempty"`
-	// MinVersion is the oldest version of the weights that may be used.
+	// MinVersion is the oldest weight version that may be used.
 	MinVersion int64 `json:"minVersion,omitempty"`
-	// Desired is how many whole groups the trainer waits for.
+	// Desired is the number of complete groups that the trainer waits for.
 	Desired int `json:"desired,omitempty"`
-	// SubmittedAt is when it was accepted, in milliseconds of the store's clock.
+	// SubmittedAt is when the step was submitted, in milliseconds of the store's clock.
 	SubmittedAt int64 `json:"submittedAt"`
-	// RunObjective is when the step should be whole, and GiveUp when its items
-	// may be given up, after its submission.
+	// RunObjective is the time after submission within which the step should be
+	// complete. GiveUp is the time after submission from which its items may be
+	// abandoned.
 	RunObjective time.Duration `json:"runObjective"`
 	GiveUp       time.Duration `json:"giveUp"`
 	Attempts     int           `json:"attempts"`
-	// SingleVersion wants each sample from one version of the weights.
+	// SingleVersion requires each sample to come from a single weight version.
 	SingleVersion bool `json:"singleVersion,omitempty"`
 }
 
@@ -60,9 +61,9 @@
 	Body   []byte            `json:"body,omitempty"`
 	// Group names the items that share a prompt.
 	Group string `json:"group,omitempty"`
-	// Expected is the estimate of the number of output tokens; 0 when unknown.
+	// Expected is the estimated number of output tokens; 0 when unknown.
 	Expected float64 `json:"expected,omitempty"`
-	// Score is the call that scores the whole text; nil when the sample needs none.
+	// Score is the call that scores the complete text; nil when the sample needs no score.
 	Score *scoring.Call `json:"score,omitempty"`
 }
 
@@ -70,27 +71,27 @@
 type State struct {
 	Spec
 	Total int `json:"total"`
-	// Owner and OwnerLife name the process that runs the step; empty when the
-	// last one handed it over.
+	// Owner and OwnerLife are the VM and incarnation of the process that runs the
+	// step. Both are empty after that process has handed the step over.
 	Owner     string `json:"owner,omitempty"`
 	OwnerLife string `json:"ownerLife,omitempty"`
-	// Epoch counts the owners from 1.
+	// Epoch is the number of the current owner, counted from 1.
 	Epoch int `json:"epoch"`
-	// Made is which part of the texts the owner had when it claimed the step for its early
-	// run, between 0 and 1; 0 for any other owner.
+	// Made is the share of the texts, between 0 and 1, that the owner had generated when it
+	// claimed the step for its early run; 0 for any other owner.
 	Made float64 `json:"made,omitempty"`
-	// Ended steps run no more.
+	// Ended is true once the step has ended; its items no longer run.
 	Ended bool `json:"ended,omitempty"`
-	// Objects names the objects that hold the items when they are too large for
-	// one transaction.
+	// Objects are the names of the objects that hold the items when these are too
+	// large for one transaction.
 	Objects []string `json:"objects,omitempty"`
-	// Work is the expected work of all items, in tokens.
+	// Work is the expected number of output tokens of all items.
 	Work float64 `json:"work,omitempty"`
-	// Behind is how far MinVersion was behind the version named last, when the
-	// step came.
+	// Behind is how many versions MinVersion was behind the version that the trainer
+	// had announced last when the step was submitted.
 	Behind int64 `json:"behind,omitempty"`
-	// Nonce is unique for each version of the row, so that a writer recognises
-	// its own.
+	// Nonce is unique for each version of the row, so that a writer recognizes
+	// its own write.
 	Nonce string `json:"nonce"`
 }
 
@@ -103,15 +104,15 @@
 	Abandoned Outcome = "abandoned"
 )
 
-// Result is one listed result.
+// Result is the committed result of one item.
 type Result struct {
 	Item     string  `json:"item"`
 	Outcome  Outcome `json:"outcome"`
 	Text     string  `json:"text,omitempty"`
 	Versions []int64 `json:"versions,omitempty"`
-	// Score is what the item's call for a score returned.
+	// Score is the response of the item's scoring call.
 	Score string `json:"score,omitempty"`
-	// Object names the object that holds the text when it is too large for a row.
+	// Object is the name of the object that holds the text when it is too large for a row.
 	Object string `json:"object,omitempty"`
 }
 
@@ -123,19 +124,19 @@
 	return kept.Key{Table: itemsTable, Part: id, Name: fmt.Sprintf("%04d", chunk)}
 }
 
-// resultName is the name of a row of results: the position of its last one. A
-// read from position n then starts with the row that holds n.
+// resultName returns the name of a row of results: the position of its last result.
+// A read from position n then starts with the row that contains position n.
 func resultName(last int) string { return fmt.Sprintf("%08d", last) }
 
 func resultKey(id string, last int) kept.Key {
 	return kept.Key{Table: resultTable, Part: id, Name: resultName(last)}
 }
 
-// record is a state with the version of its row.
+// record is a step's state with the version of its state row.
 type record struct {
 	State
 	version int64
-	// ownedSince is when this VM heard that the owner has the step.
+	// ownedSince is when this VM learned that the current owner owns the step.
 	ownedSince time.Time
 }
 
--- a/internal/step/sweep.go
+++ b/internal/step/sweep.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// sweepEvery is the period of looking for steps whose rows may go.
+	// sweepEvery is the interval at which expired steps are removed.
 	sweepEvery = 5 * time.Second
-	// keepSlack is added to the time for which ended steps stay readable.
+	// keepSlack is a grace period added to the retention time of ended steps before they
+	// are removed.
 	keepSlack = 30 * time.Second
-	// sweptAtOnce bounds the rows removed in one transaction; the store takes 100.
+	// sweptAtOnce is the maximum number of rows removed in one transaction; the store
+	// accepts 100.
 	sweptAtOnce = 80
 )
 
-// sweep removes the rows of ended steps that nobody may ask for any more. The
-// state row goes last, so that a step whose removal broke off is found again.
+// sweep removes the rows and objects of expired steps. The state row is removed last,
+// so that a later sweep finds a step whose removal was interrupted.
 func (m *Manager) sweep(ctx context.Context) {
 	now, ok := m.Clock.StoreNow()
 	if !ok {
@@ -32,17 +34,19 @@
 	}
 }
 
+// expired returns the ended steps whose retention has passed and that this VM ranks first
+// to remove.
 func (m *Manager) expired(now int64) []record {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var found []record
+	var steps []record
 	for id, r := range m.known {
 		age := time.Duration(now-r.SubmittedAt) * time.Millisecond
 		if r.Ended && age > m.Keep+keepSlack && m.Members.Rank(id) == 0 {
-			found = append(found, r)
+			steps = append(steps, r)
 		}
 	}
-	return found
+	return steps
 }
 
 func (m *Manager) remove(ctx context.Context, r record) error {
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -13,7 +13,8 @@
 	"dogwoodpond/internal/wait"
 )
 
-// considerLoop looks for steps that nobody runs.
+// considerLoop takes over steps without a live owner and removes expired steps, until ctx
+// ends.
 func (m *Manager) considerLoop(ctx context.Context) {
 	ticker := time.NewTicker(considerEvery)
 	defer ticker.Stop()
@@ -36,8 +37,8 @@
 }
 
 // unowned returns the steps that this VM should run but does not, and marks them
-// as being loaded. A step is taken over when its owner's process is gone, by the
-// VM that ranks first for it; the others wait longer, each by its rank.
+// as loading. A step is taken over when its owner's process is dead, by the VM that
+// ranks first for the step. Each further VM waits longer, according to its rank.
 func (m *Manager) unowned(now time.Time) []record {
 	if !m.Members.Ready() {
 		return nil
@@ -47,7 +48,7 @@
 	if m.leaving {
 		return nil
 	}
-	var found []record
+	var steps []record
 	for id, r := range m.known {
 		if r.Ended || m.runs[id] != nil || m.loading[id] {
 			continue
@@ -61,28 +62,30 @@
 			since = now
 			m.orphan[id] = now
 		}
-		// The life before of this VM is over, whatever its row says to the others: this VM
-		// knows it first when all lost power together.
-		mine := r.Owner == m.VM
-		if !mine && !m.mayTakeOver(r, now.Sub(since)) {
+		// A step whose owner is this VM needs no waiting: an earlier incarnation of this
+		// VM is certainly dead, even while its status row still makes it look alive to
+		// others, for example after a power failure of all VMs.
+		ownRow := r.Owner == m.VM
+		if !ownRow && !m.mayTakeOver(r, now.Sub(since)) {
 			continue
 		}
 		m.loading[id] = true
-		found = append(found, r)
+		steps = append(steps, r)
 	}
-	return found
+	return steps
 }
 
-// mayTakeOver reports whether this VM may take a step over that has had no living owner for
-// a while: one that may read its items, when its turn by rank has come.
-func (m *Manager) mayTakeOver(r record, orphanFor time.Duration) bool {
+// mayTakeOver reports whether this VM may take over a step that has had no live owner for
+// the given time. The step's residency must allow this VM's failure domain, and the delay
+// that follows from this VM's rank must have passed.
+func (m *Manager) mayTakeOver(r record, unownedFor time.Duration) bool {
 	residency := m.stepResidency(r.Spec)
-	return residency.Allows(m.Domain) && orphanFor >= time.Duration(m.Members.RankWithin(r.ID, residency))*takeoverStep
+	return residency.Allows(m.Domain) && unownedFor >= time.Duration(m.Members.RankWithin(r.ID, residency))*takeoverStep
 }
 
-// takeOver makes this VM the owner of a step and runs what is not listed yet.
-// The results are read after the change of owner: from then on nobody else can
-// list any, so that what is read is all there is.
+// takeOver makes this VM the owner of a step and runs the items without a committed
+// result. The results are read after the change of owner: from then on no other VM can
+// commit any, so the read is complete.
 func (m *Manager) takeOver(ctx context.Context, r record) {
 	defer func() {
 		m.mu.Lock()
@@ -97,18 +100,18 @@
 	}
 	for ctx.Err() == nil && m.stillMine(r) {
 		items, err := readItems(ctx, m.Store, r.State)
-		var listed []Result
+		var committed []Result
 		if err == nil {
-			listed, err = readAllResults(ctx, m.Store, r.ID)
+			committed, err = readAllResults(ctx, m.Store, r.ID)
 		}
 		var texts map[string]savedText
-		if err == nil && len(listed) < r.Total {
+		if err == nil && len(committed) < r.Total {
 			texts, err = readTexts(ctx, m.Store, r.ID, func(row kept.Row) {
 				m.Events.Emit(event.RowUnreadable, event.Subject{Step: r.ID, Detail: row.String()})
 			})
 		}
 		if err == nil {
-			m.start(r, items, listed, texts)
+			m.start(r, items, committed, texts)
 			return
 		}
 		if fault.Is[*fault.Internal](err) {
@@ -118,13 +121,13 @@
 	}
 }
 
-// becomeOwner makes this VM the next owner of a step, if the step still is what the record
-// says. Nobody else can list results of it from then on. made is which part of the texts
-// an early run has.
-func (m *Manager) becomeOwner(ctx context.Context, r record, made float64) (owned record, ok bool) {
+// becomeOwner makes this VM the next owner of a step, unless the state row has changed
+// since r was read. From then on no other VM can commit results of the step. generated is
+// the share of the texts that an early run has generated; 0 without an early run.
+func (m *Manager) becomeOwner(ctx context.Context, r record, generated float64) (owned record, ok bool) {
 	next := r.State
 	next.Owner, next.OwnerLife, next.Nonce = m.VM, m.Life, uuid.NewString()
-	next.Made = made
+	next.Made = generated
 	next.Epoch++
 	owned, ok, err := m.replaceState(ctx, r, next)
 	if err != nil {
@@ -133,18 +136,21 @@
 	return owned, ok && err == nil
 }
 
+// notTaken emits the event that this VM failed to take over a step.
 func (m *Manager) notTaken(next State, err error) {
 	m.Events.Emit(event.StepNotTaken, event.Subject{Step: next.ID, Account: next.Account, Epoch: uint64(next.Epoch), Detail: err.Error()})
 }
 
+// stillMine reports whether r is still the newest known state of the step and the step has
+// not ended.
 func (m *Manager) stillMine(r record) bool {
 	known, ok := m.lookUp(r.ID)
 	return ok && known.version == r.version && !known.Ended
 }
 
-// Leave hands every step over: results at hand are listed, then the owner is
-// taken out of the state, which the other VMs see at once. It returns when that is
-// done or ctx ends.
+// Leave hands over every step that this VM owns: it commits the finished results and then
+// clears the owner in the state row, which the other VMs watch. It returns when all steps
+// are handed over or ctx ends.
 func (m *Manager) Leave(ctx context.Context) {
 	m.mu.Lock()
 	m.leaving = true
@@ -160,6 +166,8 @@
 	handOvers.Wait()
 }
 
+// handOver stops a run's items, commits the finished results, saves the partial texts and
+// clears the owner in the state row. A run that was not accepted is only stopped.
 func (m *Manager) handOver(ctx context.Context, r *run) {
 	r.stopItems()
 	if !r.accepted() {
@@ -171,7 +179,7 @@
 	rec := r.current()
 	next := rec.State
 	next.Owner, next.OwnerLife, next.Nonce = "", "", uuid.NewString()
-	if _, done, err := m.replaceState(ctx, rec, next); err == nil && done {
+	if _, replaced, err := m.replaceState(ctx, rec, next); err == nil && replaced {
 		m.Events.Emit(event.StepHandedOver, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
 	}
 	m.stop(r)
--- a/internal/step/turn.go
+++ b/internal/step/turn.go
@@ -10,24 +10,25 @@
 	"dogwoodpond/internal/target"
 )
 
-// sender is an owner of open steps with what it asks of engines.
+// sender is the owner of an open step, with the requirements of the step on engines. An
+// owner of several open steps has one sender for each.
 type sender struct {
 	vm         string
 	model      string
 	minVersion int64
-	// since is when this VM heard that the owner has the step.
+	// since is when this VM learned that the owner owns the step.
 	since time.Time
-	// residency limits the failure domains of its engines.
+	// residency limits the failure domains of the engines.
 	residency route.Residency
 }
 
-// able reports whether an engine can serve the owner's step.
+// able reports whether an engine can serve the step.
 func (s sender) able(e *target.Entry) bool {
 	return s.residency.Allows(e.Info().FailureDomain) && (s.model == "" || e.Version(s.model) >= s.minVersion)
 }
 
-// senders returns the owners of the open steps. All VMs know them from the states of the
-// steps.
+// senders returns the owners of the open steps, as this VM knows them from the state
+// rows.
 func (m *Manager) senders() []sender {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,43 +41,45 @@
 	return all
 }
 
-// fewSenders is for how many owners firstOf needs no memory of its own.
+// fewSenders is the number of senders up to which firstOf allocates no memory.
 const fewSenders = 16
 
 // firstOf returns the VM that ranks first for an engine among the senders that it can
 // serve; ok is false when there are none.
 func firstOf(all []sender, e *target.Entry) (vm string, ok bool) {
-	var few [fewSenders]string
-	able := few[:0]
+	var buf [fewSenders]string
+	eligible := buf[:0]
 	for _, s := range all {
 		if s.able(e) {
-			able = append(able, s.vm)
+			eligible = append(eligible, s.vm)
 		}
 	}
-	return lease.First("engine/"+e.Info().ID, able)
+	return lease.First("engine/"+e.Info().ID, eligible)
 }
 
 const (
-	// statesKnown is the age of the states up to which this VM knows whether steps are open.
-	// A call for changes returns within watchWait.
+	// statesKnown is the maximum age of the states for deciding whether any steps are open.
+	// It is twice the timeout of a watch call.
 	statesKnown = 2 * watchWait
-	// ownersSettle is how long a step has been open before its owner may have a turn.
-	// Trainers hand steps in at the same moment, and until their states have gone around,
-	// each owner knows only of itself.
+	// ownersSettle is the grace period between the time an owner learns of its step and the
+	// time it may be the first sender of an engine. Trainers submit steps at the same
+	// moment, and until the state rows have reached all VMs, each owner knows only itself.
 	ownersSettle = 500 * time.Millisecond
-	// statesFresh is the age of the states up to which an owner may have a turn. It is below
-	// ownersSettle: whoever has the turn knows all owners whose steps have been open for that
-	// long, and leaves the engine to those that rank before it from when it hears of them.
+	// statesFresh is the maximum age of the states for being the first sender of an engine.
+	// It is shorter than the grace period of owners. So the first sender knows all owners
+	// whose grace period has passed. It also stops being first as soon as it learns of an
+	// owner that ranks before it, while the grace period of that owner has not passed yet.
 	statesFresh = 400 * time.Millisecond
-	// ownerWatchWait bounds the calls for changes of a VM that owns steps, so that its states
-	// stay fresh while nothing changes.
+	// ownerWatchWait is the timeout of the watch calls of a VM that owns steps. It keeps the
+	// age of the states below the limit for first senders while nothing changes.
 	ownerWatchWait = 300 * time.Millisecond
 )
 
-// FirstSender tells whether this VM ranks first for an engine among the owners of the open
-// steps that the engine can serve; ok is false when there are none. A VM that can't read
-// the states is never first: each one would otherwise take the owners that it remembers,
-// and often only itself, for all there are.
+// FirstSender reports whether this VM is the first sender of an engine: whether it ranks
+// first for the engine among the owners of the open steps that the engine can serve. ok is
+// false when there are no such steps, and true when the states are too old to tell. A VM that can't read the state rows is never first:
+// each VM would otherwise consider only the owners that it knows, often just itself, and
+// several VMs would be first.
 func (m *Manager) FirstSender(e *target.Entry) (first, ok bool) {
 	now := time.Now()
 	age := time.Duration(now.UnixNano() - m.statesRead.Load())
@@ -93,7 +96,7 @@
 	}), true
 }
 
-// stateWait is how long a call for changes of states may stay open.
+// stateWait returns the timeout of the next watch call on the state rows.
 func (m *Manager) stateWait() time.Duration {
 	if m.ownsSteps() {
 		return ownerWatchWait
@@ -101,8 +104,8 @@
 	return watchWait
 }
 
-// statePace is the least time between two such calls. The owners of steps are few, so that
-// the store has room for their calls whatever the size of the fleet.
+// statePace returns the minimum interval between two such calls. Few VMs own steps, so the
+// store can take the more frequent calls of owners at any size of the fleet.
 func (m *Manager) statePace() time.Duration {
 	pace := m.Calls.Period(budget.Steps, watchPace)
 	if m.ownsSteps() {
@@ -111,6 +114,7 @@
 	return pace
 }
 
+// ownsSteps reports whether this VM owns an open step.
 func (m *Manager) ownsSteps() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -122,11 +126,12 @@
 	return false
 }
 
-// others returns the engines for which the owner of another open step ranks first.
+// others returns the engines for which another VM that owns an open step ranks first.
 //
-// The load is trainers that hand their steps in at the same moment. Engines that have just
+// It matters when trainers submit their steps at the same moment. Engines that have just
 // started have the newest version of every model, and no owner sees yet what the others
-// send: all of them would fill the same engines, whose queues then hold most items up.
+// send. All owners would fill the same engines, and most items would wait in the queues of
+// these engines.
 func (m *Manager) others(engines []*target.Entry) map[*target.Entry]bool {
 	all := m.senders()
 	out := make(map[*target.Entry]bool)
@@ -138,13 +143,14 @@
 	return out
 }
 
-// pool is the engines of a service as one pass over the items sees them.
+// pool holds the engines of a service during one pass of the dispatcher over the items.
 type pool struct {
 	engines []*target.Entry
-	// others are those that other owners use first.
+	// others contains the engines for which another owner ranks first.
 	others map[*target.Entry]bool
 }
 
+// pool returns the engines of a service that may get work now.
 func (m *Manager) pool(service string, now time.Time) pool {
 	engines := m.engines(service, now)
 	return pool{engines: engines, others: m.others(engines)}
--- a/internal/step/turn_test.go
+++ b/internal/step/turn_test.go
@@ -10,14 +10,14 @@
 	"dogwoodpond/internal/target"
 )
 
-// opened is an open step of model m as its owner has written it.
+// opened returns the state row of an open step of model m.
 func opened(step, owner string, version int64) record {
 	return record{State: State{Spec: Spec{ID: step, Model: "m"}, Owner: owner}, version: version}
 }
 
-// Guards against several VMs that each take themselves for the one that may use a cold
-// engine, because none of them can read who owns the open steps.
-func TestNoTurnWithoutTheStatesOfSteps(t *testing.T) {
+// Guards against several VMs that each consider themselves the first sender of a cold
+// engine, because none of them can read the owners of the open steps.
+func TestNoFirstSenderWithoutStepStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = paced(1000, 50*time.Millisecond)
@@ -27,25 +27,25 @@
 		time.Sleep(ownersSettle)
 		e := a.Roster.Service("lm")[0]
 		if first, ok := a.FirstSender(e); !first || !ok {
-			t.Fatal("the only owner has no turn")
+			t.Fatal("the only owner is not the first sender")
 		}
 		w.store.SetDown(true)
 		time.Sleep(statesFresh + time.Second)
 		if first, ok := a.FirstSender(e); first || !ok {
-			t.Error("a VM that can't read the states has the turn")
+			t.Error("a VM that can't read the states is the first sender")
 		}
 		w.store.SetDown(false)
 		time.Sleep(2 * time.Second)
 		if first, _ := a.FirstSender(e); !first {
-			t.Error("the owner has no turn after the store's return")
+			t.Error("the owner is not the first sender after the store's outage")
 		}
 	})
 }
 
-// Guards against a cold engine that more owners of new steps fill at the same moment than
-// its bound has shares for: the states of steps have been unreadable for a moment, and each
-// owner knows only of itself.
-func TestOwnersThatCantHearOfEachOtherHaveNoTurn(t *testing.T) {
+// Guards against a cold engine that gets more than its slow-start rate, because several
+// owners of new steps send to it at the same moment. This happens when the states have been
+// unreadable for a short time and each owner knows only itself.
+func TestAtMostOneFirstSenderDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3")
 		var owners []*vm
@@ -67,7 +67,7 @@
 					}
 				}
 				if firsts > 1 {
-					t.Fatalf("%d owners have the turn at %s", firsts, e.Info().ID)
+					t.Fatalf("%d owners are the first sender of %s", firsts, e.Info().ID)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -75,9 +75,9 @@
 	})
 }
 
-// Guards against two owners that use a cold engine because the one before gives its turn up
-// later than the next one takes it: it heard of the next one late.
-func TestOwnerGivesItsTurnUpBeforeTheNextTakesIt(t *testing.T) {
+// Guards against two first senders of a cold engine at the same time. This happens when
+// the previous first sender learns late of an owner that ranks before it.
+func TestFirstSenderStopsBeforeNextStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3", "e4")
 		a, b := w.start("a"), w.start("b")
@@ -86,15 +86,15 @@
 		a.note(opened("s1", "b", 1))
 		time.Sleep(2 * time.Second)
 		a.note(opened("s2", "a", 2))
-		const heardAfter = statesFresh - 100*time.Millisecond
-		time.Sleep(heardAfter)
+		const learnedAfter = statesFresh - 100*time.Millisecond
+		time.Sleep(learnedAfter)
 		b.note(opened("s2", "a", 2))
 		for range 30 {
 			for _, e := range a.Roster.Service("lm") {
 				one, _ := a.FirstSender(e)
 				other, _ := b.FirstSender(e)
 				if one && other {
-					t.Fatalf("both owners use the cold engine %s", e.Info().ID)
+					t.Fatalf("both owners are the first sender of the cold engine %s", e.Info().ID)
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -102,9 +102,9 @@
 	})
 }
 
-// Guards against an owner that loses its turn because nothing changes: it hears that at once
-// often enough.
-func TestOwnerKeepsItsTurnWhileNothingChanges(t *testing.T) {
+// Guards against an owner that stops being the first sender because no state row changes:
+// its watch calls must return often enough to keep the states fresh.
+func TestOwnerStaysFirstSenderWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1")
 		w.engines.behave[""] = paced(1000, 50*time.Millisecond)
@@ -114,16 +114,17 @@
 		time.Sleep(ownersSettle + watchWait)
 		for range 40 {
 			if first, _ := a.FirstSender(a.Roster.Service("lm")[0]); !first {
-				t.Fatal("the only owner has lost its turn")
+				t.Fatal("the only owner is no longer the first sender")
 			}
 			time.Sleep(73 * time.Millisecond)
 		}
 	})
 }
 
-// Guards against a cold engine that is given to a VM which sends it nothing, or to two: also
-// while the owners of steps that were just handed in don't know of each other.
-func TestOneOwnerOfOpenStepsUsesAColdEngine(t *testing.T) {
+// Guards against a cold engine whose first sender is a VM without items for it, or that has
+// two first senders, also while the owners of steps that were just submitted don't know of
+// each other.
+func TestColdEngineHasOneFirstSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3", "e4")
 		a, b := w.start("a"), w.start("b")
@@ -139,7 +140,7 @@
 		for _, e := range a.Roster.Service("lm") {
 			for _, vm := range []*vm{a, b} {
 				if first, _ := vm.FirstSender(e); first {
-					t.Errorf("%s, which knows only of its own new step, uses %s", vm.VM, e.Info().ID)
+					t.Errorf("%s, which knows only its own new step, is the first sender of %s", vm.VM, e.Info().ID)
 				}
 			}
 		}
@@ -148,36 +149,37 @@
 				vm.note(s)
 			}
 		}
-		// The call for changes that is under way ends, since no row was written.
+		// The pending watch call ends only by its timeout, since no row was written.
 		time.Sleep(ownersSettle + watchWait)
 		for _, e := range a.Roster.Service("lm") {
-			turns := 0
+			firsts := 0
 			for _, vm := range []*vm{a, b} {
 				if first, ok := vm.FirstSender(e); first && ok {
-					turns++
+					firsts++
 				}
 			}
-			if turns != 1 {
-				t.Errorf("%d VMs use the cold engine %s", turns, e.Info().ID)
+			if firsts != 1 {
+				t.Errorf("%d VMs are the first sender of the cold engine %s", firsts, e.Info().ID)
 			}
 		}
 	})
 }
 
-// Guards against a turn that nobody has when no step is open.
-func TestNoOwnerHasATurnWithoutOpenSteps(t *testing.T) {
+// Guards against a cold engine that no VM may use because no step is open: the caller has
+// to learn that there are no owners to choose from.
+func TestNoFirstSenderWithoutOpenSteps(t *testing.T) {
 	w := newWorld(t, "e1")
 	a := w.start("a")
 	a.statesRead.Store(time.Now().UnixNano())
 	e := a.Roster.Service("lm")[0]
 	if first, ok := a.FirstSender(e); first || ok {
-		t.Error("a VM has a turn though no step is open")
+		t.Error("an engine has a first sender though no step is open")
 	}
 }
 
-// Guards against items that start in a failure domain that is evacuated, and against a
-// step that waits for one. What runs there comes to its end.
-func TestStepGoesOnOutsideAnEvacuatedDomain(t *testing.T) {
+// Guards against items that start in an evacuated failure domain, and against a step that
+// waits for that domain. Items that run there already are not interrupted.
+func TestStepCompletesOutsideEvacuatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2")
 		w.list[2].FailureDomain = "y"
@@ -189,31 +191,31 @@
 		time.Sleep(500 * time.Millisecond)
 		a.Roster.Evacuate("y")
 		w.engines.mu.Lock()
-		before := len(w.engines.runs)
+		started := len(w.engines.runs)
 		w.engines.mu.Unlock()
 		if results := readWhole(t, a, "s"); len(results) != 40 {
 			t.Fatalf("%d results", len(results))
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
-		there := 0
+		inEvacuated := 0
 		for _, runs := range w.engines.runs {
 			if len(runs) != 1 {
 				t.Errorf("an item ran at %v", runs)
 			}
 			if runs[0] == "e2" {
-				there++
+				inEvacuated++
 			}
 		}
-		if there > before/2 {
-			t.Errorf("%d items ran in the evacuated domain, of %d that had started", there, before)
+		if inEvacuated > started/2 {
+			t.Errorf("%d items ran in the evacuated domain; only %d items had started before", inEvacuated, started)
 		}
 	})
 }
 
-// Guards against an engine that crashes under a step's first items because it has just
+// Guards against an engine that crashes under the first items of a step because it has just
 // started, and against a step that is late because it waits for engines to warm up.
-func TestStepStartsOnColdEnginesWithinTheirBound(t *testing.T) {
+func TestStepStartsOnColdEnginesWithinSlowStartRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3")
 		for i := range w.list {
@@ -235,22 +237,22 @@
 		}
 		w.engines.mu.Unlock()
 		for _, id := range []string{"e1", "e2", "e3"} {
-			// Two other VMs may have had the turn just before, and sent as much.
+			// Two other VMs may have been the first sender just before, and sent as much.
 			if n := counts[id]; n == 0 || 3*n > bound {
-				t.Errorf("%s got %d items in its first second, a third of %d is allowed to one VM", id, n, bound)
+				t.Errorf("%s got %d items in its first second; one VM may send a third of %d", id, n, bound)
 			}
 		}
 		if results := readWhole(t, a, "s"); len(results) != 60 {
 			t.Fatalf("%d results", len(results))
 		}
 		if took := time.Since(began); took > 7*time.Second {
-			t.Errorf("the step took %s", took)
+			t.Errorf("the step took %s, want at most 7 s", took)
 		}
 	})
 }
 
-// Guards against items that wait in engines' own queues because the owners of several steps
-// filled the same engines at the same moment, while other engines had room.
+// Guards against items that wait in the queues of engines because the owners of several
+// steps filled the same engines at the same moment, while other engines had free slots.
 func TestOwnersDontFillTheSameEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
@@ -259,17 +261,17 @@
 		}
 		w.engines.behave[""] = paced(20, 50*time.Millisecond)
 		a, b := w.start("a"), w.start("b")
-		of := func(id, model string) Spec {
+		withModel := func(id, model string) Spec {
 			s := spec(id)
 			s.Model = model
 			return s
 		}
-		submit(t, a, of("s0", "m"), items(1))
-		submit(t, b, of("s1", "n"), items(1))
+		submit(t, a, withModel("s0", "m"), items(1))
+		submit(t, b, withModel("s1", "n"), items(1))
 		time.Sleep(3 * time.Second)
 		began := time.Now()
-		submit(t, a, of("s2", "m"), items(24))
-		submit(t, b, of("s3", "n"), otherItems(24))
+		submit(t, a, withModel("s2", "m"), items(24))
+		submit(t, b, withModel("s3", "n"), otherItems(24))
 		time.Sleep(100 * time.Millisecond)
 		w.engines.mu.Lock()
 		at := map[string]int{}
@@ -291,12 +293,12 @@
 			}
 		}
 		if took := time.Since(began); took > 4*time.Second {
-			t.Errorf("the steps took %s", took)
+			t.Errorf("the steps took %s, want at most 4 s", took)
 		}
 	})
 }
 
-// otherItems returns items with other IDs than items does.
+// otherItems returns n items with IDs different from those of items.
 func otherItems(n int) []Item {
 	list := items(n)
 	for i := range list {
@@ -305,7 +307,7 @@
 	return list
 }
 
-// BenchmarkPool looks at the engines as each pass over the items does.
+// BenchmarkPool measures the construction of the pool that each dispatcher pass needs.
 func BenchmarkPool(b *testing.B) {
 	for _, size := range []struct{ engines, steps int }{{45, 8}, {720, 8}} {
 		b.Run(fmt.Sprintf("%d engines, %d open steps", size.engines, size.steps), func(b *testing.B) {
--- a/internal/step/use.go
+++ b/internal/step/use.go
@@ -1,20 +1,21 @@
 package step
 
-// Use is what the latest steps ask of a model.
+// Use summarizes the requirements of the known steps of a model.
 type Use struct {
-	// Steps is how many of them are known.
+	// Steps is the number of known steps.
 	Steps int
-	// Work is the expected work of the latest step, in tokens.
+	// Work is the expected number of output tokens of the latest step.
 	Work float64
-	// Behind is how far behind the version named last their oldest allowed version
-	// was, when they came.
-	Behind        int64
+	// Behind is how many versions the oldest version that the latest step allows was
+	// behind the version that the trainer had announced last when the step was submitted.
+	Behind int64
+	// SingleVersion is that of the latest step.
 	SingleVersion bool
-	// Items is the size of the largest of them.
+	// Items is the number of items of the largest known step.
 	Items int
 }
 
-// Uses returns what the steps known here ask of each model.
+// Uses returns the requirements of the steps known to this VM, by model.
 func (m *Manager) Uses() map[string]Use {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -28,7 +29,7 @@
 		u.Steps++
 		u.Items = max(u.Items, r.Total)
 		uses[r.Model] = u
-		if have, ok := latest[r.Model]; !ok || r.SubmittedAt > have.SubmittedAt {
+		if newest, ok := latest[r.Model]; !ok || r.SubmittedAt > newest.SubmittedAt {
 			latest[r.Model] = r
 		}
 	}
--- a/internal/step/world_test.go
+++ b/internal/step/world_test.go
@@ -25,7 +25,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// world is a store, engines, and VMs that share them.
+// world is a cluster for tests: VMs that share a fake store and fake engines.
 type world struct {
 	t       *testing.T
 	store   *memory.Store
@@ -36,10 +36,10 @@
 	mu   sync.Mutex
 	dead map[string]bool
 	vms  map[string]*vm
-	// preferred owns the steps of all models, if it is set.
+	// preferred, if set, is the VM that becomes the owner of all new steps.
 	preferred string
-	// domains are the failure domains of VMs that are not in "x", and configuration is the
-	// one in force.
+	// domains maps VMs that are not in failure domain "x" to their domains. configuration
+	// is the configuration of VMs that are started from now on.
 	domains       map[string]string
 	configuration *route.Snapshot
 }
@@ -50,13 +50,13 @@
 	return Process{VM: w.preferred, Life: w.preferred + "-1"}, w.preferred != ""
 }
 
-// vm is one VM's manager and the means to kill it.
+// vm is the manager of one VM, and the function that kills it.
 type vm struct {
 	*Manager
 	kill context.CancelFunc
 }
 
-// newWorld returns a world with engines of 4 slots.
+// newWorld returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
 func newWorld(t *testing.T, engineIDs ...string) *world {
 	w := &world{t: t, store: memory.New(), engines: &engines{behave: map[string]behaviour{}, runs: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*vm{}, domains: map[string]string{}, configuration: configuration(1, true)}
 	w.judge = &judgeService{engines: w.engines, calls: map[string]int{}}
@@ -67,10 +67,10 @@
 	return w
 }
 
-// start brings a VM to life for the first time.
+// start starts the first incarnation of a VM.
 func (w *world) start(name string) *vm { return w.startLife(name, name+"-1") }
 
-// startLife begins a life of a VM.
+// startLife starts an incarnation of a VM.
 func (w *world) startLife(name, life string) *vm {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
@@ -98,7 +98,7 @@
 	return v
 }
 
-// crash kills a VM without a word.
+// crash kills a VM without handing its steps over.
 func (w *world) crash(v *vm) {
 	w.mu.Lock()
 	w.dead[v.VM] = true
@@ -106,7 +106,7 @@
 	v.kill()
 }
 
-// members is the list of members as one VM sees it.
+// members is a fake member list, as seen by one VM.
 type members struct {
 	w          *world
 	self, life string
@@ -137,45 +137,49 @@
 	return rank
 }
 
-// behaviour is how an engine answers an item's run; n counts the runs of the item
-// from 1.
+// behaviour returns the reply of an engine to attempt n of an item, counted from 1 over
+// all engines.
 type behaviour func(item string, n int) reply
 
-// reply is one answer of an engine.
+// reply is an engine's response to one attempt.
 type reply struct {
 	status  int
 	notRun  bool
 	version int64
-	// events is how many events the answer holds, gap the time before each.
+	// events is the number of events of the complete text, and gap the delay before each.
 	events int
 	gap    time.Duration
-	// breakAfter, if not 0, breaks the answer off after that many events, counted
-	// from the start of the text.
+	// breakAfter, if not 0, breaks the response after that event of the text, counted
+	// from 1.
 	breakAfter int
-	// skip leaves an event out.
+	// skip, if not 0, is the number of an event that is left out.
 	skip int
-	// changeAt makes the version one higher from that event on.
+	// changeAt, if not 0, is the event from which on the weight version is one higher.
 	changeAt int
 }
 
 var good = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
 
-// paced is the behaviour of an engine that answers well, event by event.
+// paced returns the behaviour of an engine that completes each attempt, with a fixed time
+// between events.
 func paced(events int, gap time.Duration) behaviour {
 	r := good
 	r.events, r.gap = events, gap
 	return func(string, int) reply { return r }
 }
 
-// engines are all engines of a world. It implements target.Caller.
+// engines are the fake engines of a cluster. It implements target.Caller.
 type engines struct {
-	mu     sync.Mutex
+	mu sync.Mutex
+	// behave holds the behaviour of each engine; that of the empty name is the default.
 	behave map[string]behaviour
-	// runs lists the engines that each item reached.
-	runs    map[string][]string
+	// runs holds, for each item, the engines that received it, in order.
+	runs map[string][]string
+	// resumed holds the attempts that resumed a partial text.
 	resumed []string
-	active  int
-	// finished counts the whole texts that were sent of each item.
+	// active is the number of responses that are being written.
+	active int
+	// finished counts the complete texts that were sent for each item.
 	finished map[string]int
 }
 
@@ -242,7 +246,8 @@
 	_ = out.Close()
 }
 
-// configuration returns a version of the routes, with or without that of the scores.
+// configuration returns a version of the configuration, with or without the route of the
+// scoring calls.
 func configuration(version int64, scores bool) *route.Snapshot {
 	routes := []*route.Route{{
 		Name: "r", Host: "h", Prefix: "/s/", Kind: route.Steps, Split: []route.Share{{Service: "lm", Weight: 1}},
@@ -255,15 +260,15 @@
 	return route.NewSnapshot(version, routes, nil, route.Limits{}, nil, false)
 }
 
-// judgeService scores texts. It implements Scorer.
+// judgeService is a fake scoring service. It implements Scorer.
 type judgeService struct {
 	engines *engines
-	// behave answers the n-th call of an item, counted from 1; nil scores at once.
+	// behave is called for the n-th call of an item, counted from 1; nil scores immediately.
 	behave func(ctx context.Context, item string, n int) error
 
 	mu    sync.Mutex
 	calls map[string]int
-	// early lists the calls that came before the text of their item was whole.
+	// early holds the items whose scoring call came before their text was complete.
 	early []string
 }
 
@@ -294,7 +299,7 @@
 	return j.calls[item]
 }
 
-// scoredItems returns n items whose texts want a score.
+// scoredItems returns n items whose texts need a score.
 func scoredItems(n int) []Item {
 	list := items(n)
 	for i := range list {
@@ -303,7 +308,8 @@
 	return list
 }
 
-// checkScores checks that each item has its own score, given after its text.
+// checkScores checks that each item has its own score, and that no scoring call was made
+// before the text was complete.
 func (w *world) checkScores(results []Result) {
 	w.t.Helper()
 	for _, r := range results {
@@ -314,7 +320,7 @@
 	w.judge.mu.Lock()
 	defer w.judge.mu.Unlock()
 	if len(w.judge.early) > 0 {
-		w.t.Errorf("calls came before the texts of %v were whole", w.judge.early)
+		w.t.Errorf("scoring calls were made before the texts of %v were complete", w.judge.early)
 	}
 }
 
@@ -324,7 +330,7 @@
 	return len(e.runs[item])
 }
 
-// spec returns a step of the test's account.
+// spec returns a step of account acc.
 func spec(id string) Spec {
 	return Spec{ID: id, Account: "acc", Host: "h", Path: "/s/" + id, Model: "m", MinVersion: 1, RunObjective: 7 * time.Second, GiveUp: 40 * time.Second, Attempts: 3}
 }
@@ -338,7 +344,7 @@
 	return out
 }
 
-// readWhole reads a step at a VM until all its results are there.
+// readWhole reads a step from a VM until all its results are committed.
 func readWhole(t *testing.T, v *vm, id string) []Result {
 	t.Helper()
 	var all []Result
@@ -352,17 +358,17 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	t.Fatalf("%d results of step %s after 20 s or more", len(all), id)
+	t.Fatalf("only %d results of step %s after 20 s or more", len(all), id)
 	return nil
 }
 
-// checkTexts checks that each item stands once, with its whole text.
+// checkTexts checks that each item is committed at most once, with its complete text.
 func checkTexts(t *testing.T, results []Result, events int) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, r := range results {
 		if seen[r.Item] {
-			t.Errorf("item %s stands twice", r.Item)
+			t.Errorf("item %s is committed twice", r.Item)
 		}
 		seen[r.Item] = true
 		var want []string
@@ -370,14 +376,15 @@
 			want = append(want, r.Item+"-"+strconv.Itoa(n))
 		}
 		if r.Outcome != Completed || r.Text != strings.Join(want, "\n") {
-			t.Errorf("item %s is %s with the text %q", r.Item, r.Outcome, r.Text)
+			t.Errorf("item %s is %s with text %q", r.Item, r.Outcome, r.Text)
 		}
 	}
 }
 
+// bubble runs f in a synctest bubble.
 func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// noClock is the clock of a store that has never answered.
+// noClock is the clock of a store that has not answered yet.
 type noClock struct{}
 
 func (noClock) StoreNow() (int64, bool) { return 0, false }
