--- a/internal/step/accept.go
+++ b/internal/step/accept.go
@@ -81,7 +81,7 @@
 	return total
 }
 
-// behind returns how many versions a step's oldest allowed version is behind the one
+// behind returns the number of versions between a step's oldest allowed version and the one
 // that the trainer announced last.
 func (m *Manager) behind(spec Spec) int64 {
 	announced, ok := m.Named(spec.Model)
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -119,10 +119,10 @@
 	return false
 }
 
-// mayClaim reports whether the run may claim the step: this copy was submitted at least
-// claimLead before the accepted one. Only the first owner is replaced, or another early run
-// that claimed the step with far less progress: it may merely have learned of the
-// acceptance earlier.
+// mayClaim reports whether the run may claim the step: this copy was submitted early
+// enough before the accepted one. Only the first owner is replaced, or another early run that
+// claimed the step with far less progress: that one may merely have learned of the acceptance
+// earlier.
 func (e *earlyRun) mayClaim(run *run, accepted record) bool {
 	lead := time.Duration(accepted.SubmittedAt-e.state.SubmittedAt) * time.Millisecond
 	if accepted.Ended || lead < claimLead {
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -54,8 +54,7 @@
 
 // Config holds the identity and the dependencies of a manager.
 type Config struct {
-	// VM and Life identify this process: its VM and its incarnation. Domain is its
-	// failure domain.
+	// VM and Life identify this process. Domain is its failure domain.
 	VM, Life, Domain string
 	Store            kept.Store
 	Clock            kept.Clock
@@ -68,9 +67,9 @@
 	// Named returns the version of a model that its trainer announced last.
 	Named func(model string) (int64, bool)
 	// Prefer returns the process that should own the steps of a model; ok is false when
-	// no live one is known in the failure domains that the residency allows. StoreWell
-	// reports whether the store is available.
-	Prefer    func(model string, residency route.Residency) (p Process, ok bool)
+	// no live one is known in the failure domains that the residency allows.
+	Prefer func(model string, residency route.Residency) (p Process, ok bool)
+	// StoreWell reports whether the store is available.
 	StoreWell func() bool
 	Calls     *budget.Budget
 	// Keep is how long ended steps remain readable after their submission.
@@ -82,8 +81,7 @@
 	Config
 	wake  chan struct{}
 	lanes *scoring.Lanes
-	// look notifies the takeover loop to look for steps to take over without waiting for
-	// its next tick.
+	// look notifies the takeover loop, without waiting for its next tick.
 	look chan struct{}
 	// statesRead is when the state rows were last read, in Unix nanoseconds.
 	statesRead atomic.Int64
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -25,11 +25,12 @@
 )
 
 const (
-	// matrixItems is the number of submitted items. matrixLate is the delay of a late
-	// effect, and matrixFault the duration of other faults: longer than it takes until an
-	// unresponsive VM is no longer considered alive.
+	// matrixItems is the number of submitted items.
 	matrixItems = 6
-	matrixLate  = 5 * time.Second
+	// matrixLate is the delay of a late effect.
+	matrixLate = 5 * time.Second
+	// matrixFault is the duration of other faults: longer than it takes until an
+	// unresponsive VM is no longer considered alive.
 	matrixFault = 4 * time.Second
 	// matrixTime is the timeout of each phase of a case with two faults.
 	matrixTime = 60 * time.Second
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -44,11 +44,11 @@
 	// SubmittedAt is when the step was submitted, in milliseconds of the store's clock.
 	SubmittedAt int64 `json:"submittedAt"`
 	// RunObjective is the time after submission within which the step should be
-	// complete. GiveUp is the time after submission from which its items may be
-	// abandoned.
+	// complete.
 	RunObjective time.Duration `json:"runObjective"`
-	GiveUp       time.Duration `json:"giveUp"`
-	Attempts     int           `json:"attempts"`
+	// GiveUp is the time after submission from which the items may be abandoned.
+	GiveUp   time.Duration `json:"giveUp"`
+	Attempts int           `json:"attempts"`
 	// SingleVersion requires each sample to come from a single weight version.
 	SingleVersion bool `json:"singleVersion,omitempty"`
 }
@@ -71,9 +71,9 @@
 type State struct {
 	Spec
 	Total int `json:"total"`
-	// Owner and OwnerLife are the VM and incarnation of the process that runs the
-	// step. Both are empty after that process has handed the step over.
-	Owner     string `json:"owner,omitempty"`
+	// Owner is the VM that runs the step; empty after the VM has handed the step over.
+	Owner string `json:"owner,omitempty"`
+	// OwnerLife is the incarnation of the owner's process; empty when Owner is.
 	OwnerLife string `json:"ownerLife,omitempty"`
 	// Epoch is the number of the current owner, counted from 1.
 	Epoch int `json:"epoch"`
--- a/internal/step/text.go
+++ b/internal/step/text.go
@@ -15,17 +15,20 @@
 	// textTable holds the texts of unfinished items. The partition is the step's ID, the
 	// row name the item's ID.
 	textTable = "step_texts"
-	// saveEvery is the interval at which the texts of long items are saved, and saveEvents
-	// the minimum number of new events for saving a text. When an owner is lost, its items
-	// then lose only the events since the last save instead of their complete texts.
-	saveEvery  = 800 * time.Millisecond
+	// saveEvery is the interval at which the texts of long items are saved. When an owner
+	// is lost, its items then lose only the events since the last save instead of their
+	// complete texts.
+	saveEvery = 800 * time.Millisecond
+	// saveEvents is the minimum number of new events for saving a text.
 	saveEvents = 12
-	// saveTimeout is the timeout of one save, and saveBytes its maximum size.
+	// saveTimeout is the timeout of one save.
 	saveTimeout = time.Second
-	saveBytes   = 300 << 10
+	// saveBytes is the maximum size of one save.
+	saveBytes = 300 << 10
 	// carryLife is the TTL of the texts that are retained from stopped runs for later
-	// steps, and carryBytes the maximum size of all of them.
-	carryLife  = 20 * time.Second
+	// steps.
+	carryLife = 20 * time.Second
+	// carryBytes is the maximum total size of these texts.
 	carryBytes = 2 << 20
 )
 
@@ -33,15 +36,15 @@
 // because their existing elements never change.
 type partial struct {
 	data [][]byte
-	// last is the ID of the last event, if any is true.
+	// last is the ID of the newest event, if the text has one.
 	last     int64
 	any      bool
 	versions []int64
 	// whole is true when the text is complete and needs no further attempt.
 	whole bool
-	// saved is the ID of the last event that was saved. savedWhole is true once the
-	// complete text was saved.
-	saved      int64
+	// saved is the ID of the newest event at the last attempt to save the text.
+	saved int64
+	// savedWhole is true once a save of the complete text was attempted.
 	savedWhole bool
 }
 
@@ -115,9 +118,9 @@
 	}
 }
 
-// grown returns, by index of the item, the texts that since their last save have grown by
-// at least the given number of events, became complete, or belong to items that failed. It
-// marks them as saved. A text whose save fails is saved again once it qualifies anew.
+// grown returns, by index of the item, the texts that since their last save got at least the
+// given number of events, became complete, or belong to items that failed. It marks them as
+// saved. A text whose save fails is saved again once it qualifies anew.
 func (r *run) grown(events int64) map[int]savedText {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -169,7 +172,7 @@
 	return &carried{texts: make(map[string]savedText), at: make(map[string]time.Time)}
 }
 
-// put adds the texts of a run, up to the size limit, and evicts expired ones.
+// put stores the texts of a run, up to the size limit, and evicts expired ones.
 func (c *carried) put(account string, texts map[string]savedText, now time.Time) {
 	for id, at := range c.at {
 		if now.Sub(at) > carryLife {
@@ -193,7 +196,7 @@
 	delete(c.at, id)
 }
 
-// of returns the texts that are retained for the items of a step.
+// of returns the retained texts for the given items, by item ID.
 func (c *carried) of(account string, items []Item) map[string]savedText {
 	found := make(map[string]savedText)
 	for _, item := range items {
--- a/internal/step/turn.go
+++ b/internal/step/turn.go
@@ -41,11 +41,12 @@
 	return all
 }
 
-// fewSenders is the number of senders up to which firstOf allocates no memory.
+// fewSenders is the number of open steps up to which the choice of a first sender allocates
+// no memory.
 const fewSenders = 16
 
-// firstOf returns the VM that ranks first for an engine among the senders that it can
-// serve; ok is false when there are none.
+// firstOf returns the VM that ranks first for an engine among the owners of the steps that
+// the engine can serve; ok is false when there are none.
 func firstOf(all []sender, e *target.Entry) (vm string, ok bool) {
 	var buf [fewSenders]string
 	eligible := buf[:0]
@@ -77,9 +78,9 @@
 
 // FirstSender reports whether this VM is the first sender of an engine: whether it ranks
 // first for the engine among the owners of the open steps that the engine can serve. ok is
-// false when there are no such steps, and true when the states are too old to tell. A VM that can't read the state rows is never first:
-// each VM would otherwise consider only the owners that it knows, often just itself, and
-// several VMs would be first.
+// false when there are no such steps, and true when the states are too old to tell. A VM
+// that can't read the state rows is never first: each VM would otherwise consider only the
+// owners that it knows, often just itself, and several VMs would be first.
 func (m *Manager) FirstSender(e *target.Entry) (first, ok bool) {
 	now := time.Now()
 	age := time.Duration(now.UnixNano() - m.statesRead.Load())
@@ -129,8 +130,8 @@
 // others returns the engines for which another VM that owns an open step ranks first.
 //
 // It matters when trainers submit their steps at the same moment. Engines that have just
-// started have the newest version of every model, and no owner sees yet what the others
-// send. All owners would fill the same engines, and most items would wait in the queues of
+// started have the newest version of every model, and no owner sees yet what another one
+// sends. All owners would fill the same engines, and most items would wait in the queues of
 // these engines.
 func (m *Manager) others(engines []*target.Entry) map[*target.Entry]bool {
 	all := m.senders()
--- a/internal/step/world_test.go
+++ b/internal/step/world_test.go
@@ -25,7 +25,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// world is a cluster for tests: VMs that share a fake store and fake engines.
+// world holds the VMs of a test, which share a fake store, fake engines and a fake scorer.
 type world struct {
 	t       *testing.T
 	store   *memory.Store
@@ -168,7 +168,7 @@
 	return func(string, int) reply { return r }
 }
 
-// engines are the fake engines of a cluster. It implements target.Caller.
+// engines simulates the upstreams of a test. It implements target.Caller.
 type engines struct {
 	mu sync.Mutex
 	// behave holds the behaviour of each engine; that of the empty name is the default.
