--- a/internal/loading/loader.go
+++ b/internal/loading/loader.go
@@ -18,84 +18,87 @@
 )
 
 const (
-	// table tells all VMs which engines load and have loaded what, earlier than the
-	// platform's list does.
+	// table is the table of the store in which the loaders publish weight loads in
+	// progress and done. The platform's list of upstreams shows them later.
 	table = "loaded"
-	// period is the time between two looks at the engines.
-	period = 100 * time.Millisecond
-	// orderTimeout bounds one order, and so how long a new holder waits before
-	// its first one.
+	// planInterval is the time between two searches for weight loads that are due.
+	planInterval = 100 * time.Millisecond
+	// orderTimeout is the timeout of one order. A new lease holder waits at least
+	// that long before its first order.
 	orderTimeout = 800 * time.Millisecond
-	// reportTimeout bounds one look at an engine's state.
+	// reportTimeout is the timeout of one read of an engine's state.
 	reportTimeout = 500 * time.Millisecond
-	// loadTime is how long a load takes when few engines load at once, and
-	// loadLimit when it counts as failed.
-	loadTime  = 900 * time.Millisecond
-	loadLimit = 5 * time.Second
-	// lookEvery is the period of looking whether a load is done.
-	lookEvery = 150 * time.Millisecond
-	// watchWait bounds one call for changes, and followPace is the least time between
-	// two, of a small fleet.
-	watchWait  = 2 * time.Second
-	followPace = 100 * time.Millisecond
+	// expectedLoadTime is how long a weight load takes while few engines load at
+	// once. After loadTimeout a weight load counts as failed.
+	expectedLoadTime = 900 * time.Millisecond
+	loadTimeout      = 5 * time.Second
+	// loadPollInterval is the interval of polling an engine for the end of a load.
+	loadPollInterval = 150 * time.Millisecond
+	// pollTimeout is the timeout of one long poll for changes of the table.
+	// minPollInterval is the shortest time between two polls; the budget of calls to
+	// the store makes it longer in a large fleet.
+	pollTimeout     = 2 * time.Second
+	minPollInterval = 100 * time.Millisecond
 )
 
-// Report is what an engine says of its orders.
+// Report is the state of an engine as the engine reports it.
 type Report struct {
-	// Sequence is the number of orders that it accepted in this life.
+	// Sequence is the number of orders that the engine accepted in this incarnation.
 	Sequence int64
-	// Busy is true while an order is carried out.
-	Busy     bool
+	// Busy reports whether the engine is executing an order.
+	Busy bool
+	// Versions holds the loaded version of each model.
 	Versions map[string]int64
 }
 
-// Reply is an engine's answer to an order.
+// Reply is an engine's reply to an order.
 type Reply int
 
-// The answers to an order.
+// The replies to an order.
 const (
-	// Accepted orders are being carried out.
+	// Accepted means that the engine executes the order.
 	Accepted Reply = iota
-	// Holds says that the engine has the version already.
+	// Holds means that the engine already has the version.
 	Holds
-	// Moved says that another order came first; the state must be read again.
+	// Moved means that the engine's sequence number is not the expected one, since it
+	// accepted another order first. Its state must be read again.
 	Moved
-	// Rejected says that the order can't be carried out.
+	// Rejected means that the engine can't execute the order.
 	Rejected
 )
 
-// Command is one order as an engine gets it.
+// Command is one order as it is sent to an engine.
 type Command struct {
 	Model   string
 	Version int64
-	// KeepRunning lets running requests go on under the new weights; otherwise
+	// KeepRunning lets running requests continue with the new weights. Without it
 	// the engine finishes them first.
 	KeepRunning bool
 	Holder      string
 	Epoch       uint64
-	// Expected is the Sequence at which the order is meant: an order that is
-	// carried out late, behind a newer one, then has no effect.
+	// Expected is the engine's sequence number that the order requires. An order
+	// that arrives after a newer one was accepted therefore has no effect.
 	Expected int64
 }
 
-// Engines is the port of the engines' control. Failures are
-// *fault.UpstreamFailed; an order that failed may still be carried out.
+// Engines sends requests to the control interface of the engines. Errors are
+// *fault.UpstreamFailed; an order that failed may still be executed later.
 type Engines interface {
 	Report(ctx context.Context, e *target.Entry) (Report, error)
 	Order(ctx context.Context, e *target.Entry, command Command) (Reply, error)
 }
 
-// Demands tells what is asked of the models, in a fixed order.
+// Demands reports the demand for the models, in a fixed order.
 type Demands interface {
 	// Models returns the demands on the engines of a service.
 	Models(service string) []Demand
-	// KeepRunning tells whether texts of a model may hold several versions.
+	// KeepRunning reports whether a text of a model may span several versions.
 	KeepRunning(model string) bool
 	// EngineServices returns the services with model engines.
 	EngineServices() []string
 }
 
-// Loader gives the orders of one failure domain while it holds the lease.
+// Loader orders the weight loads of one failure domain while it holds the lease.
 type Loader struct {
 	VM      string
 	Domain  string
@@ -106,34 +109,37 @@
 	Events  *event.Recorder
 	Leases  *lease.Manager
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// busy holds the engines with a load in progress.
 	busy map[*target.Entry]bool
-	rest map[*target.Entry]time.Time
+	// suspectUntil holds the end of the backoff after an engine's last failed load.
+	suspectUntil map[*target.Entry]time.Time
 }
 
-// leaseDuty names the leases of loaders.
+// leaseDuty is the duty in the names of the loaders' leases.
 const leaseDuty = "weights"
 
 // Run campaigns for the lease of the failure domain until ctx ends.
 func (l *Loader) Run(ctx context.Context) {
 	l.busy = make(map[*target.Entry]bool)
-	l.rest = make(map[*target.Entry]time.Time)
-	l.Leases.Serve(ctx, lease.InDomain(leaseDuty, l.Domain), l.hold)
+	l.suspectUntil = make(map[*target.Entry]time.Time)
+	l.Leases.Serve(ctx, lease.InDomain(leaseDuty, l.Domain), l.serveTerm)
 }
 
-// hold gives orders while the lease is held. It waits first: an order of the
-// earlier holder may be on its way, and these engines don't compare epochs.
-func (l *Loader) hold(ctx context.Context, guard lease.Guard) error {
+// serveTerm orders weight loads during one lease term, until ctx ends. It first waits
+// for the grace period of the lease: an order of the previous holder may still arrive,
+// and these engines don't compare epochs.
+func (l *Loader) serveTerm(ctx context.Context, guard lease.Guard) error {
 	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
 		return err
 	}
-	ticker := time.NewTicker(period)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	var loads sync.WaitGroup
 	defer loads.Wait()
 	for {
 		for _, service := range l.Demands.EngineServices() {
-			l.orderDue(ctx, guard, service, &loads)
+			l.startDueLoads(ctx, guard, service, &loads)
 		}
 		select {
 		case <-ctx.Done():
@@ -143,16 +149,16 @@
 	}
 }
 
-// orderDue begins the loads of a service that are due.
-func (l *Loader) orderDue(ctx context.Context, guard lease.Guard, service string, loads *sync.WaitGroup) {
+// startDueLoads starts the weight loads of a service that are due.
+func (l *Loader) startDueLoads(ctx context.Context, guard lease.Guard, service string, loads *sync.WaitGroup) {
 	demands := l.Demands.Models(service)
-	engines, before := l.domainEngines(service)
+	engines, preceding := l.domainEngines(service)
 	if len(demands) == 0 || len(engines) == 0 {
 		return
 	}
 	busy := l.busyEngines(engines)
-	limit := atOnce(len(engines)) - l.countLoading()
-	for _, order := range next(engines, demands, counts(demands, before, len(engines)), busy, limit) {
+	limit := maxConcurrentLoads(len(engines)) - l.countLoading()
+	for _, order := range planLoads(engines, demands, engineCounts(demands, preceding, len(engines)), busy, limit) {
 		l.setBusy(order.Engine, true)
 		loads.Go(func() {
 			defer l.setBusy(order.Engine, false)
@@ -161,28 +167,29 @@
 	}
 }
 
-// domainEngines returns the listed engines of the failure domain, and how many
-// the domains in front of it have.
-func (l *Loader) domainEngines(service string) (mine []*target.Entry, before int) {
+// domainEngines returns the usable engines of the failure domain, ordered by ID, and
+// the number of engines in the failure domains with smaller names.
+func (l *Loader) domainEngines(service string) (engines []*target.Entry, preceding int) {
 	for _, e := range l.Roster.Usable(service, time.Now()) {
 		switch domain := e.Info().FailureDomain; {
 		case domain == l.Domain:
-			mine = append(mine, e)
+			engines = append(engines, e)
 		case domain < l.Domain:
-			before++
+			preceding++
 		}
 	}
-	sort.Slice(mine, func(i, j int) bool { return mine[i].Info().ID < mine[j].Info().ID })
-	return mine, before
+	sort.Slice(engines, func(i, j int) bool { return engines[i].Info().ID < engines[j].Info().ID })
+	return engines, preceding
 }
 
+// busyEngines returns those of engines that have a load in progress or are suspect.
 func (l *Loader) busyEngines(engines []*target.Entry) map[*target.Entry]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	out := make(map[*target.Entry]bool)
 	for _, e := range engines {
-		if l.busy[e] || now.Before(l.rest[e]) {
+		if l.busy[e] || now.Before(l.suspectUntil[e]) {
 			out[e] = true
 		}
 	}
@@ -205,25 +212,25 @@
 	delete(l.busy, e)
 }
 
-func (l *Loader) restEngine(e *target.Entry) {
+func (l *Loader) markSuspect(e *target.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rest[e] = time.Now().Add(suspectFor)
+	l.suspectUntil[e] = time.Now().Add(suspectBackoff)
 }
 
-// load brings one engine to a version: it reads the engine's state, orders the
-// load for just that state, and looks until the version is there. An order
-// without an answer may be carried out seconds later. It is repeated for the same
-// state: whichever copy comes first moves the engine's sequence on, and the
-// others are refused.
+// load brings one engine to a version: it reads the engine's state, sends the order
+// with the sequence number just read, and polls until the engine has the version. An
+// order without an answer may be executed seconds later. It is sent again with the
+// same sequence number: the first copy that the engine accepts raises the number,
+// and the engine refuses the other copies.
 func (l *Loader) load(ctx context.Context, guard lease.Guard, order Order) {
-	ctx, cancel := context.WithTimeout(ctx, loadLimit)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	subject := event.Subject{Upstream: order.Engine.Info().ID, Epoch: guard.Epoch(), Count: order.Version, Detail: order.Model}
 	for ctx.Err() == nil && !l.Roster.Evacuated(l.Domain) {
 		report, err := l.report(ctx, order.Engine)
 		if err != nil {
-			l.restEngine(order.Engine)
+			l.markSuspect(order.Engine)
 			l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": "+err.Error()))
 			return
 		}
@@ -234,7 +241,7 @@
 			return
 		}
 		if report.Busy {
-			wait.For(ctx, lookEvery)
+			wait.For(ctx, loadPollInterval)
 			continue
 		}
 		reply, err := l.order(ctx, guard, order, report.Sequence)
@@ -242,19 +249,19 @@
 			return
 		}
 		if err == nil && reply == Rejected {
-			l.restEngine(order.Engine)
+			l.markSuspect(order.Engine)
 			l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": rejected"))
 			return
 		}
 		if err == nil && reply == Accepted {
 			l.Events.Emit(event.OrderGiven, subject)
-			order.Engine.NoteSwap(order.Model, time.Now().Add(loadTime))
+			order.Engine.NoteSwap(order.Model, time.Now().Add(expectedLoadTime))
 			l.publish(ctx, order, true)
-			wait.For(ctx, loadTime)
+			wait.For(ctx, expectedLoadTime)
 		}
-		wait.For(ctx, lookEvery)
+		wait.For(ctx, loadPollInterval)
 	}
-	l.restEngine(order.Engine)
+	l.markSuspect(order.Engine)
 	l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": not done in time"))
 }
 
@@ -291,21 +298,21 @@
 	}
 }
 
-// notice is what the row of an engine's model says.
-type notice struct {
+// loadRecord is the value of the row for one model of an engine.
+type loadRecord struct {
 	Upstream string `json:"upstream"`
 	Started  int64  `json:"started"`
 	Model    string `json:"model"`
 	Version  int64  `json:"version"`
-	// Loading is true from the order on until the version is there.
+	// Loading is true from the order until the engine has the version.
 	Loading bool `json:"loading,omitempty"`
 }
 
-// publish tells the other VMs. A failure costs time only: they learn it from the
-// platform's list.
+// publish writes a weight load to the store, where the other VMs read it. A failure
+// only delays them until the platform's list shows the load.
 func (l *Loader) publish(ctx context.Context, order Order, loading bool) {
 	info := order.Engine.Info()
-	value, err := json.Marshal(notice{Upstream: info.ID, Started: info.Started, Model: order.Model, Version: order.Version, Loading: loading})
+	value, err := json.Marshal(loadRecord{Upstream: info.ID, Started: info.Started, Model: order.Model, Version: order.Version, Loading: loading})
 	if err == nil {
 		key := kept.Key{Table: table, Part: l.Domain, Name: info.ID + "/" + order.Model}
 		_, err = l.Store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: value}}})
@@ -315,40 +322,40 @@
 	}
 }
 
-// Follow takes what the loaders of all failure domains publish into the roster,
-// until ctx ends.
+// Follow watches the weight loads that the loaders of all failure domains publish and
+// records them in the roster, until ctx ends. It calls changed after each update.
 func Follow(ctx context.Context, store kept.Store, roster *target.Roster, calls *budget.Budget, events *event.Recorder, changed func()) {
 	apply := func(rows []kept.Row) {
 		for _, row := range rows {
 			if !row.Deleted {
-				take(row, roster, events)
+				applyRow(row, roster, events)
 			}
 		}
 		changed()
 	}
-	pace := func() time.Duration { return calls.Period(budget.Loads, followPace) }
-	retry := func() time.Duration { return calls.Retry(budget.Loads, followPace) }
+	pollInterval := func() time.Duration { return calls.Period(budget.Loads, minPollInterval) }
+	retryBackoff := func() time.Duration { return calls.Retry(budget.Loads, minPollInterval) }
 	watcher := kept.Watcher{
-		Store: store, Table: table, AllParts: true, Wait: watchWait, Replace: apply, Apply: apply, Pace: pace, Retry: retry,
+		Store: store, Table: table, AllParts: true, Wait: pollTimeout, Replace: apply, Apply: apply, Pace: pollInterval, Retry: retryBackoff,
 		Lost: events.Lost("loads of weights"), Regained: events.Regained("loads of weights"),
 	}
 	watcher.Run(ctx)
 }
 
-func take(row kept.Row, roster *target.Roster, events *event.Recorder) {
-	var n notice
-	if err := json.Unmarshal(row.Value, &n); err != nil {
+func applyRow(row kept.Row, roster *target.Roster, events *event.Recorder) {
+	var record loadRecord
+	if err := json.Unmarshal(row.Value, &record); err != nil {
 		events.Emit(event.RowUnreadable, event.Subject{Detail: row.String()})
 		return
 	}
-	e := roster.Life(n.Upstream, n.Started)
+	e := roster.Life(record.Upstream, record.Started)
 	if e == nil {
 		return
 	}
-	if n.Loading {
-		e.NoteSwap(n.Model, time.Now().Add(loadTime))
+	if record.Loading {
+		e.NoteSwap(record.Model, time.Now().Add(expectedLoadTime))
 		return
 	}
-	e.NoteSwap(n.Model, time.Time{})
-	e.NoteVersion(n.Model, n.Version)
+	e.NoteSwap(record.Model, time.Time{})
+	e.NoteVersion(record.Model, record.Version)
 }
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -1,12 +1,12 @@
-// Package loading moves the engines to the versions of weights that trainers
-// name. One VM of a failure domain at a time gives the orders there, under a
-// lease, so that an engine hears one voice.
+// Package loading brings the engines to the weight versions that trainers announce.
+// Under a lease, one VM at a time sends the orders of a failure domain, so that each
+// engine gets orders from a single sender.
 //
-// With several models on each engine and a version every few seconds, not every
-// engine can follow every version: a load takes 0.9 s during which the engine
-// takes no requests of that model. So each model gets a share of the engines by
-// its demand, and of that share only half follows at once. The other half still
-// has the version before, which steps allow, and follows with the next version.
+// With several models on each engine and a new version every few seconds, not every
+// engine can load every version: a weight load takes 0.9 s, during which the engine
+// takes no requests of that model. Each model therefore gets a share of the engines by
+// its demand, and only half of that share loads a version. The other half still has
+// the version before, which steps allow, and loads the next version.
 package loading
 
 import (
@@ -18,22 +18,23 @@
 	"dogwoodpond/internal/target"
 )
 
-// Demand is what is asked of one model.
+// Demand is the demand for one model.
 type Demand struct {
 	Model string
-	// Named is the version that its trainer named last.
+	// Named is the announced version: the latest version that the model's trainer asked for.
 	Named int64
-	// Slack is how many versions behind the named one a step may still use.
+	// Slack is how many versions older than the announced one a step may still use.
 	Slack int64
-	// Work is the expected work of its latest steps, in tokens; only the ratio
-	// between models counts.
+	// Work is the expected output of the model's latest steps, in tokens; only the
+	// ratio between models matters.
 	Work float64
 }
 
-// leastShare keeps a model with little demand from losing every engine.
-const leastShare = 0.15
+// minShare is the smallest share of a model, before all shares are divided by their sum.
+// It prevents a model with little demand from losing all of its engines.
+const minShare = 0.15
 
-// shares returns each model's part of the engines; they add up to 1.
+// shares returns the share of the engines for each model. The sum is 1.
 func shares(demands []Demand) []float64 {
 	total := 0.0
 	for _, d := range demands {
@@ -44,7 +45,7 @@
 	for i, d := range demands {
 		out[i] = 1 / float64(len(demands))
 		if total > 0 {
-			out[i] = math.Max(d.Work/total, leastShare)
+			out[i] = math.Max(d.Work/total, minShare)
 		}
 		sum += out[i]
 	}
@@ -54,31 +55,33 @@
 	return out
 }
 
-// counts deals the engines of one failure domain out to the models. before is
-// how many engines the domains in front of it have: rounding goes on from there,
-// so that over all domains each model gets its share, not each time the same one
-// the odd engine.
-func counts(demands []Demand, before, engines int) []int {
-	part := shares(demands)
+// engineCounts distributes the engines of one failure domain over the models and
+// returns the number for each. preceding is the number of engines in the failure
+// domains with smaller names. Rounding continues over all failure domains, so that each
+// model gets its share of all engines; rounding in each domain alone would give the
+// remainder to the same model every time.
+func engineCounts(demands []Demand, preceding, engines int) []int {
+	modelShares := shares(demands)
 	out := make([]int, len(demands))
-	upTo := func(total, i int) int {
+	// firstModels returns how many of total engines the first i models get.
+	firstModels := func(total, i int) int {
 		sum := 0.0
-		for _, s := range part[:i] {
+		for _, s := range modelShares[:i] {
 			sum += s
 		}
 		return int(math.Round(sum * float64(total)))
 	}
 	for i := range demands {
-		all := upTo(before+engines, i+1) - upTo(before+engines, i)
-		earlier := upTo(before, i+1) - upTo(before, i)
-		out[i] = all - earlier
+		through := firstModels(preceding+engines, i+1) - firstModels(preceding+engines, i)
+		earlier := firstModels(preceding, i+1) - firstModels(preceding, i)
+		out[i] = through - earlier
 	}
-	return level(out, engines)
+	return correctRounding(out, engines)
 }
 
-// level mends what rounding left: no negative counts, and the sum as it should
-// be; with enough engines, one for each model.
-func level(out []int, engines int) []int {
+// correctRounding removes negative counts, gives each model at least one engine if
+// there are enough, and makes the sum equal to engines.
+func correctRounding(out []int, engines int) []int {
 	least := 0
 	if engines >= len(out) {
 		least = 1
@@ -89,37 +92,38 @@
 		sum += out[i]
 	}
 	for sum != engines && len(out) > 0 {
-		at, step := extreme(out, sum > engines), 1
+		index, step := indexOfExtreme(out, sum > engines), 1
 		if sum > engines {
 			step = -1
 		}
-		out[at] += step
+		out[index] += step
 		sum += step
 	}
 	return out
 }
 
-func extreme(values []int, largest bool) int {
-	at := 0
+func indexOfExtreme(values []int, largest bool) int {
+	index := 0
 	for i, v := range values {
-		if largest && v > values[at] || !largest && v < values[at] {
-			at = i
+		if largest && v > values[index] || !largest && v < values[index] {
+			index = i
 		}
 	}
-	return at
+	return index
 }
 
-// assign deals engines out to models. An engine keeps the model that it follows
-// already if that model still has room: a change costs a load.
-func assign(engines []*target.Entry, demands []Demand, wanted []int) map[*target.Entry]string {
-	left := make(map[string]int, len(demands))
+// assignEngines assigns a model to each engine, counts[i] engines to the model of
+// demands[i]. The engines with the newest weights of a model are assigned to it first,
+// since another assignment costs a weight load.
+func assignEngines(engines []*target.Entry, demands []Demand, counts []int) map[*target.Entry]string {
+	remaining := make(map[string]int, len(demands))
 	for i, d := range demands {
-		left[d.Model] = wanted[i]
+		remaining[d.Model] = counts[i]
 	}
 	type candidate struct {
 		engine *target.Entry
 		model  string
-		behind int64
+		lag    int64
 	}
 	var candidates []candidate
 	for _, e := range engines {
@@ -127,41 +131,42 @@
 			candidates = append(candidates, candidate{e, d.Model, d.Named - e.Version(d.Model)})
 		}
 	}
-	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].behind < candidates[j].behind })
+	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].lag < candidates[j].lag })
 	out := make(map[*target.Entry]string, len(engines))
 	for _, c := range candidates {
-		if _, taken := out[c.engine]; !taken && left[c.model] > 0 {
+		if _, taken := out[c.engine]; !taken && remaining[c.model] > 0 {
 			out[c.engine] = c.model
-			left[c.model]--
+			remaining[c.model]--
 		}
 	}
 	return out
 }
 
-// Order is one load to be ordered.
+// Order is a weight load that is due.
 type Order struct {
 	Engine  *target.Entry
 	Model   string
 	Version int64
 }
 
-// next returns the loads that should begin now, at most limit, leaving out the
-// engines that are busy. Engines too old for the next step come first, one of each
-// model before the second of any: a model with a single usable engine can at least
-// begin its step. Then a model's engines follow until half have the named version.
-func next(engines []*target.Entry, demands []Demand, wanted []int, busy map[*target.Entry]bool, limit int) []Order {
-	assigned := assign(engines, demands, wanted)
-	var due []ranked
+// planLoads returns at most limit weight loads that should start now. counts[i] is the
+// number of engines for the model of demands[i]. Busy engines get no load and count as
+// up to date. Engines that are too old for the next step come first, one of each model
+// before the second of any, so that a model with a single usable engine can at least begin
+// its step. The other loads follow until half of a model's engines have the announced version.
+func planLoads(engines []*target.Entry, demands []Demand, counts []int, busy map[*target.Entry]bool, limit int) []Order {
+	assigned := assignEngines(engines, demands, counts)
+	var due []rankedLoad
 	for _, d := range demands {
-		var mine []*target.Entry
+		var modelEngines []*target.Entry
 		for _, e := range engines {
 			if assigned[e] == d.Model {
-				mine = append(mine, e)
+				modelEngines = append(modelEngines, e)
 			}
 		}
-		due = append(due, dueOf(d, mine, busy)...)
+		due = append(due, dueLoads(d, modelEngines, busy)...)
 	}
-	sort.SliceStable(due, func(i, j int) bool { return due[i].before(due[j]) })
+	sort.SliceStable(due, func(i, j int) bool { return due[i].precedes(due[j]) })
 	var orders []Order
 	for _, r := range due[:min(len(due), max(limit, 0))] {
 		orders = append(orders, r.Order)
@@ -169,48 +174,49 @@
 	return orders
 }
 
-// ranked is a load with what decides when its turn is.
-type ranked struct {
+// rankedLoad is a weight load with the properties that decide its rank.
+type rankedLoad struct {
 	Order
-	// urgent loads bring an engine back to its model's steps.
+	// urgent means that the engine is too old for the next step of its model.
 	urgent bool
-	// usable is how many engines the model's next step has before this load.
+	// usable is the number of engines that the model's next step can use without this
+	// load.
 	usable int
 }
 
-func (r ranked) before(other ranked) bool {
+func (r rankedLoad) precedes(other rankedLoad) bool {
 	if r.urgent != other.urgent {
 		return r.urgent
 	}
 	return r.usable < other.usable
 }
 
-// dueOf returns the loads that are due on the engines of one model.
-func dueOf(d Demand, mine []*target.Entry, busy map[*target.Entry]bool) []ranked {
-	ahead, usable := 0, 0
-	for _, e := range mine {
+// dueLoads returns the weight loads that are due on the engines of one model.
+func dueLoads(d Demand, engines []*target.Entry, busy map[*target.Entry]bool) []rankedLoad {
+	upToDate, usable := 0, 0
+	for _, e := range engines {
 		version := e.Version(d.Model)
 		if busy[e] || version >= d.Named {
-			ahead++
+			upToDate++
 		}
 		if busy[e] || version >= d.Named-d.Slack {
 			usable++
 		}
 	}
-	mine = slices.Clone(mine)
-	sort.SliceStable(mine, func(i, j int) bool { return mine[i].Version(d.Model) < mine[j].Version(d.Model) })
-	var due []ranked
-	for _, e := range mine {
+	engines = slices.Clone(engines)
+	sort.SliceStable(engines, func(i, j int) bool { return engines[i].Version(d.Model) < engines[j].Version(d.Model) })
+	var due []rankedLoad
+	for _, e := range engines {
 		version := e.Version(d.Model)
 		if busy[e] || version >= d.Named || !e.Listed() {
 			continue
 		}
 		urgent := version < d.Named-d.Slack
-		if !urgent && ahead >= (len(mine)+1)/2 {
+		if !urgent && upToDate >= (len(engines)+1)/2 {
 			continue
 		}
-		due = append(due, ranked{Order{Engine: e, Model: d.Model, Version: d.Named}, urgent, usable})
-		ahead++
+		due = append(due, rankedLoad{Order{Engine: e, Model: d.Model, Version: d.Named}, urgent, usable})
+		upToDate++
 		if urgent {
 			usable++
 		}
@@ -218,10 +224,10 @@
 	return due
 }
 
-// atOnce returns how many engines of a failure domain may load at a time. Loads
-// slow each other down from some number in the whole fleet on, which grows with
-// the fleet: 2 of 11 engines, 9 of 45.
-func atOnce(engines int) int { return max(1, (engines+2)/5) }
+// maxConcurrentLoads returns how many engines of a failure domain may load at once.
+// Beyond some number of loads in the whole fleet, loads slow each other down. That
+// number grows with the fleet: 2 of 11 engines, 9 of 45.
+func maxConcurrentLoads(engines int) int { return max(1, (engines+2)/5) }
 
-// suspectFor is how long an engine that did not take an order is left alone.
-const suspectFor = time.Second
+// suspectBackoff is the time without new orders for an engine after a failed load.
+const suspectBackoff = time.Second
--- a/internal/supply/orderer.go
+++ b/internal/supply/orderer.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// period is the time between two looks at the need.
-	period = 500 * time.Millisecond
-	// orderTimeout bounds one order, and so how long a new holder waits before its
-	// first one. The platform answers within it also when it is slow.
+	// planInterval is the time between two comparisons of the orders with the desired
+	// counts.
+	planInterval = 500 * time.Millisecond
+	// orderTimeout is the timeout of one order. A new lease holder waits at least that
+	// long before its first order. A slow platform still answers within it.
 	orderTimeout = 800 * time.Millisecond
-	// retryPause is the pause after an order that was not answered, or that the
-	// platform could not carry out: upstreams that were reclaimed are to be had
-	// again some seconds later.
-	retryPause = 2 * time.Second
-	// repeatEvery repeats an order that was carried out. A copy of an earlier one
-	// that was delayed on the way may come behind it and undo it unseen.
-	repeatEvery = 10 * time.Second
+	// retryBackoff is the wait before an order is sent again after it got no answer or
+	// the platform could not execute it: reclaimed upstreams become available again
+	// some seconds later.
+	retryBackoff = 2 * time.Second
+	// repeatInterval is the time after which an executed order is sent again. A delayed
+	// copy of an earlier order may have arrived after it and undone it unnoticed.
+	repeatInterval = 10 * time.Second
 )
 
 // Order asks for a number of upstreams of one kind in one failure domain.
@@ -30,26 +31,26 @@
 	Service, Domain string
 	Kind            Kind
 	Count           int
-	// Holder and Epoch name the process in charge.
+	// Holder and Epoch are the VM that holds the lease and the lease's epoch.
 	Holder string
 	Epoch  uint64
 }
 
-// Platform is the port of the platform's orders. It fails with
-// *fault.StoreUnavailable when the order has to be repeated, and with
-// *fault.PlatformRefused when it can't be carried out at present.
+// Platform sends upstream orders to the platform. Errors are *fault.StoreUnavailable when the
+// order has to be repeated, and *fault.PlatformRefused when the platform can't execute
+// it at present.
 type Platform interface {
 	OrderUpstreams(ctx context.Context, order Order) error
 }
 
-// Wants tells how many upstreams of each service a failure domain should have, of
-// the services whose upstreams can be ordered there. Nothing is told of a service
-// of which no need is known.
+// Wants reports how many upstreams of each service a failure domain should have. It
+// leaves out services whose upstreams can't be ordered in the domain and services
+// whose need is not known.
 type Wants interface {
 	Upstreams(domain string) map[string]Set
 }
 
-// Orderer gives the orders of one failure domain while it holds the lease.
+// Orderer orders the upstreams of one failure domain while it holds the lease.
 type Orderer struct {
 	VM       string
 	Domain   string
@@ -58,41 +59,43 @@
 	Events   *event.Recorder
 	Leases   *lease.Manager
 
-	// given are the newest orders of the present term.
-	given map[subject]given
+	// lastOrder holds the last order for each key in the present lease term.
+	lastOrder map[orderKey]lastOrder
 }
 
-// subject is what an order replaces the earlier order of.
-type subject struct {
+// orderKey identifies what an order sets. An order replaces the earlier order with the
+// same key.
+type orderKey struct {
 	service string
 	kind    Kind
 }
 
-type given struct {
+type lastOrder struct {
 	count int
-	// again is when the order is due again.
-	again time.Time
+	// repeatAt is when the order is sent again even if the count is unchanged.
+	repeatAt time.Time
 }
 
-// leaseDuty names the leases of orderers.
+// leaseDuty is the duty in the names of the orderers' leases.
 const leaseDuty = "supply"
 
 // Run campaigns for the lease of the failure domain until ctx ends.
 func (o *Orderer) Run(ctx context.Context) {
-	o.Leases.Serve(ctx, lease.InDomain(leaseDuty, o.Domain), o.hold)
+	o.Leases.Serve(ctx, lease.InDomain(leaseDuty, o.Domain), o.serveTerm)
 }
 
-// hold gives orders while the lease is held. It waits first: an order of the
-// earlier holder may be on its way, and the platform does not compare epochs.
-func (o *Orderer) hold(ctx context.Context, guard lease.Guard) error {
+// serveTerm sends orders during one lease term, until ctx ends or the lease is lost. It
+// first waits for the grace period of the lease: an order of the previous holder may
+// still arrive, and the platform does not compare epochs.
+func (o *Orderer) serveTerm(ctx context.Context, guard lease.Guard) error {
 	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
 		return err
 	}
-	o.given = make(map[subject]given)
-	ticker := time.NewTicker(period)
+	o.lastOrder = make(map[orderKey]lastOrder)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
-		if err := o.orderDue(ctx, guard); err != nil {
+		if err := o.sendDueOrders(ctx, guard); err != nil {
 			return err
 		}
 		select {
@@ -103,44 +106,44 @@
 	}
 }
 
-// orderDue gives the orders that are due, one after another. It fails when the
+// sendDueOrders sends the orders that are due, one after another. It fails when the
 // lease is lost.
-func (o *Orderer) orderDue(ctx context.Context, guard lease.Guard) error {
+func (o *Orderer) sendDueOrders(ctx context.Context, guard lease.Guard) error {
 	for service, counts := range o.Wants.Upstreams(o.Domain) {
 		for kind, count := range counts {
-			s := subject{service, Kind(kind)}
-			last, known := o.given[s]
-			if !known && s.kind == Reclaimable && count == 0 {
+			key := orderKey{service, Kind(kind)}
+			last, known := o.lastOrder[key]
+			if !known && key.kind == Reclaimable && count == 0 {
 				continue
 			}
-			if known && last.count == count && time.Now().Before(last.again) {
+			if known && last.count == count && time.Now().Before(last.repeatAt) {
 				continue
 			}
 			if err := guard.Check(); err != nil {
 				return err
 			}
-			o.order(ctx, guard, s, count)
+			o.sendOrder(ctx, guard, key, count)
 		}
 	}
 	return nil
 }
 
-// order gives one order and notes when it is due again.
-func (o *Orderer) order(ctx context.Context, guard lease.Guard, s subject, count int) {
-	call, cancel := context.WithTimeout(fence.Context(ctx, guard), orderTimeout)
+// sendOrder sends one order and records when it is sent again.
+func (o *Orderer) sendOrder(ctx context.Context, guard lease.Guard, key orderKey, count int) {
+	orderCtx, cancel := context.WithTimeout(fence.Context(ctx, guard), orderTimeout)
 	defer cancel()
-	err := o.Platform.OrderUpstreams(call, Order{
-		Service: s.service, Domain: o.Domain, Kind: s.kind, Count: count, Holder: o.VM, Epoch: guard.Epoch(),
+	err := o.Platform.OrderUpstreams(orderCtx, Order{
+		Service: key.service, Domain: o.Domain, Kind: key.kind, Count: count, Holder: o.VM, Epoch: guard.Epoch(),
 	})
-	told := event.Subject{Lease: lease.InDomain(leaseDuty, o.Domain), Epoch: guard.Epoch(), Count: int64(count), Detail: s.service + " " + s.kind.String()}
+	subject := event.Subject{Lease: lease.InDomain(leaseDuty, o.Domain), Epoch: guard.Epoch(), Count: int64(count), Detail: key.service + " " + key.kind.String()}
 	if err != nil {
-		told.Detail += ": " + string(fault.CodeOf(err)) + ": " + err.Error()
-		o.Events.Emit(event.OrderFailed, told)
-		o.given[s] = given{count: count, again: time.Now().Add(retryPause)}
+		subject.Detail += ": " + string(fault.CodeOf(err)) + ": " + err.Error()
+		o.Events.Emit(event.OrderFailed, subject)
+		o.lastOrder[key] = lastOrder{count: count, repeatAt: time.Now().Add(retryBackoff)}
 		return
 	}
-	if last, known := o.given[s]; !known || last.count != count {
-		o.Events.Emit(event.OrderGiven, told)
+	if last, known := o.lastOrder[key]; !known || last.count != count {
+		o.Events.Emit(event.OrderGiven, subject)
 	}
-	o.given[s] = given{count: count, again: time.Now().Add(repeatEvery)}
+	o.lastOrder[key] = lastOrder{count: count, repeatAt: time.Now().Add(repeatInterval)}
 }
--- /dev/null
+++ b/internal/weights/updater.go
@@ -0,0 +1,127 @@
+package weights
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	"dogwoodpond/internal/engine"
+	"dogwoodpond/internal/event"
+	"dogwoodpond/internal/fault"
+	"dogwoodpond/internal/fence"
+	"dogwoodpond/internal/wait"
+)
+
+// Engines sends requests to model engines. *engine.Client implements it.
+type Engines interface {
+	// Load returns an engine's load report: its model, weight version and requests.
+	Load(ctx context.Context, address string) (engine.Load, error)
+	// Order sends an order. An engine executes orders with the same ID only once.
+	Order(ctx context.Context, address string, order engine.Order) error
+}
+
+// Roller sends the weight orders of one failure domain.
+type Roller struct {
+	engines Engines
+	events  *event.Recorder
+	// limiter limits the weight loads per second, since each of them reads from the
+	// weight store.
+	limiter *rate.Limiter
+
+	mu      sync.Mutex
+	loading map[string]bool
+	running sync.WaitGroup
+}
+
+// NewRoller returns an updater that starts at most loadsPerSecond weight loads a second.
+func NewRoller(engines Engines, events *event.Recorder, loadsPerSecond float64) *Roller {
+	burst := max(1, int(loadsPerSecond))
+	return &Roller{
+		engines: engines,
+		events:  events,
+		limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), burst),
+		loading: make(map[string]bool),
+	}
+}
+
+// Tick starts the weight loads that are due, given the current state of the engines.
+// engines must not contain an engine without a report, since an order depends on its
+// version and incarnation. Tick does not wait for the loads to end; Wait does.
+func (r *Roller) Tick(ctx context.Context, guard fence.Guard, engines []Engine, latest map[string]int64) {
+	for _, planned := range Next(r.markLoading(engines), latest) {
+		if !r.limiter.Allow() {
+			return
+		}
+		r.setLoading(planned.Engine.ID, true)
+		r.running.Go(func() {
+			defer r.setLoading(planned.Engine.ID, false)
+			r.load(ctx, guard, planned)
+		})
+	}
+}
+
+// Wait waits for the weight loads that Tick started.
+func (r *Roller) Wait() { r.running.Wait() }
+
+// markLoading returns a copy of engines in which Loading is set for those with an order
+// in progress.
+func (r *Roller) markLoading(engines []Engine) []Engine {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	marked := slices.Clone(engines)
+	for i := range marked {
+		marked[i].Loading = r.loading[marked[i].ID]
+	}
+	return marked
+}
+
+func (r *Roller) setLoading(id string, loading bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.loading[id] = loading
+}
+
+const (
+	maxOrderAttempts = 3
+	orderBackoff     = 500 * time.Millisecond
+)
+
+// load orders one engine to load a version. When the answer leaves the outcome unknown,
+// load reads the engine's report before it repeats the order with the same ID. If the
+// engine still serves the old version at the end, a later Tick starts another load.
+func (r *Roller) load(ctx context.Context, guard fence.Guard, planned Target) {
+	e := planned.Engine
+	order := engine.Order{
+		ID:      fmt.Sprintf("weights/%s/%s/%d", e.ID, e.Incarnation, planned.Version),
+		Epoch:   guard.Epoch(),
+		Kind:    engine.OrderLoadWeights,
+		Version: planned.Version,
+	}
+	subject := event.Subject{Upstream: e.ID, Epoch: order.Epoch, Count: planned.Version}
+	for range maxOrderAttempts {
+		if guard.Check() != nil {
+			return
+		}
+		r.events.Emit(event.OrderGiven, subject)
+		err := r.engines.Order(fence.Context(ctx, guard), e.Address, order)
+		if err == nil || r.serves(ctx, planned) {
+			r.events.Emit(event.WeightsLoaded, subject)
+			return
+		}
+		failed := subject
+		failed.Detail = string(fault.CodeOf(err))
+		r.events.Emit(event.OrderFailed, failed)
+		if fault.Is[*fault.OrderFenced](err) || !wait.For(ctx, orderBackoff) {
+			return
+		}
+	}
+}
+
+func (r *Roller) serves(ctx context.Context, planned Target) bool {
+	load, err := r.engines.Load(ctx, planned.Engine.Address)
+	return err == nil && load.Model == planned.Engine.Model && load.WeightVersion >= planned.Version
+}
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,6 +1,6 @@
-// Package weights rolls new weight versions out to the engines of a failure
-// domain, as many at once as the work leaves free, within the weight store's
-// rate. It runs under the failure domain's lease.
+// Package weights brings new weight versions to the engines of a failure domain. It loads
+// as many engines concurrently as the running requests leave free, within the rate limit
+// of the weight store, and runs under the failure domain's lease.
 package weights
 
 import (
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Engine is what the roll-out knows of an engine, from its own load report.
+// Engine is the state of an engine, from its own load report.
 type Engine struct {
 	ID          string
 	Address     string
@@ -16,69 +16,68 @@
 	Incarnation string
 	// Version is the weight version that the engine serves.
 	Version int64
-	// Busy and Slots tell how many requests the engine runs and can run.
+	// Busy is the number of requests that the engine runs, Slots the number that it can run.
 	Busy, Slots int
-	// Loading is true while an order for it is under way.
+	// Loading is true while an order for the engine is in progress.
 	Loading bool
 }
 
-// Target says that an engine is to load a version.
+// Target is a weight load that should start: an engine and the version that it loads.
 type Target struct {
 	Engine  Engine
 	Version int64
 }
 
-// minWave is the smallest part of a pool, as a divisor, that may load at once.
-// Four waves have to do, or a busy pool would never get new weights in time and
-// its samples would go stale.
-const minWave = 4
+// maxWaves is the highest number of waves in which a pool loads a version. With more, a
+// busy pool would not get new weights in time and its samples would become stale.
+const maxWaves = 4
 
-// Next returns the engines that are to start loading now. latest holds the
-// newest version of each model. The result depends on the arguments only.
+// Next returns the weight loads that should start now. latest holds the newest version of
+// each model. The result depends only on the arguments.
 func Next(engines []Engine, latest map[string]int64) []Target {
 	pools := make(map[string][]Engine)
 	for _, e := range engines {
 		pools[e.Model] = append(pools[e.Model], e)
 	}
-	var targets []Target
+	var loads []Target
 	for model, pool := range pools {
-		targets = append(targets, nextOfPool(pool, latest[model])...)
+		loads = append(loads, nextInPool(pool, latest[model])...)
 	}
-	slices.SortFunc(targets, func(a, b Target) int { return cmp.Compare(a.Engine.ID, b.Engine.ID) })
-	return targets
+	slices.SortFunc(loads, func(a, b Target) int { return cmp.Compare(a.Engine.ID, b.Engine.ID) })
+	return loads
 }
 
-func nextOfPool(pool []Engine, version int64) []Target {
-	room := width(pool)
-	var behind []Engine
+func nextInPool(pool []Engine, version int64) []Target {
+	allowed := maxConcurrentLoads(pool)
+	var outdated []Engine
 	for _, e := range pool {
 		switch {
 		case e.Loading:
-			room--
+			allowed--
 		case e.Version < version:
-			behind = append(behind, e)
+			outdated = append(outdated, e)
 		}
 	}
-	// The least busy first: they take the least work out of the pool.
-	slices.SortFunc(behind, func(a, b Engine) int {
+	// The least busy engines first: loading them takes the least capacity from the pool.
+	slices.SortFunc(outdated, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Busy, b.Busy), cmp.Compare(a.ID, b.ID))
 	})
-	var targets []Target
-	for _, e := range behind[:min(max(room, 0), len(behind))] {
-		targets = append(targets, Target{Engine: e, Version: version})
+	var loads []Target
+	for _, e := range outdated[:min(max(allowed, 0), len(outdated))] {
+		loads = append(loads, Target{Engine: e, Version: version})
 	}
-	return targets
+	return loads
 }
 
-// width returns how many engines of a pool may load at once: those that the
-// present work does not need, and at least one wave.
-func width(pool []Engine) int {
+// maxConcurrentLoads returns how many engines of a pool may load at once: those that the
+// running requests do not need, and at least one wave.
+func maxConcurrentLoads(pool []Engine) int {
 	busy, slots := 0, 0
 	for _, e := range pool {
 		busy += e.Busy
 		slots += e.Slots
 	}
-	wave := (len(pool) + minWave - 1) / minWave
+	wave := (len(pool) + maxWaves - 1) / maxWaves
 	if slots == 0 {
 		return wave
 	}
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -16,29 +16,29 @@
 	"dogwoodpond/internal/fault"
 )
 
-const swapTime = 2 * time.Second
+const loadTime = 2 * time.Second
 
-// pool stands in for engines that pause their work during a swap.
-type pool struct {
+// fakePool is a pool of fake engines that run no requests while they load weights.
+type fakePool struct {
 	mu       sync.Mutex
 	versions map[string]int64
 	busy     int
-	swapping int
-	// most is the highest number of swaps at once.
-	most   int
-	orders map[string]int
-	fail   func(address string, order engine.Order) error
+	loading  int
+	// maxLoading is the highest number of concurrent loads.
+	maxLoading int
+	orders     map[string]int
+	fail       func(address string, order engine.Order) error
 }
 
-func newPool(n int) *pool {
-	p := &pool{versions: make(map[string]int64), orders: make(map[string]int)}
+func newFakePool(n int) *fakePool {
+	p := &fakePool{versions: make(map[string]int64), orders: make(map[string]int)}
 	for i := range n {
 		p.versions[fmt.Sprintf("engine-%02d", i)] = 1
 	}
 	return p
 }
 
-func (p *pool) engines() []Engine {
+func (p *fakePool) engines() []Engine {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Engine
@@ -56,21 +56,21 @@
 	return list
 }
 
-func (p *pool) Load(_ context.Context, address string) (engine.Load, error) {
+func (p *fakePool) Load(_ context.Context, address string) (engine.Load, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return engine.Load{Model: "berry-1", WeightVersion: p.versions[address], Incarnation: "1", Running: p.busy}, nil
 }
 
-func (p *pool) Order(ctx context.Context, address string, order engine.Order) error {
+func (p *fakePool) Order(ctx context.Context, address string, order engine.Order) error {
 	if p.fail != nil {
 		if err := p.fail(address, order); err != nil {
 			return err
 		}
 	}
-	p.change(1)
-	time.Sleep(swapTime)
-	p.change(-1)
+	p.addLoading(1)
+	time.Sleep(loadTime)
+	p.addLoading(-1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.orders[order.ID]++
@@ -78,14 +78,14 @@
 	return nil
 }
 
-func (p *pool) change(by int) {
+func (p *fakePool) addLoading(by int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.swapping += by
-	p.most = max(p.most, p.swapping)
+	p.loading += by
+	p.maxLoading = max(p.maxLoading, p.loading)
 }
 
-func (p *pool) allAt(version int64) bool {
+func (p *fakePool) allServe(version int64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, v := range p.versions {
@@ -96,31 +96,31 @@
 	return true
 }
 
-type held struct{ lost bool }
+type fakeGuard struct{ lost bool }
 
-func (h *held) Check() error {
-	if h.lost {
+func (g *fakeGuard) Check() error {
+	if g.lost {
 		return errors.WithStack(&fault.LeaseLost{Lease: "l", Epoch: 1})
 	}
 	return nil
 }
 
-func (*held) Epoch() uint64       { return 7 }
-func (*held) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (*fakeGuard) Epoch() uint64       { return 7 }
+func (*fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newRoller(p *pool) *Roller {
+func newRoller(p *fakePool) *Roller {
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	return NewRoller(p, events, 100)
 }
 
-// rollOut ticks until every engine serves the version and returns how long that
-// took; it gives up after a minute.
-func rollOut(t *testing.T, r *Roller, p *pool, guard *held) time.Duration {
+// updateAll calls Tick until every engine serves version 2 and returns how long that took.
+// It stops after a minute.
+func updateAll(t *testing.T, r *Roller, p *fakePool, guard *fakeGuard) time.Duration {
 	t.Helper()
 	started := time.Now()
-	for time.Since(started) < time.Minute && !p.allAt(2) {
-		// Swaps end at the same instants at which the roller ticks. They end first:
-		// otherwise a wave is seen half a second later, in one run of some 400.
+	for time.Since(started) < time.Minute && !p.allServe(2) {
+		// Loads end at the same instants at which Tick is called. They must end first:
+		// otherwise, in about one run of 400, a wave is seen to end half a second later.
 		synctest.Wait()
 		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
 		time.Sleep(500 * time.Millisecond)
@@ -129,40 +129,39 @@
 	return time.Since(started)
 }
 
-func TestIdlePoolLoadsAtOnceAndBusyPoolInWaves(t *testing.T) {
+func TestIdlePoolLoadsAtOnceBusyPoolInWaves(t *testing.T) {
 	cases := []struct {
-		name  string
-		busy  int
-		most  int
-		bound time.Duration
+		name        string
+		busy        int
+		maxLoading  int
+		maxDuration time.Duration
 	}{
-		{name: "idle", busy: 0, most: 16, bound: 3 * time.Second},
-		{name: "half busy", busy: 4, most: 8, bound: 6 * time.Second},
-		{name: "full", busy: 8, most: 4, bound: 11 * time.Second},
+		{name: "idle", busy: 0, maxLoading: 16, maxDuration: 3 * time.Second},
+		{name: "half busy", busy: 4, maxLoading: 8, maxDuration: 6 * time.Second},
+		{name: "full", busy: 8, maxLoading: 4, maxDuration: 11 * time.Second},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPool(16)
+				p := newFakePool(16)
 				p.busy = c.busy
-				took := rollOut(t, newRoller(p), p, &held{})
-				if p.most > c.most {
-					t.Errorf("%d engines loaded at once, want at most %d", p.most, c.most)
+				took := updateAll(t, newRoller(p), p, &fakeGuard{})
+				if p.maxLoading > c.maxLoading {
+					t.Errorf("%d engines loaded at once, want at most %d", p.maxLoading, c.maxLoading)
 				}
-				if took > c.bound {
-					t.Errorf("the roll-out took %v, want at most %v", took, c.bound)
+				if took > c.maxDuration {
+					t.Errorf("the weight update took %v, want at most %v", took, c.maxDuration)
 				}
 			})
 		})
 	}
 }
 
-// An engine fails its swap twice and loses a reply once. Without a look at what
-// it serves it would be left behind with old weights, and its samples would go
-// stale unnoticed.
-func TestFailedSwapIsMended(t *testing.T) {
+// The order to one engine fails twice. Without another order the engine would keep its old
+// weights, and its samples would become stale unnoticed.
+func TestFailedLoadIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(4)
+		p := newFakePool(4)
 		failures := 0
 		p.fail = func(address string, _ engine.Order) error {
 			if address == "engine-01" && failures < 2 {
@@ -171,18 +170,18 @@
 			}
 			return nil
 		}
-		rollOut(t, newRoller(p), p, &held{})
-		if !p.allAt(2) {
-			t.Error("an engine was left behind")
+		updateAll(t, newRoller(p), p, &fakeGuard{})
+		if !p.allServe(2) {
+			t.Error("not all engines serve version 2")
 		}
 	})
 }
 
-// The swap takes effect and the reply is lost. The order must not be given as a
-// new one, which would load the weights a second time.
+// The load takes effect and the reply is lost. The order must not be sent as a new one,
+// which would load the weights a second time.
 func TestLostReplyDoesNotLoadTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(1)
+		p := newFakePool(1)
 		p.fail = func(address string, order engine.Order) error {
 			p.mu.Lock()
 			defer p.mu.Unlock()
@@ -190,34 +189,34 @@
 			p.versions[address] = order.Version
 			return errors.WithStack(&fault.UpstreamFailed{Upstream: address, Reason: "no answer"})
 		}
-		rollOut(t, newRoller(p), p, &held{})
+		updateAll(t, newRoller(p), p, &fakeGuard{})
 		for id, n := range p.orders {
 			if n != 1 {
-				t.Errorf("order %s was given %d times, want once", id, n)
+				t.Errorf("order %s was sent %d times, want once", id, n)
 			}
 		}
 	})
 }
 
-// The lease goes to another VM in the middle of a roll-out. Orders from both
-// could set an engine back to older weights.
-func TestNoOrderAfterTheLeaseIsLost(t *testing.T) {
+// The lease is lost during a weight update. Orders of the old and the new holder together
+// could return an engine to older weights.
+func TestNoOrderAfterLeaseLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPool(8)
+		p := newFakePool(8)
 		p.busy = 8
-		guard := &held{}
+		guard := &fakeGuard{}
 		r := newRoller(p)
 		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
 		synctest.Wait()
 		p.mu.Lock()
-		before := p.swapping
+		before := p.loading
 		p.mu.Unlock()
 		guard.lost = true
-		time.Sleep(2 * swapTime) // The next wave has room now.
+		time.Sleep(2 * loadTime) // The next wave could start now.
 		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
 		r.Wait()
 		if got := len(p.orders); got != before {
-			t.Errorf("%d orders were carried out, want the %d from before the loss", got, before)
+			t.Errorf("%d orders were executed, want the %d from before the loss", got, before)
 		}
 	})
 }
