--- a/internal/dispatch/account.go
+++ b/internal/dispatch/account.go
@@ -2,42 +2,42 @@
 
 import "sync"
 
-// accountBook holds what is counted for a client account over all pools.
-type accountBook struct {
-	mu      sync.Mutex
-	running int
-	meter   reclaimMeter
+// accountState holds an account's running requests and reclaimable work over all pools.
+type accountState struct {
+	mu          sync.Mutex
+	running     int
+	reclaimable reclaimableLimiter
 }
 
-// allowsReclaimable reports whether work may go to a reclaimable upstream.
-func (b *accountBook) allowsReclaimable(w Work) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return w.Repeatable && b.meter.allows(w.Contract.Reclaimable.Percent, w.Cost)
+// allowsReclaimable reports whether w may run on a reclaimable upstream.
+func (a *accountState) allowsReclaimable(w Work) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return w.Repeatable && a.reclaimable.allows(w.Contract.Reclaimable.Percent, w.Cost)
 }
 
-// begin counts a grant and reports false when the account is at its limit.
-func (b *accountBook) begin(w Work, reclaimable bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.running >= max(1, w.Contract.Limits.Running) {
+// tryAcquire counts a grant. It returns false if the account is at its running limit.
+func (a *accountState) tryAcquire(w Work, reclaimable bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.running >= max(1, w.Contract.Limits.Running) {
 		return false
 	}
-	b.running++
+	a.running++
 	if reclaimable {
-		b.meter.begin(w.Cost)
+		a.reclaimable.begin(w.Cost)
 	}
 	return true
 }
 
-// end uncounts a grant and reports whether the account was at its limit.
-func (b *accountBook) end(w Work, reclaimable bool, cost int64) (wasFull bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	wasFull = b.running >= w.Contract.Limits.Running
-	b.running--
+// release ends a grant and reports whether the account was at its running limit.
+func (a *accountState) release(w Work, reclaimable bool, cost int64) (wasAtLimit bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	wasAtLimit = a.running >= w.Contract.Limits.Running
+	a.running--
 	if w.Repeatable {
-		b.meter.end(reclaimable, w.Cost, cost)
+		a.reclaimable.end(reclaimable, w.Cost, cost)
 	}
-	return wasFull
+	return wasAtLimit
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -8,8 +8,8 @@
 	"dogwoodpond/internal/platform"
 )
 
-// targetFleet is the fleet at the target size: 390 VMs and 720 engines in 7
-// failure domains, with the demands of 8 accounts known of each cell mate.
+// targetFleet returns the fleet at the target size: 390 VMs and 720 engines in 7
+// failure domains, where each VM has demands of 8 accounts.
 func targetFleet() ([]Member, []platform.Upstream) {
 	var members []Member
 	for i := range 390 {
@@ -26,27 +26,27 @@
 	return members, list
 }
 
-// BenchmarkDivisionAtTargetSize is the work of one division, which a VM does at
-// most ten times a second for each pool.
-func BenchmarkDivisionAtTargetSize(b *testing.B) {
+// Measures one recomputation of the quotas, which a VM does at most ten times a second
+// for each pool.
+func BenchmarkAssignmentAtTargetSize(b *testing.B) {
 	members, list := targetFleet()
-	d := division{list: list, limits: make(parts), borrowed: make(map[string]bool)}
+	d := assignment{upstreams: list, limits: make(allocation), borrowed: make(map[string]bool)}
 	for b.Loop() {
 		clear(d.limits)
 		clear(d.borrowed)
-		d.shared("vm-000", "d0", testPool, members)
+		d.assignShared("vm-000", "d0", testPool, members)
 	}
 }
 
-// BenchmarkLendingAtTargetSize is the work after each change of the lists.
-func BenchmarkLendingAtTargetSize(b *testing.B) {
+// Measures the recomputation after each change of the lists.
+func BenchmarkBorrowableEnginesAtTargetSize(b *testing.B) {
 	members, list := targetFleet()
 	for b.Loop() {
-		lendingTo("vm-000", list, members)
+		borrowableEngines("vm-000", list, members)
 	}
 }
 
-// BenchmarkAcquireAtTargetSize is the way of one request through the dispatcher.
+// Measures one Acquire and Done.
 func BenchmarkAcquireAtTargetSize(b *testing.B) {
 	members, list := targetFleet()
 	vm := newTestVM(b.Context(), list...)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch decides which request runs next and on which upstream: a
-// fair queue over client accounts, a picker over upstreams, and limits. Its
-// decisions are pure; the runner around them is thin.
+// Package dispatch decides which request runs next and on which upstream. It
+// consists of a fair queue over client accounts, a picker over upstreams, and
+// limits. Queue, picker and the division of slots take no locks and read no clock;
+// Scheduler adds both.
 package dispatch
 
 import (
@@ -20,7 +21,7 @@
 	Adapter string
 }
 
-// String returns a short name for logs.
+// String returns a short name for logs and error messages.
 func (p Pool) String() string {
 	if p.Kind == platform.KindService {
 		return p.Service
@@ -31,49 +32,49 @@
 	return p.Model + "+" + p.Adapter
 }
 
-// Work asks for a place on an upstream.
+// Work describes a request that needs a slot on an upstream.
 type Work struct {
 	Request  string
 	Account  contract.Account
 	Contract contract.Contract
 	Pool     Pool
-	// Cost is the estimate in tokens.
+	// Cost is the estimated cost in tokens.
 	Cost int64
-	// Background work yields to other work of the same account.
+	// Background work is granted after other work of the same account.
 	Background bool
 	// Repeatable work may run on reclaimable upstreams.
 	Repeatable bool
-	// Affinity brings work with a shared prefix to the same upstream; 0 for none.
+	// Affinity sends work with a shared prefix to the same upstream; 0 means no
+	// affinity.
 	Affinity uint64
-	// MinVersion keeps the work from engines that report older weights; 0 means
-	// any.
+	// MinVersion excludes engines that report older weights; 0 allows any version.
 	MinVersion int64
-	// Exclude names upstreams that failed this request before.
+	// Exclude holds the IDs of upstreams that failed this request before.
 	Exclude []string
-	// Retry marks an attempt after the first; it is taken from the retry budget.
+	// Retry marks an attempt after the first; it counts against the retry budget.
 	Retry bool
 }
 
-// Result tells the dispatcher how an attempt ended.
+// Result reports how an attempt ended.
 type Result struct {
-	// Cost is the true cost in tokens.
+	// Cost is the actual cost in tokens.
 	Cost int64
-	// Failed is true when the upstream is to blame.
+	// Failed is true if the upstream caused the failure.
 	Failed bool
 }
 
-// Grant is a place on an upstream. Done must be called exactly once.
+// Grant is the right to use a slot of an upstream. Done must be called exactly once.
 type Grant struct {
 	Upstream platform.Upstream
 	Done     func(Result)
 }
 
-// Dispatcher grants places on upstreams.
+// Dispatcher grants slots of upstreams.
 //
-// Acquire waits in the fair queue of the work's account until a place is free
-// or ctx ends. It fails with *fault.QueueFull, *fault.LimitExceeded,
-// *fault.NoUpstream, *fault.DeadlineExceeded or *fault.CallerGone; whatever it
-// fails with, nothing has run. Implementations are safe for concurrent use.
+// Acquire waits in the fair queue of the work's account until a slot is free or
+// ctx ends. It fails with *fault.QueueFull, *fault.LimitExceeded,
+// *fault.NoUpstream, *fault.DeadlineExceeded or *fault.CallerGone. On any error the
+// work has not been executed. Implementations are safe for concurrent use.
 type Dispatcher interface {
 	Acquire(ctx context.Context, work Work) (Grant, error)
 }
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -6,45 +6,45 @@
 )
 
 const (
-	// drainMemory is the time over which the measured rate forgets.
-	drainMemory = 5 * time.Second
-	// defaultWait is told while no rate has been measured.
-	defaultWait = 2 * time.Second
-	// shortestWait and longestWait bound what a refused caller is told.
-	shortestWait = time.Second
-	longestWait  = time.Minute
+	// drainTimeConstant is the time constant of the rate's exponential decay.
+	drainTimeConstant = 5 * time.Second
+	// defaultRetryAfter is reported until a rate has been measured.
+	defaultRetryAfter = 2 * time.Second
+	// minRetryAfter and maxRetryAfter limit the wait reported to rejected callers.
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-// drainMeter measures how many requests end in a second.
+// drainMeter measures the rate at which requests end.
 type drainMeter struct {
 	rate float64
 	at   time.Time
 }
 
-// ended notes the end of a request.
-func (m *drainMeter) ended(now time.Time) {
-	m.rate = m.current(now) + 1/drainMemory.Seconds()
+// recordEnd counts the end of a request.
+func (m *drainMeter) recordEnd(now time.Time) {
+	m.rate = m.currentRate(now) + 1/drainTimeConstant.Seconds()
 	m.at = now
 }
 
-// current returns the rate in requests a second.
-func (m *drainMeter) current(now time.Time) float64 {
+// currentRate returns the rate in requests per second.
+func (m *drainMeter) currentRate(now time.Time) float64 {
 	if m.at.IsZero() {
 		return 0
 	}
-	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/drainMemory.Seconds())
+	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/drainTimeConstant.Seconds())
 }
 
-// retryAfter tells when an account with so many waiting requests and this
-// fraction of the shares will have room again.
+// retryAfter estimates when an account with this number of queued requests and
+// this fraction of the shares will have free queue slots again.
 func (m *drainMeter) retryAfter(waiting int, fraction float64, now time.Time) time.Duration {
-	rate := m.current(now) * fraction
+	rate := m.currentRate(now) * fraction
 	if rate <= 0 {
-		return defaultWait
+		return defaultRetryAfter
 	}
 	seconds := float64(max(1, waiting)) / rate
-	if seconds >= longestWait.Seconds() {
-		return longestWait
+	if seconds >= maxRetryAfter.Seconds() {
+		return maxRetryAfter
 	}
-	return max(shortestWait, time.Duration(seconds*float64(time.Second)))
+	return max(minRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
--- a/internal/dispatch/fairqueue.go
+++ b/internal/dispatch/fairqueue.go
@@ -7,94 +7,94 @@
 	"dogwoodpond/internal/contract"
 )
 
-// ticket is one request that waits in a fair queue.
-type ticket struct {
+// request is one request in a fair queue.
+type request struct {
 	work Work
-	// arrival orders the tickets of a queue.
+	// arrival orders the requests of a queue.
 	arrival uint64
-	// charged is what the account was charged at the grant, in tokens.
+	// charged is the number of tokens that the account was charged at the grant.
 	charged float64
-	// ready gets the outcome once; it has room for it, so that the sender never
-	// waits.
+	// ready receives the outcome once. Its buffer of one keeps the sender from
+	// blocking.
 	ready chan outcome
 }
 
-// outcome ends a ticket's wait: with a grant, or with a failure.
+// outcome ends a request's wait, with a grant or an error.
 type outcome struct {
 	grant Grant
 	err   error
 }
 
-// flow is the queue of one client account. Its tag is the virtual time at
-// which its next ticket starts: it rises by cost over share with each grant, so
-// that the account with the lowest tag is the one furthest below its share.
+// flow is the queue of one client account. Its start tag is the virtual time at
+// which its next request starts. It rises by cost over share with each grant, so
+// the account with the lowest tag is the one furthest below its share.
 type flow struct {
 	account contract.Account
 	share   int
 	// start is the start tag in tokens per unit of share.
 	start       float64
-	interactive []*ticket
-	background  []*ticket
-	// running counts grants that are not done; their estimates may still be
+	interactive []*request
+	background  []*request
+	// running counts grants that have not ended; their estimated costs may still be
 	// corrected.
 	running int
-	// estimated and spent are the estimates and the true costs of the work that
-	// ended lately, in tokens; older work counts less and less.
+	// estimated and spent are the estimated and actual costs of ended work in
+	// tokens, decayed with each request that ends.
 	estimated float64
 	spent     float64
 }
 
 const (
-	// ratioMemory is the part of the past that one more ended request leaves.
-	ratioMemory = 0.95
-	// ratioSamples estimates are needed before the ratio is believed in full.
-	ratioSamples = 5
+	// ratioDecay is the factor by which older costs decay with each ended request.
+	ratioDecay = 0.95
+	// ratioPriorSamples is the weight, in estimates, of the initial ratio of 1.
+	ratioPriorSamples = 5
 )
 
-// expect returns the tokens that work will likely cost: its estimate, which is
-// the bound of its answer, times the part of such bounds that the account's
-// answers used lately. Charging the bound itself would push an account back by
-// tokens that it mostly doesn't get, and let others jump ahead until its
+// expectedCost returns the tokens that work will probably cost: its estimate, the
+// upper bound of its answer, times the fraction of such bounds that the account's
+// recent answers used. Charging the bound itself would put an account back by
+// tokens that it mostly does not get, and let others overtake it until its
 // requests end.
-func (f *flow) expect(estimate int64) float64 {
-	prior := ratioSamples * float64(max(1, estimate))
+func (f *flow) expectedCost(estimate int64) float64 {
+	prior := ratioPriorSamples * float64(max(1, estimate))
 	ratio := (f.spent + prior) / (f.estimated + prior)
 	return max(1, float64(estimate)*ratio)
 }
 
-func (f *flow) learn(estimate, cost int64) {
-	f.estimated = f.estimated*ratioMemory + float64(estimate)
-	f.spent = f.spent*ratioMemory + float64(cost)
+func (f *flow) recordCost(estimate, cost int64) {
+	f.estimated = f.estimated*ratioDecay + float64(estimate)
+	f.spent = f.spent*ratioDecay + float64(cost)
 }
 
 func (f *flow) waiting() int { return len(f.interactive) + len(f.background) }
 
-// queuedCost returns the tokens that the waiting tickets ask for.
+// queuedCost returns the estimated tokens of the queued requests.
 func (f *flow) queuedCost() int64 {
 	var sum int64
-	for _, t := range f.interactive {
-		sum += t.work.Cost
+	for _, req := range f.interactive {
+		sum += req.work.Cost
 	}
-	for _, t := range f.background {
-		sum += t.work.Cost
+	for _, req := range f.background {
+		sum += req.work.Cost
 	}
 	return sum
 }
 
-// remove takes a ticket out and reports whether it was there.
-func (f *flow) remove(t *ticket) bool {
-	for _, line := range []*[]*ticket{&f.interactive, &f.background} {
-		if i := slices.Index(*line, t); i >= 0 {
-			*line = slices.Delete(*line, i, i+1)
+// remove deletes a request from the queue and reports whether it was queued.
+func (f *flow) remove(req *request) bool {
+	for _, queue := range []*[]*request{&f.interactive, &f.background} {
+		if i := slices.Index(*queue, req); i >= 0 {
+			*queue = slices.Delete(*queue, i, i+1)
 			return true
 		}
 	}
 	return false
 }
 
-// newest returns the ticket to give up first: the latest background one, or else
+// newest returns the request to shed first: the latest background one, or else
 // the latest interactive one.
-func (f *flow) newest() *ticket {
+func (f *flow) newest() *request {
 	if n := len(f.background); n > 0 {
 		return f.background[n-1]
 	}
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// fairQueue is a start-time fair queue over client accounts. It only decides:
-// it reads no clock, takes no lock and does no I/O.
+// fairQueue is a start-time fair queue over client accounts. It reads no clock,
+// takes no lock and does no I/O.
 type fairQueue struct {
 	flows map[contract.Account]*flow
 	// virtual is the start tag of the latest grant; it never decreases.
@@ -119,32 +119,32 @@
 	return &fairQueue{flows: make(map[contract.Account]*flow), limit: limit}
 }
 
-// scanDepth bounds how many tickets of a flow are tried for one place; tickets
+// scanDepth limits how many requests of a flow are tried for one slot; requests
 // differ in which upstreams they may use.
 const scanDepth = 16
 
-// add queues a ticket and returns the tickets that are shed for it, possibly
-// the ticket itself.
+// add queues a request and returns the requests that are shed for it, possibly the
+// request itself.
 //
-// An account at its own limit loses its latest background ticket to an
-// interactive one, and refuses anything else. When the whole queue is full the
-// account with the most queued tokens for its share loses its latest ticket:
-// were the newcomer refused instead, one flooding account would lock all
-// others out, which they would notice as refusals while another is served.
-func (q *fairQueue) add(t *ticket) (shed []*ticket) {
-	f := q.flowOf(t.work)
-	if f.waiting() >= max(1, t.work.Contract.Limits.Queue) {
+// If an account is at its own limit, an interactive request replaces its latest
+// background request; any other request is shed. If the whole queue is full, the
+// account with the most queued tokens for its share loses its latest request.
+// Shedding the new request instead would let one flooding account lock out all
+// others, which would be rejected while the flooding account is served.
+func (q *fairQueue) add(req *request) (shed []*request) {
+	f := q.flowOf(req.work)
+	if f.waiting() >= max(1, req.work.Contract.Limits.Queue) {
 		victim := f.newest()
-		if t.work.Background || !victim.work.Background {
-			q.forget(f)
-			return []*ticket{t}
+		if req.work.Background || !victim.work.Background {
+			q.removeIfIdle(f)
+			return []*request{req}
 		}
 		q.drop(f, victim)
 		shed = append(shed, victim)
 	}
-	q.push(f, t)
+	q.push(f, req)
 	if q.total > q.limit {
-		worst := q.furthestAbove()
+		worst := q.mostBacklogged()
 		victim := worst.newest()
 		q.drop(worst, victim)
 		shed = append(shed, victim)
@@ -162,72 +162,73 @@
 	return f
 }
 
-func (q *fairQueue) push(f *flow, t *ticket) {
+func (q *fairQueue) push(f *flow, req *request) {
 	if f.waiting() == 0 {
-		// An account that had nothing to run gets no credit for that time.
+		// An account without requests gets no credit for its idle time.
 		f.start = max(f.start, q.virtual)
 	}
 	q.arrival++
-	t.arrival = q.arrival
-	if t.work.Background {
-		f.background = append(f.background, t)
+	req.arrival = q.arrival
+	if req.work.Background {
+		f.background = append(f.background, req)
 	} else {
-		f.interactive = append(f.interactive, t)
+		f.interactive = append(f.interactive, req)
 	}
 	q.total++
 }
 
-// furthestAbove returns the flow with the most queued tokens for its share.
-func (q *fairQueue) furthestAbove() *flow {
+// mostBacklogged returns the flow with the most queued tokens for its share.
+func (q *fairQueue) mostBacklogged() *flow {
 	var worst *flow
 	var most float64
 	for _, f := range q.flows {
 		if f.waiting() == 0 {
 			continue
 		}
-		above := float64(f.queuedCost()) / float64(f.share)
-		if worst == nil || above > most || (above == most && f.account > worst.account) {
-			worst, most = f, above
+		backlog := float64(f.queuedCost()) / float64(f.share)
+		if worst == nil || backlog > most || (backlog == most && f.account > worst.account) {
+			worst, most = f, backlog
 		}
 	}
 	return worst
 }
 
-// cancel takes a waiting ticket out and reports whether it still waited.
-func (q *fairQueue) cancel(t *ticket) bool {
-	f, ok := q.flows[t.work.Account]
+// cancel removes a queued request and reports whether it was still queued.
+func (q *fairQueue) cancel(req *request) bool {
+	f, ok := q.flows[req.work.Account]
 	if !ok {
 		return false
 	}
-	return q.drop(f, t)
+	return q.drop(f, req)
 }
 
-func (q *fairQueue) drop(f *flow, t *ticket) bool {
-	if !f.remove(t) {
+func (q *fairQueue) drop(f *flow, req *request) bool {
+	if !f.remove(req) {
 		return false
 	}
 	q.total--
-	q.forget(f)
+	q.removeIfIdle(f)
 	return true
 }
 
-// forget drops a flow whose state says nothing that a new one would not.
-func (q *fairQueue) forget(f *flow) {
+// removeIfIdle removes a flow whose state equals that of a new one.
+func (q *fairQueue) removeIfIdle(f *flow) {
 	if f.waiting() == 0 && f.running == 0 && f.start <= q.virtual {
 		delete(q.flows, f.account)
 	}
 }
 
-// next takes out the ticket that runs next among those that place accepts, and
-// charges its account with the estimate. It returns nil when place accepts
-// none. Interactive tickets of an account go before its background ones.
-func (q *fairQueue) next(place func(*ticket) bool) *ticket {
+// next removes and returns the request that runs next among those that tryPlace
+// accepts, and charges its account with the expected cost. It returns nil if
+// tryPlace accepts none. An account's interactive requests precede its background
+// requests.
+func (q *fairQueue) next(tryPlace func(*request) bool) *request {
 	for _, f := range q.backlogged() {
-		for _, line := range [][]*ticket{f.interactive, f.background} {
-			for _, t := range line[:min(scanDepth, len(line))] {
-				if place(t) {
-					q.charge(f, t)
-					return t
+		for _, queue := range [][]*request{f.interactive, f.background} {
+			for _, req := range queue[:min(scanDepth, len(queue))] {
+				if tryPlace(req) {
+					q.charge(f, req)
+					return req
 				}
 			}
 		}
@@ -235,7 +236,7 @@
 	return nil
 }
 
-// backlogged returns the flows with waiting tickets, lowest start tag first.
+// backlogged returns the flows with queued requests, lowest start tag first.
 func (q *fairQueue) backlogged() []*flow {
 	var list []*flow
 	for _, f := range q.flows {
@@ -252,23 +253,23 @@
 	return list
 }
 
-func (q *fairQueue) charge(f *flow, t *ticket) {
-	f.remove(t)
+func (q *fairQueue) charge(f *flow, req *request) {
+	f.remove(req)
 	q.total--
 	f.running++
 	q.virtual = max(q.virtual, f.start)
-	t.charged = f.expect(t.work.Cost)
-	f.start += t.charged / float64(f.share)
+	req.charged = f.expectedCost(req.work.Cost)
+	f.start += req.charged / float64(f.share)
 }
 
-// settle replaces what a grant was charged by its true cost in tokens.
-func (q *fairQueue) settle(t *ticket, cost int64) {
-	f, ok := q.flows[t.work.Account]
+// settle replaces the expected cost that a grant was charged by its actual cost.
+func (q *fairQueue) settle(req *request, cost int64) {
+	f, ok := q.flows[req.work.Account]
 	if !ok {
 		return
 	}
 	f.running--
-	f.learn(t.work.Cost, cost)
-	f.start += (float64(cost) - t.charged) / float64(f.share)
-	q.forget(f)
+	f.recordCost(req.work.Cost, cost)
+	f.start += (float64(cost) - req.charged) / float64(f.share)
+	q.removeIfIdle(f)
 }
--- a/internal/dispatch/fairqueue_test.go
+++ b/internal/dispatch/fairqueue_test.go
@@ -19,7 +19,7 @@
 	return gopter.NewProperties(gopter.DefaultTestParametersWithSeed(seed))
 }
 
-func always(*ticket) bool { return true }
+func acceptAll(*request) bool { return true }
 
 func workOf(account string, share int, cost int64) Work {
 	c := contract.DefaultContract(contract.Account(account))
@@ -28,12 +28,11 @@
 	return Work{Account: c.Account, Contract: c, Cost: cost}
 }
 
-func newTicket(w Work) *ticket { return &ticket{work: w, ready: make(chan outcome, 1)} }
+func newRequest(w Work) *request { return &request{work: w, ready: make(chan outcome, 1)} }
 
-// A large account keeps its queue full while others do too. Were the shares of
-// the contracts not held, the accounts' owners would notice answers at another
-// rate than they pay for. However shares and costs are drawn, no two backlogged
-// accounts' service for their share may differ by more than one request of each.
+// Guards against service that does not follow the shares of the contracts while all
+// queues are full. For any shares and costs, the service per share of two backlogged
+// accounts may differ by at most one request of each.
 func TestUnfairnessIsBoundedByOneRequestOfEach(t *testing.T) {
 	const accounts, maxCost, grants = 5, 1000, 400
 	check := func(shares []int, caseSeed int64) string {
@@ -41,13 +40,13 @@
 		q := newFairQueue(100000)
 		served := make([]float64, accounts)
 		add := func(i int) {
-			q.add(newTicket(workOf(fmt.Sprint(i), shares[i], 1+random.Int63n(maxCost))))
+			q.add(newRequest(workOf(fmt.Sprint(i), shares[i], 1+random.Int63n(maxCost))))
 		}
 		for i := range accounts {
 			add(i)
 		}
 		for range grants {
-			next := q.next(always)
+			next := q.next(acceptAll)
 			var i int
 			_, _ = fmt.Sscan(string(next.work.Account), &i)
 			served[i] += float64(next.work.Cost) / float64(shares[i])
@@ -57,7 +56,7 @@
 				for b := range accounts {
 					bound := maxCost/float64(shares[a]) + maxCost/float64(shares[b])
 					if served[a]-served[b] > bound {
-						return fmt.Sprintf("account %d got %.1f and %d got %.1f tokens for each share, bound %.1f", a, served[a], b, served[b], bound)
+						return fmt.Sprintf("account %d got %.1f and account %d got %.1f tokens per share, want a difference of at most %.1f", a, served[a], b, served[b], bound)
 					}
 				}
 			}
@@ -70,51 +69,51 @@
 	p.TestingRun(t)
 }
 
-// An estimate of a cost is an upper bound and often far too high. An account
-// whose answers end early must not be charged for tokens that it never got,
-// else it is served less than its share.
-func TestCorrectedCostsCountInPlaceOfEstimates(t *testing.T) {
+// Guards against charging an account for tokens that it never got. An estimated cost
+// is an upper bound and often far too high; an account whose answers end early would
+// be served less than its share.
+func TestActualCostsReplaceEstimates(t *testing.T) {
 	q := newFairQueue(1000)
 	served := map[contract.Account]int64{}
-	truth := map[contract.Account]int64{"honest": 100, "early": 25}
-	for account := range truth {
-		q.add(newTicket(workOf(string(account), 100, 100)))
+	trueCost := map[contract.Account]int64{"honest": 100, "early": 25}
+	for account := range trueCost {
+		q.add(newRequest(workOf(string(account), 100, 100)))
 	}
 	for range 500 {
-		next := q.next(always)
-		cost := truth[next.work.Account]
+		next := q.next(acceptAll)
+		cost := trueCost[next.work.Account]
 		served[next.work.Account] += cost
 		q.settle(next, cost)
-		q.add(newTicket(workOf(string(next.work.Account), 100, 100)))
+		q.add(newRequest(workOf(string(next.work.Account), 100, 100)))
 	}
 	difference := served["honest"] - served["early"]
 	if difference < -100 || difference > 100 {
-		t.Fatalf("served %v tokens with equal shares", served)
+		t.Fatalf("served %v tokens with equal shares, want a difference of at most 100", served)
 	}
 }
 
-// A place that stays empty while a request waits that could use it is lost
-// engine time. In any order of arrivals, grants, ends and cancellations a grant
-// must come out whenever a ticket waits whose place is free.
-func TestQueueConservesWork(t *testing.T) {
+// Guards against a free slot while a request is queued that could use it. In any order
+// of arrivals, grants, ends and cancellations, next must return a request whenever one
+// is queued that tryPlace accepts.
+func TestQueueIsWorkConserving(t *testing.T) {
 	check := func(steps []int) string {
 		q := newFairQueue(64)
-		var waiting, running []*ticket
+		var waiting, running []*request
 		for i, step := range steps {
 			switch step % 4 {
 			case 0, 1:
-				t := newTicket(workOf(fmt.Sprint(step%7), 1+step%5, int64(1+step%100)))
-				t.work.Background = step%2 == 0
-				shed := q.add(t)
-				waiting = append(waiting, t)
+				req := newRequest(workOf(fmt.Sprint(step%7), 1+step%5, int64(1+step%100)))
+				req.work.Background = step%2 == 0
+				shed := q.add(req)
+				waiting = append(waiting, req)
 				waiting = without(waiting, shed)
 			case 2:
-				next := q.next(always)
+				next := q.next(acceptAll)
 				if (next == nil) != (len(waiting) == 0) {
-					return fmt.Sprintf("step %d: granted %v with %d waiting", i, next, len(waiting))
+					return fmt.Sprintf("step %d: granted %v with %d queued", i, next, len(waiting))
 				}
 				if next != nil {
-					waiting = without(waiting, []*ticket{next})
+					waiting = without(waiting, []*request{next})
 					running = append(running, next)
 				}
 			case 3:
@@ -122,13 +121,13 @@
 					q.settle(running[0], int64(step%50))
 					running = running[1:]
 				} else if len(waiting) > 0 && !q.cancel(waiting[0]) {
-					return "a waiting ticket was not found"
+					return "a queued request was not found"
 				} else if len(waiting) > 0 {
 					waiting = waiting[1:]
 				}
 			}
 			if q.total != len(waiting) || q.total > 64 {
-				return fmt.Sprintf("step %d: total %d with %d waiting", i, q.total, len(waiting))
+				return fmt.Sprintf("step %d: total %d with %d queued", i, q.total, len(waiting))
 			}
 		}
 		return ""
@@ -138,39 +137,38 @@
 	p.TestingRun(t)
 }
 
-func without(list, gone []*ticket) []*ticket {
-	var kept []*ticket
-	for _, t := range list {
+func without(list, removed []*request) []*request {
+	var remaining []*request
+	for _, req := range list {
 		found := false
-		for _, g := range gone {
-			found = found || g == t
+		for _, r := range removed {
+			found = found || r == req
 		}
 		if !found {
-			kept = append(kept, t)
+			remaining = append(remaining, req)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// Several accounts flood a VM and a small one sends a single request. It would
-// wait for ever if the others could always go first. It must be granted after
-// at most one request of each other account.
+// Guards against starvation of a small account's single request while several accounts
+// flood the VM. It must be granted after at most one request of each other account.
 func TestSingleRequestIsNotStarved(t *testing.T) {
 	check := func(accounts int, costs []int64, share int) string {
 		q := newFairQueue(100000)
 		for i, cost := range costs {
-			q.add(newTicket(workOf(fmt.Sprint(i%accounts), 1000, cost)))
+			q.add(newRequest(workOf(fmt.Sprint(i%accounts), 1000, cost)))
 		}
 		for range len(costs) / 2 {
-			q.next(always)
+			q.next(acceptAll)
 		}
-		q.add(newTicket(workOf("small", share, 1000)))
+		q.add(newRequest(workOf("small", share, 1000)))
 		for granted := 0; ; granted++ {
-			if q.next(always).work.Account == "small" {
+			if q.next(acceptAll).work.Account == "small" {
 				return ""
 			}
 			if granted > accounts {
-				return fmt.Sprintf("not granted after %d others", granted)
+				return fmt.Sprintf("not granted after %d requests of other accounts", granted)
 			}
 		}
 	}
@@ -180,115 +178,114 @@
 	p.TestingRun(t)
 }
 
-// Two accounts flood a VM with requests whose estimates are far above what they
-// get, by changing factors, and are corrected only when they end. A small account
-// that comes meanwhile must not be placed behind tokens that nobody will ever
-// get: its caller would wait for many requests of the others.
-func TestNewcomerIsNotPlacedBehindUncorrectedEstimates(t *testing.T) {
+// Guards against a new account that is queued behind tokens that are never used. Two
+// accounts flood a VM with requests whose estimates exceed their actual costs by varying
+// factors and are corrected only when they end; a small account's caller would wait for
+// many of their requests.
+func TestNewAccountIsNotDelayedByUncorrectedEstimates(t *testing.T) {
 	random := rand.New(rand.NewSource(seed))
 	q := newFairQueue(100000)
-	add := func(account string) { q.add(newTicket(workOf(account, 100, 20+random.Int63n(1000)))) }
-	var running []*ticket
-	step := func() *ticket {
+	add := func(account string) { q.add(newRequest(workOf(account, 100, 20+random.Int63n(1000)))) }
+	var running []*request
+	grantOne := func() *request {
 		if len(running) == 8 {
 			i := random.Intn(8)
 			q.settle(running[i], 1+running[i].work.Cost*random.Int63n(50)/100)
 			running[i] = running[7]
 			running = running[:7]
 		}
-		next := q.next(always)
+		next := q.next(acceptAll)
 		running = append(running, next)
 		return next
 	}
-	others := 0
+	overtakes := 0
 	const rounds = 200
 	for range rounds {
 		for range 20 {
 			add("flood")
 			add("large")
-			step()
+			grantOne()
 		}
 		add("small")
-		for step().work.Account != "small" {
-			others++
+		for grantOne().work.Account != "small" {
+			overtakes++
 		}
 	}
-	if mean := float64(others) / rounds; mean > 1.5 {
-		t.Fatalf("on average %.2f requests of the two others went first", mean)
+	if mean := float64(overtakes) / rounds; mean > 1.5 {
+		t.Fatalf("on average %.2f requests of the two other accounts were granted first, want at most 1.5", mean)
 	}
 }
 
-// A trainer's rollouts and a customer at the booking desk use the same contract.
-// The customer would notice a slow answer, the trainer would not.
-func TestInteractiveGoesBeforeBackgroundOfTheSameAccount(t *testing.T) {
+// Guards against rollouts that delay interactive requests under the same contract: a
+// user notices a slow answer, a trainer does not.
+func TestInteractiveIsGrantedBeforeBackgroundOfTheSameAccount(t *testing.T) {
 	q := newFairQueue(100)
 	background := workOf("fields", 100, 10)
 	background.Background = true
-	q.add(newTicket(background))
-	q.add(newTicket(workOf("fields", 100, 10)))
-	if q.next(always).work.Background {
+	q.add(newRequest(background))
+	q.add(newRequest(workOf("fields", 100, 10)))
+	if q.next(acceptAll).work.Background {
 		t.Fatal("the rollout was granted before the interactive request")
 	}
 }
 
-// One account floods the VM until its queue is full. Were newcomers refused
-// then, the small account would be locked out by the large one and its callers
-// would see only refusals.
-func TestFullQueueShedsTheAccountFurthestAboveItsShare(t *testing.T) {
+// Guards against one account that fills the VM's queue, so that all requests of other
+// accounts are shed.
+func TestFullQueueShedsTheMostBackloggedAccount(t *testing.T) {
 	q := newFairQueue(10)
 	for range 10 {
-		q.add(newTicket(workOf("flood", 100, 100)))
+		q.add(newRequest(workOf("flood", 100, 100)))
 	}
-	small := newTicket(workOf("small", 100, 100))
+	small := newRequest(workOf("small", 100, 100))
 	shed := q.add(small)
 	if len(shed) != 1 || shed[0].work.Account != "flood" {
-		t.Fatalf("shed %d tickets, the first of %q", len(shed), shed[0].work.Account)
+		t.Fatalf("shed %d requests, the first of %q, want one of flood", len(shed), shed[0].work.Account)
 	}
-	again := q.add(newTicket(workOf("flood", 100, 100)))
-	if len(again) != 1 || again[0].work.Account != "flood" {
-		t.Fatal("the flooding account's own newcomer was not shed")
+	shedNext := q.add(newRequest(workOf("flood", 100, 100)))
+	if len(shedNext) != 1 || shedNext[0].work.Account != "flood" {
+		t.Fatal("the new request of the flooding account was not shed")
 	}
 }
 
-// Rollouts fill an account's own queue. An interactive request of the same
-// account must not be refused because of them.
-func TestOwnLimitGivesUpBackgroundForInteractive(t *testing.T) {
+// Guards against an interactive request that is shed because rollouts of the same
+// account fill the account's queue.
+func TestQueueLimitShedsBackgroundForInteractive(t *testing.T) {
 	q := newFairQueue(100)
 	background := workOf("fields", 100, 10)
 	background.Background = true
 	background.Contract.Limits.Queue = 2
-	q.add(newTicket(background))
-	q.add(newTicket(background))
-	if shed := q.add(newTicket(background)); len(shed) != 1 {
-		t.Fatalf("shed %d beyond the account's limit, expected the newcomer", len(shed))
+	q.add(newRequest(background))
+	q.add(newRequest(background))
+	if shed := q.add(newRequest(background)); len(shed) != 1 {
+		t.Fatalf("shed %d requests beyond the account's limit, want the new one", len(shed))
 	}
 	interactive := workOf("fields", 100, 10)
 	interactive.Contract.Limits.Queue = 2
-	shed := q.add(newTicket(interactive))
+	shed := q.add(newRequest(interactive))
 	if len(shed) != 1 || !shed[0].work.Background {
-		t.Fatal("no background request made room for the interactive one")
+		t.Fatal("no background request was shed for the interactive one")
 	}
 }
 
-// An account was away for an hour. Were its idle time credited, it could fill
-// all places on its return and the others would stand still.
+// Guards against credit for idle time: an account that was idle for an hour could take
+// all slots on its return and block the others.
 func TestIdleAccountGetsNoCredit(t *testing.T) {
 	q := newFairQueue(1000)
-	q.add(newTicket(workOf("away", 100, 10)))
-	q.settle(q.next(always), 10)
+	q.add(newRequest(workOf("away", 100, 10)))
+	q.settle(q.next(acceptAll), 10)
 	for range 100 {
-		q.add(newTicket(workOf("busy", 100, 10)))
-		q.settle(q.next(always), 10)
+		q.add(newRequest(workOf("busy", 100, 10)))
+		q.settle(q.next(acceptAll), 10)
 	}
 	for range 20 {
-		q.add(newTicket(workOf("away", 100, 10)))
-		q.add(newTicket(workOf("busy", 100, 10)))
+		q.add(newRequest(workOf("away", 100, 10)))
+		q.add(newRequest(workOf("busy", 100, 10)))
 	}
 	got := map[contract.Account]int{}
 	for range 10 {
-		got[q.next(always).work.Account]++
+		got[q.next(acceptAll).work.Account]++
 	}
 	if got["busy"] < 4 {
-		t.Fatalf("of 10 grants after the return: %v", got)
+		t.Fatalf("of 10 grants after the idle time: %v, want at least 4 of busy", got)
 	}
 }
--- a/internal/dispatch/fifo.go
+++ b/internal/dispatch/fifo.go
@@ -12,12 +12,12 @@
 	"dogwoodpond/internal/upstream"
 )
 
-// FIFO sends each request at once to the next upstream in turn, where it waits
-// in the order of arrival. It is the baseline that measurements compare the
-// Scheduler with.
+// FIFO assigns each request at once to the next upstream in round-robin order,
+// where it waits in the order of arrival. It is the baseline against which the
+// Scheduler is measured.
 type FIFO struct {
 	directory *upstream.Directory
-	turn      atomic.Uint64
+	next      atomic.Uint64
 }
 
 // NewFIFO returns a FIFO over the directory.
@@ -32,14 +32,13 @@
 		}
 	}
 	if len(candidates) == 0 {
-		return Grant{}, errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: defaultWait})
+		return Grant{}, errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: defaultRetryAfter})
 	}
-	chosen := candidates[f.turn.Add(1)%uint64(len(candidates))]
+	chosen := candidates[f.next.Add(1)%uint64(len(candidates))]
 	return Grant{Upstream: chosen, Done: func(Result) {}}, nil
 }
 
-// serves reports whether the list says that an upstream belongs to a pool and
-// takes new work.
+// serves reports whether an upstream is listed as a live member of a pool.
 func serves(u platform.Upstream, pool Pool) bool {
 	if u.State != platform.UpstreamLive || u.Kind != pool.Kind {
 		return false
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -2,8 +2,8 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the counters of a Scheduler. Waits and work are measured around
-// it by the package metrics.
+// metrics are the metrics of a Scheduler. Package metrics measures wait times and
+// work outside the Scheduler.
 type metrics struct {
 	waiting    *prometheus.GaugeVec
 	overcommit *prometheus.GaugeVec
@@ -47,7 +47,7 @@
 	return m
 }
 
-func (m *metrics) granted(c candidate) {
+func (m *metrics) recordGrant(c candidate) {
 	place := placeOwn
 	if !c.own {
 		place = placeBorrowed
@@ -55,12 +55,12 @@
 	m.grants.WithLabelValues(place).Inc()
 }
 
-// pool shows the state of a pool; its lock is held.
-func (m *metrics) pool(p *poolQueue) {
-	beyond := 0
+// updatePool sets the metrics of a pool. The caller holds the pool's lock.
+func (m *metrics) updatePool(p *poolQueue) {
+	overcommitted := 0
 	for id, n := range p.inFlight {
-		beyond += max(0, n-p.division.limits[id])
+		overcommitted += max(0, n-p.assignment.limits[id])
 	}
 	m.waiting.WithLabelValues(p.name.String()).Set(float64(p.queue.total))
-	m.overcommit.WithLabelValues(p.name.String()).Set(float64(beyond))
+	m.overcommit.WithLabelValues(p.name.String()).Set(float64(overcommitted))
 }
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -10,94 +10,94 @@
 	"dogwoodpond/internal/platform"
 )
 
-// candidate is an upstream of a pool with what the picker knows of it.
+// candidate is an upstream of a pool with the data that pick needs.
 type candidate struct {
 	upstream platform.Upstream
-	// room is how many more requests this VM may send there now.
-	room int
-	// own marks an upstream of the VM's own part; others are borrowed.
+	// free is how many more requests this VM may send there now.
+	free int
+	// own marks an upstream where this VM has a quota; slots of others are borrowed.
 	own bool
-	// near marks an upstream of the own failure domain.
-	near bool
-	// probe marks an upstream whose next request decides about its return.
+	// sameDomain marks an upstream of this VM's failure domain.
+	sameDomain bool
+	// probe marks an ejected upstream whose next request decides whether it is restored.
 	probe bool
-	// load is the expected number of requests for each slot there.
+	// load is the expected number of requests per slot there.
 	load float64
-	// version is the weight version that the engine reports, or 0 while there is
-	// no fresh report.
+	// version is the weight version that the engine reports, or 0 without a fresh
+	// report.
 	version int64
 }
 
-// pick chooses among the candidates that accept the work and have room: own
-// parts before borrowed places, near before far. Work with an affinity goes to
-// the first with room in the order of its rendezvous hash, so that requests
-// with a shared prefix meet on one engine as long as its part lasts, and the
-// next engine after that is the same for all of them. Other work goes to the
-// less loaded of two at random: taking always the least loaded would send all
-// VMs to the same engine as long as its report lags. It returns -1 for none.
+// pick chooses among the candidates that accept the work and have free slots. It
+// prefers own quotas to borrowed slots, and then the VM's own failure domain. Work
+// with an affinity goes to the first such candidate in the order of its rendezvous
+// hash: requests with a shared prefix meet on one engine as long as the VM's quota
+// there lasts, and then all on the same next engine. Other work goes to the less
+// loaded of two random candidates. Always choosing the least loaded would send all
+// VMs to the same engine while its report lags. It returns -1 for none.
 func pick(candidates []candidate, work Work, accepts func(candidate) bool) int {
-	var open []int
+	var eligible []int
 	for i, c := range candidates {
-		if c.room > 0 && accepts(c) {
-			open = append(open, i)
+		if c.free > 0 && accepts(c) {
+			eligible = append(eligible, i)
 		}
 	}
-	if len(open) == 0 {
+	if len(eligible) == 0 {
 		return -1
 	}
-	open = nearest(candidates, open)
+	eligible = bestClass(candidates, eligible)
 	if work.Affinity != 0 {
-		return slices.MaxFunc(open, func(a, b int) int {
+		return slices.MaxFunc(eligible, func(a, b int) int {
 			return cmp.Compare(rendezvous(work.Affinity, candidates[a].upstream.ID), rendezvous(work.Affinity, candidates[b].upstream.ID))
 		})
 	}
-	a := open[rand.IntN(len(open))]
-	b := open[rand.IntN(len(open))]
+	a := eligible[rand.IntN(len(eligible))]
+	b := eligible[rand.IntN(len(eligible))]
 	if candidates[b].load < candidates[a].load {
 		return b
 	}
 	return a
 }
 
-// nearest keeps the best class of the open candidates.
-func nearest(candidates []candidate, open []int) []int {
+// bestClass returns the eligible candidates of the most preferred class.
+func bestClass(candidates []candidate, eligible []int) []int {
 	class := func(i int) int {
 		c := candidates[i]
 		switch {
-		case c.own && c.near:
+		case c.own && c.sameDomain:
 			return 0
 		case c.own:
 			return 1
-		case c.near:
+		case c.sameDomain:
 			return 2
 		default:
 			return 3
 		}
 	}
-	best := class(open[0])
-	for _, i := range open {
+	best := class(eligible[0])
+	for _, i := range eligible {
 		best = min(best, class(i))
 	}
-	return slices.DeleteFunc(open, func(i int) bool { return class(i) != best })
+	return slices.DeleteFunc(eligible, func(i int) bool { return class(i) != best })
 }
 
-// rendezvous returns the weight of a name for a key.
+// rendezvous returns the rendezvous weight of a name for a key.
 func rendezvous(key uint64, name string) uint64 {
 	d := xxhash.NewWithSeed(key)
 	_, _ = d.WriteString(name)
 	return d.Sum64()
 }
 
-// lends reports whether an engine lends places to a VM: each engine lends to a
-// few VMs only, the same whoever computes it, so that a fleet that sees one
-// idle engine can't overrun it.
-func lends(engine, vm string, members []Member, borrowers int) bool {
+// mayBorrow reports whether a VM may borrow slots of an engine. The maxBorrowers
+// VMs with the highest weights may, and every VM computes the same ones. The limit
+// keeps a fleet that sees one idle engine from overloading it.
+func mayBorrow(engine, vm string, members []Member, maxBorrowers int) bool {
 	own := borrowWeight(engine, vm)
-	before := 0
+	ahead := 0
 	for _, m := range members {
 		if m.VM != vm && borrowWeight(engine, m.VM) > own {
-			before++
-			if before >= borrowers {
+			ahead++
+			if ahead >= maxBorrowers {
 				return false
 			}
 		}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -14,35 +14,35 @@
 	"dogwoodpond/internal/upstream"
 )
 
-// poolQueue holds the waiting and running work of one pool.
+// poolQueue holds the queued and running requests of one pool.
 type poolQueue struct {
 	scheduler *Scheduler
 	name      Pool
 
-	mu       sync.Mutex
-	queue    *fairQueue
-	inFlight map[string]int
-	drain    drainMeter
-	division division
-	// usedAt is when the latest request came.
-	usedAt time.Time
+	mu         sync.Mutex
+	queue      *fairQueue
+	inFlight   map[string]int
+	drain      drainMeter
+	assignment assignment
+	// lastUsed is the time of the latest request.
+	lastUsed time.Time
 }
 
-// queueLimit is how many requests may wait for one pool.
+// queueLimit is the largest number of queued requests of one pool.
 const queueLimit = 4096
 
 func newPoolQueue(s *Scheduler, name Pool) *poolQueue {
 	return &poolQueue{scheduler: s, name: name, queue: newFairQueue(queueLimit), inFlight: make(map[string]int)}
 }
 
-// enter queues a ticket. Its outcome comes on the ticket's channel, at once if
-// it is shed.
-func (p *poolQueue) enter(t *ticket) {
+// enqueue queues a request. Its outcome is sent to req.ready, at once if it is
+// shed.
+func (p *poolQueue) enqueue(req *request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.usedAt = now
-	for _, victim := range p.queue.add(t) {
+	p.lastUsed = now
+	for _, victim := range p.queue.add(req) {
 		p.scheduler.metrics.shed.WithLabelValues(string(victim.work.Account)).Inc()
 		victim.ready <- outcome{err: errors.WithStack(&fault.QueueFull{
 			Account: string(victim.work.Account),
@@ -52,76 +52,76 @@
 	p.grantAll(now)
 }
 
-// leave takes a ticket back and reports whether it was still waiting.
-func (p *poolQueue) leave(t *ticket) (wait time.Duration, waiting bool) {
+// cancel removes a request and reports whether it was still queued, and the retry-after time.
+func (p *poolQueue) cancel(req *request) (wait time.Duration, waiting bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	wait = p.retryAfter(t.work)
-	return wait, p.queue.cancel(t)
+	wait = p.retryAfter(req.work)
+	return wait, p.queue.cancel(req)
 }
 
-// retryAfter tells when a refused caller of an account should come back.
+// retryAfter returns the time after which a rejected caller of an account should retry.
 func (p *poolQueue) retryAfter(w Work) time.Duration {
-	own, sum, waiting := max(1, w.Contract.Share), 0, 0
+	share, totalShare, waiting := max(1, w.Contract.Share), 0, 0
 	for _, f := range p.queue.flows {
 		if f.waiting() == 0 {
 			continue
 		}
-		sum += f.share
+		totalShare += f.share
 		if f.account == w.Account {
 			waiting = f.waiting()
 		}
 	}
-	return p.drain.retryAfter(waiting, float64(own)/float64(max(own, sum)), time.Now())
+	return p.drain.retryAfter(waiting, float64(share)/float64(max(share, totalShare)), time.Now())
 }
 
-func (p *poolQueue) pump() {
+func (p *poolQueue) grantQueued() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.grantAll(time.Now())
 }
 
-// tick ends the wait of work that no listed upstream can run any more, and
-// grants what has become possible.
+// tick fails queued work that no listed upstream can run any more, and grants
+// what has become possible.
 func (p *poolQueue) tick() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.endHopeless()
+	p.failUnservable()
 	p.grantAll(time.Now())
-	p.scheduler.metrics.pool(p)
+	p.scheduler.metrics.updatePool(p)
 }
 
-func (p *poolQueue) endHopeless() {
-	hopeful := make(map[hopeClass]bool)
+func (p *poolQueue) failUnservable() {
+	servable := make(map[eligibility]bool)
 	for _, f := range p.queue.flows {
-		for _, t := range slices.Concat(f.interactive, f.background) {
-			class := classOf(t.work)
-			known, judged := hopeful[class]
-			if !judged {
-				known = p.scheduler.known(t.work)
-				hopeful[class] = known
+		for _, req := range slices.Concat(f.interactive, f.background) {
+			key := eligibilityOf(req.work)
+			canRun, cached := servable[key]
+			if !cached {
+				canRun = p.scheduler.servable(req.work)
+				servable[key] = canRun
 			}
-			if !known && p.queue.cancel(t) {
-				t.ready <- outcome{err: noUpstream(t.work)}
+			if !canRun && p.queue.cancel(req) {
+				req.ready <- outcome{err: noUpstream(req.work)}
 			}
 		}
 	}
 }
 
-// hopeClass groups the tickets that the same upstreams of a pool can run.
-type hopeClass struct {
+// eligibility groups the requests that can run on the same upstreams of a pool.
+type eligibility struct {
 	reclaimable bool
 	excluded    string
 }
 
-func classOf(w Work) hopeClass {
-	return hopeClass{
+func eligibilityOf(w Work) eligibility {
+	return eligibility{
 		reclaimable: w.Repeatable && w.Contract.Reclaimable.Percent > 0,
 		excluded:    strings.Join(w.Exclude, " "),
 	}
 }
 
-// grantAll grants places as long as a ticket fits one.
+// grantAll grants slots until no queued request fits a free one.
 func (p *poolQueue) grantAll(now time.Time) {
 	if p.queue.total == 0 {
 		return
@@ -129,97 +129,97 @@
 	candidates := p.candidates(now)
 	for {
 		chosen := -1
-		t := p.queue.next(func(t *ticket) bool {
-			chosen = p.place(candidates, t.work)
+		req := p.queue.next(func(req *request) bool {
+			chosen = p.place(candidates, req.work)
 			return chosen >= 0
 		})
-		if t == nil {
+		if req == nil {
 			return
 		}
 		c := &candidates[chosen]
-		c.room--
+		c.free--
 		c.load += 1 / float64(max(1, c.upstream.Slots))
-		t.ready <- outcome{grant: p.grant(t, *c, now)}
+		req.ready <- outcome{grant: p.grant(req, *c, now)}
 	}
 }
 
-// place picks an upstream for work and counts it for its account.
+// place picks an upstream for work and counts the work for its account.
 func (p *poolQueue) place(candidates []candidate, w Work) int {
-	book := p.scheduler.account(w.Account)
-	mayReclaim := book.allowsReclaimable(w)
+	account := p.scheduler.account(w.Account)
+	mayUseReclaimable := account.allowsReclaimable(w)
 	chosen := pick(candidates, w, func(c candidate) bool {
-		return mayUse(c.upstream, w) && (mayReclaim || !c.upstream.Reclaimable) && c.freshEnough(w)
+		return mayUse(c.upstream, w) && (mayUseReclaimable || !c.upstream.Reclaimable) && c.meetsMinVersion(w)
 	})
-	if chosen >= 0 && !book.begin(w, candidates[chosen].upstream.Reclaimable) {
+	if chosen >= 0 && !account.tryAcquire(w, candidates[chosen].upstream.Reclaimable) {
 		return -1
 	}
 	return chosen
 }
 
-// freshEnough reports whether the engine's weights will do for the work. One that
-// failed its swap is so left out by the work that it would make stale, until it
-// reports new weights. Without a fresh report it gets the benefit of the doubt,
-// since whoever receives the answer checks its versions.
-func (c candidate) freshEnough(w Work) bool {
+// meetsMinVersion reports whether the engine's weights are new enough for the work.
+// An engine whose weight load failed gets no work that requires newer weights until it
+// reports them. Without a fresh report the engine is accepted: the receiver of the
+// answer checks its versions.
+func (c candidate) meetsMinVersion(w Work) bool {
 	return c.version == 0 || c.version >= w.MinVersion
 }
 
-func (p *poolQueue) grant(t *ticket, c candidate, now time.Time) Grant {
+func (p *poolQueue) grant(req *request, c candidate, now time.Time) Grant {
 	u := c.upstream
 	p.inFlight[u.ID]++
 	if c.probe {
 		p.scheduler.config.Health.Probe(u.ID)
 	}
-	p.scheduler.metrics.granted(c)
+	p.scheduler.metrics.recordGrant(c)
 	var done atomic.Bool
 	return Grant{Upstream: u, Done: func(r Result) {
 		if done.CompareAndSwap(false, true) {
-			p.finish(t, u, r, now)
+			p.finish(req, u, r, now)
 		}
 	}}
 }
 
-// finish returns a place and corrects what its account was charged.
-func (p *poolQueue) finish(t *ticket, u platform.Upstream, r Result, begun time.Time) {
+// finish releases a slot and corrects the cost that its account was charged.
+func (p *poolQueue) finish(req *request, u platform.Upstream, r Result, started time.Time) {
 	now := time.Now()
-	p.judge(u, r, now.Sub(begun), now)
-	wasFull := p.scheduler.account(t.work.Account).end(t.work, u.Reclaimable, r.Cost)
+	p.recordHealth(u, r, now.Sub(started), now)
+	wasFull := p.scheduler.account(req.work.Account).release(req.work, u.Reclaimable, r.Cost)
 	p.mu.Lock()
 	p.inFlight[u.ID]--
 	if p.inFlight[u.ID] == 0 {
 		delete(p.inFlight, u.ID)
 	}
-	p.queue.settle(t, r.Cost)
-	p.drain.ended(now)
+	p.queue.settle(req, r.Cost)
+	p.drain.recordEnd(now)
 	p.grantAll(now)
 	p.mu.Unlock()
 	if wasFull {
-		p.scheduler.wakeOthers(p)
+		p.scheduler.grantInOtherPools(p)
 	}
 }
 
-// judge tells the health book how the upstream did.
-func (p *poolQueue) judge(u platform.Upstream, r Result, took time.Duration, now time.Time) {
+// recordHealth reports the result of an attempt to the upstream's health record.
+func (p *poolQueue) recordHealth(u platform.Upstream, r Result, elapsed time.Duration, now time.Time) {
 	health := p.scheduler.config.Health
-	peers := p.peers()
+	peers := p.upstreamIDs()
 	switch {
 	case r.Failed:
 		health.Failed(u.ID, peers, now)
 	case r.Cost > 0:
-		health.Succeeded(u.ID, peers, took/time.Duration(r.Cost), now)
+		health.Succeeded(u.ID, peers, elapsed/time.Duration(r.Cost), now)
 	default:
 		health.Abandon(u.ID)
 	}
 }
 
-// peers returns the names of the pool's upstreams as last listed.
-func (p *poolQueue) peers() []string {
+// upstreamIDs returns the IDs of the pool's upstreams as last listed.
+func (p *poolQueue) upstreamIDs() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.division.ids
+	return p.assignment.ids
 }
 
-// demand returns what each account asks of the pool. Only engines are shared by
+// demand returns each account's demand for the pool. Only engines are shared by
 // demand.
 func (p *poolQueue) demand() []FlowDemand {
 	if p.name.Kind != platform.KindEngine {
@@ -243,12 +243,12 @@
 	return list
 }
 
-// hash shortens the pool's name for digests.
+// hash returns the hash that stands for the pool in digests.
 func (p Pool) hash() uint32 { return hash32(string(p.Kind) + "/" + p.String()) }
 
-// expectedLoad returns the requests for each slot that the VM expects at an
-// upstream: its own, and of the reported others what the report's age leaves.
-func expectedLoad(u platform.Upstream, own int, report upstream.Report, now time.Time) float64 {
-	others := max(0, report.Running+report.Waiting-own)
-	return (float64(own) + report.Weight(now)*float64(others)) / float64(max(1, u.Slots))
+// expectedLoad returns the expected requests per slot at an upstream: this VM's own,
+// and the other reported ones weighted by the report's age.
+func expectedLoad(u platform.Upstream, inFlight int, report upstream.Report, now time.Time) float64 {
+	others := max(0, report.Running+report.Waiting-inFlight)
+	return (float64(inFlight) + report.Weight(now)*float64(others)) / float64(max(1, u.Slots))
 }
--- a/internal/dispatch/reachable_test.go
+++ b/internal/dispatch/reachable_test.go
@@ -16,7 +16,7 @@
 	return ids
 }
 
-func saying(vm, domain string, engines ...string) Member {
+func memberReporting(vm, domain string, engines ...string) Member {
 	m := Member{VM: vm, FailureDomain: domain, Heard: true}
 	for _, e := range engines {
 		m.Unreachable = append(m.Unreachable, engineID(e))
@@ -24,67 +24,67 @@
 	return m
 }
 
-// The platform takes two of three engines back and lists them for a while
-// longer. The VM whose part they were would wait for engines that never answer,
-// while the third is idle; its callers would notice waits of many seconds.
-func TestPartsOfGoneEnginesAreSharedAnew(t *testing.T) {
+// Guards against quotas on dead engines. The platform stops two of three engines but
+// lists them for a while longer; requests of the VM with quotas there would wait many
+// seconds for engines that never answer, while the third engine is idle.
+func TestUnreachableEnginesAreNotShared(t *testing.T) {
 	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8), engineOf("e3", "b", 8)}
-	members := []Member{saying("vm-b1", "b", "e2", "e3"), saying("vm-b2", "b", "e2", "e3")}
+	members := []Member{memberReporting("vm-b1", "b", "e2", "e3"), memberReporting("vm-b2", "b", "e2", "e3")}
 	if got := names(reachable(list, members)); !slices.Equal(got, []string{"e1"}) {
 		t.Errorf("%v are shared, want e1", got)
 	}
 	for _, vm := range []string{"vm-b1", "vm-b2"} {
-		d := division{list: list, limits: make(parts), borrowed: make(map[string]bool)}
-		d.shared(vm, "b", berryPool.hash(), members)
-		if d.limits["e1"] == 0 {
-			t.Errorf("%s has no part of the engine that answers: %v", vm, d.limits)
+		a := assignment{upstreams: list, limits: make(allocation), borrowed: make(map[string]bool)}
+		a.assignShared(vm, "b", berryPool.hash(), members)
+		if a.limits["e1"] == 0 {
+			t.Errorf("%s has no slots of the engine that answers: %v", vm, a.limits)
 		}
-		if d.limits["e2"] > 1 || d.limits["e3"] > 1 {
-			t.Errorf("%s still has parts of the engines that are gone: %v", vm, d.limits)
+		if a.limits["e2"] > 1 || a.limits["e3"] > 1 {
+			t.Errorf("%s still has a quota on unreachable engines: %v", vm, a.limits)
 		}
 	}
 }
 
-// A VM's own network breaks, a digest is wrong, or two failure domains are cut
-// off from each other. Engines that the others reach must stay theirs, or one
-// VM's trouble would stop the work of all.
-func TestOneVMCanNotTakeEnginesAway(t *testing.T) {
+// Guards against one VM's fault that takes engines away from all VMs: its own network
+// fails, a digest is wrong, or two failure domains are partitioned. Engines that other
+// VMs reach must stay.
+func TestSingleVMCanNotExcludeEngines(t *testing.T) {
 	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
 	cases := []struct {
 		name    string
 		members []Member
 	}{
-		{"one VM says so", []Member{saying("vm-b1", "b", "e1"), saying("vm-b2", "b")}},
-		{"one VM says so twice", []Member{saying("vm-b1", "b", "e1", "e1"), saying("vm-b2", "b")}},
-		{"VMs of another failure domain say so", []Member{
-			saying("vm-a1", "a", "e1"), saying("vm-a2", "a", "e1"), saying("vm-b1", "b"), saying("vm-b2", "b"),
+		{"one VM reports an engine", []Member{memberReporting("vm-b1", "b", "e1"), memberReporting("vm-b2", "b")}},
+		{"one VM reports an engine twice", []Member{memberReporting("vm-b1", "b", "e1", "e1"), memberReporting("vm-b2", "b")}},
+		{"VMs of another failure domain report an engine", []Member{
+			memberReporting("vm-a1", "a", "e1"), memberReporting("vm-a2", "a", "e1"), memberReporting("vm-b1", "b"), memberReporting("vm-b2", "b"),
 		}},
-		{"all engines seem gone", []Member{saying("vm-b1", "b", "e1", "e2"), saying("vm-b2", "b", "e1", "e2")}},
+		{"all engines are reported", []Member{memberReporting("vm-b1", "b", "e1", "e2"), memberReporting("vm-b2", "b", "e1", "e2")}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := reachable(list, c.members); len(got) != len(list) {
-				t.Errorf("only %v are shared", names(got))
+				t.Errorf("only %v are shared, want all engines", names(got))
 			}
 		})
 	}
 }
 
-// An engine that is not shared must still be asked for its load, or it would
-// never come back.
-func TestGoneEngineIsStillAsked(t *testing.T) {
+// Guards against an engine that is excluded forever: while its slots are not divided,
+// some VMs must still poll its load.
+func TestUnreachableEngineIsStillPolled(t *testing.T) {
 	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
 	var members []Member
 	for _, vm := range []string{"vm-b1", "vm-b2", "vm-b3", "vm-b4"} {
-		members = append(members, saying(vm, "b", "e2"))
+		members = append(members, memberReporting(vm, "b", "e2"))
 	}
-	keepers := 0
+	pollers := 0
 	for _, m := range members {
-		if keptBy(m.VM, "b", list, members)["e2"] {
-			keepers++
+		if monitoredEngines(m.VM, "b", list, members)["e2"] {
+			pollers++
 		}
 	}
-	if keepers != votesUntilGone {
-		t.Errorf("%d VMs ask the engine, want %d", keepers, votesUntilGone)
+	if pollers != unreachableQuorum {
+		t.Errorf("%d VMs poll the engine, want %d", pollers, unreachableQuorum)
 	}
 }
--- a/internal/dispatch/reclaimable.go
+++ b/internal/dispatch/reclaimable.go
@@ -1,36 +1,36 @@
 package dispatch
 
-// reclaimMeter holds an account's repeatable work on reclaimable upstreams
-// under the contract's percentage, by cost in tokens. Work under way counts in
-// full on reclaimable upstreams and not at all elsewhere: were estimates of
-// unfinished work counted as work done, the share could be found exceeded once
-// the true costs are known.
-type reclaimMeter struct {
-	// settled is the true cost of all repeatable work that has ended, reclaimed
-	// the part of it that ran on reclaimable upstreams.
-	settled   int64
-	reclaimed int64
-	// pending is the estimate of what runs on reclaimable upstreams now.
+// reclaimableLimiter limits an account's repeatable work on reclaimable upstreams to
+// the contract's percentage, by cost in tokens. Unfinished work counts in full on
+// reclaimable upstreams and not at all elsewhere. If estimates of unfinished work
+// counted as completed work, the limit could turn out to be exceeded once the
+// actual costs are known.
+type reclaimableLimiter struct {
+	// completed is the actual cost of all repeatable work that has ended,
+	// onReclaimable the part of it that ran on reclaimable upstreams.
+	completed     int64
+	onReclaimable int64
+	// pending is the estimated cost of work running on reclaimable upstreams.
 	pending int64
 }
 
-const wholePercent = 100
+const fullPercent = 100
 
-// allows reports whether work of a cost may go to a reclaimable upstream.
-func (m *reclaimMeter) allows(percent int, cost int64) bool {
-	if percent >= wholePercent {
+// allows reports whether work of a cost may run on a reclaimable upstream.
+func (l *reclaimableLimiter) allows(percent int, cost int64) bool {
+	if percent >= fullPercent {
 		return true
 	}
-	return (m.reclaimed+m.pending+cost)*wholePercent <= int64(percent)*m.settled
+	return (l.onReclaimable+l.pending+cost)*fullPercent <= int64(percent)*l.completed
 }
 
-func (m *reclaimMeter) begin(cost int64) { m.pending += cost }
+func (l *reclaimableLimiter) begin(cost int64) { l.pending += cost }
 
-// end notes the true cost of repeatable work.
-func (m *reclaimMeter) end(reclaimable bool, estimate, cost int64) {
-	m.settled += cost
+// end records the actual cost of repeatable work.
+func (l *reclaimableLimiter) end(reclaimable bool, estimate, cost int64) {
+	l.completed += cost
 	if reclaimable {
-		m.pending -= estimate
-		m.reclaimed += cost
+		l.pending -= estimate
+		l.onReclaimable += cost
 	}
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -16,51 +16,51 @@
 	"dogwoodpond/internal/upstream"
 )
 
-// Config holds what a Scheduler is built from.
+// Config configures a Scheduler.
 type Config struct {
 	VM            string
 	FailureDomain string
 	Directory     *upstream.Directory
 	Loads         *upstream.Loads
 	Health        *upstream.Health
-	// Members returns the live VMs with their demands, this one included. Nil
-	// leaves the engines unshared: the VM then fills all slots itself.
+	// Members returns the live VMs with their demands, this one included. If nil,
+	// the engines are not shared and the VM may fill all slots itself.
 	Members func() []Member
 	Events  *event.Recorder
-	// Registerer takes the metrics.
+	// Registerer registers the metrics if it is not nil.
 	Registerer prometheus.Registerer
 }
 
-// Scheduler is the fair Dispatcher of a VM. Each pool has a queue and a lock
-// of its own, so that requests for different pools never wait for each other.
+// Scheduler is the fair Dispatcher of a VM. Each pool has its own queue and lock,
+// so requests for different pools never wait for each other.
 type Scheduler struct {
 	config  Config
 	metrics *metrics
-	// seen is used by Run only.
-	seen listReview
+	// tracker is used by Run only.
+	tracker upstreamTracker
 
 	mu       sync.RWMutex
 	pools    map[Pool]*poolQueue
-	accounts map[contract.Account]*accountBook
+	accounts map[contract.Account]*accountState
 }
 
-// tickPeriod is how long a change of the lists, reports or parts may go unseen.
-const tickPeriod = 100 * time.Millisecond
+// tickInterval is the longest delay until a change of lists, reports or quotas is noticed.
+const tickInterval = 100 * time.Millisecond
 
-// NewScheduler returns a scheduler without any work. Run must run for it to
-// notice changes while no request comes or ends.
+// NewScheduler returns a scheduler without any work. Run must be running for it to
+// notice changes while no request starts or ends.
 func NewScheduler(config Config) *Scheduler {
 	return &Scheduler{
 		config:   config,
 		metrics:  newMetrics(config.Registerer),
 		pools:    make(map[Pool]*poolQueue),
-		accounts: make(map[contract.Account]*accountBook),
+		accounts: make(map[contract.Account]*accountState),
 	}
 }
 
-// Run lets waiting work see changes of the lists, until ctx ends.
+// Run applies changes of the lists to queued work until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) {
-	ticker := time.NewTicker(tickPeriod)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -73,7 +73,7 @@
 }
 
 func (s *Scheduler) tick() {
-	s.seen.review(s.config)
+	s.tracker.update(s.config)
 	s.metrics.ejected.Set(float64(s.config.Health.Out()))
 	for _, p := range s.allPools() {
 		p.tick()
@@ -92,27 +92,27 @@
 
 // Acquire implements Dispatcher.
 func (s *Scheduler) Acquire(ctx context.Context, work Work) (Grant, error) {
-	if !s.known(work) {
+	if !s.servable(work) {
 		return Grant{}, noUpstream(work)
 	}
 	p := s.pool(work.Pool)
-	t := &ticket{work: work, ready: make(chan outcome, 1)}
-	p.enter(t)
+	req := &request{work: work, ready: make(chan outcome, 1)}
+	p.enqueue(req)
 	select {
-	case o := <-t.ready:
+	case o := <-req.ready:
 		return o.grant, o.err
 	case <-ctx.Done():
-		return s.giveUp(ctx, p, t)
+		return s.cancelAcquire(ctx, p, req)
 	}
 }
 
-// giveUp takes a ticket back whose context ended. A grant that came at the same
-// time is returned unused: nobody would ever call its Done, and its place would
-// be lost for good.
-func (s *Scheduler) giveUp(ctx context.Context, p *poolQueue, t *ticket) (Grant, error) {
-	wait, waiting := p.leave(t)
+// cancelAcquire removes a request whose context ended. A grant that was made at the
+// same time is returned unused: nobody would call its Done, and its slot would be
+// lost permanently.
+func (s *Scheduler) cancelAcquire(ctx context.Context, p *poolQueue, req *request) (Grant, error) {
+	wait, waiting := p.cancel(req)
 	if !waiting {
-		if o := <-t.ready; o.grant.Done != nil {
+		if o := <-req.ready; o.grant.Done != nil {
 			o.grant.Done(Result{})
 		}
 	}
@@ -122,17 +122,17 @@
 	return Grant{}, errors.WithStack(&fault.CallerGone{})
 }
 
-// known reports whether any listed upstream could run the work. Names of pools
-// come from callers; only listed ones get a queue, so that callers can't make
-// the state grow.
-func (s *Scheduler) known(work Work) bool {
+// servable reports whether any listed upstream could run the work. Names of pools
+// come from callers. Only listed pools get a queue, so that callers can't make the
+// state grow.
+func (s *Scheduler) servable(work Work) bool {
 	return slices.ContainsFunc(s.config.Directory.Load(), func(u platform.Upstream) bool {
 		return serves(u, work.Pool) && mayUse(u, work)
 	})
 }
 
 func noUpstream(work Work) error {
-	return errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: defaultWait})
+	return errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: defaultRetryAfter})
 }
 
 func (s *Scheduler) pool(name Pool) *poolQueue {
@@ -151,32 +151,32 @@
 	return p
 }
 
-func (s *Scheduler) account(name contract.Account) *accountBook {
+func (s *Scheduler) account(name contract.Account) *accountState {
 	s.mu.RLock()
-	b, ok := s.accounts[name]
+	a, ok := s.accounts[name]
 	s.mu.RUnlock()
 	if ok {
-		return b
+		return a
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if b, ok = s.accounts[name]; !ok {
-		b = &accountBook{}
-		s.accounts[name] = b
+	if a, ok = s.accounts[name]; !ok {
+		a = &accountState{}
+		s.accounts[name] = a
 	}
-	return b
+	return a
 }
 
-// wakeOthers lets the pools look again after an account left its limit.
-func (s *Scheduler) wakeOthers(but *poolQueue) {
+// grantInOtherPools grants queued work in the other pools after an account left its limit.
+func (s *Scheduler) grantInOtherPools(except *poolQueue) {
 	for _, p := range s.allPools() {
-		if p != but {
-			p.pump()
+		if p != except {
+			p.grantQueued()
 		}
 	}
 }
 
-// Demand returns the demands of this VM, the greatest first, for its digest.
+// Demand returns the demands of this VM, largest first, for its digest.
 func (s *Scheduler) Demand() []FlowDemand {
 	var list []FlowDemand
 	for _, p := range s.allPools() {
@@ -186,8 +186,8 @@
 	return list
 }
 
-// Unreachable returns the short names of the watched engines that did not answer
-// the last asks for their load, for this VM's digest.
+// Unreachable returns the hashed IDs of the polled engines that did not answer the
+// last load polls, for this VM's digest.
 func (s *Scheduler) Unreachable() []uint32 {
 	var list []uint32
 	for _, u := range s.Watched() {
@@ -198,11 +198,11 @@
 	return list
 }
 
-// Watched returns the engines whose load reports this VM needs.
+// Watched returns the engines whose load this VM must poll.
 func (s *Scheduler) Watched() []platform.Upstream {
 	var list []platform.Upstream
 	for _, p := range s.allPools() {
-		list = append(list, p.watched()...)
+		list = append(list, p.polled()...)
 	}
 	return list
 }
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -26,11 +26,11 @@
 	}
 }
 
-func quietRecorder() *event.Recorder {
+func newRecorder() *event.Recorder {
 	return event.NewRecorder("vm-a1", 1024, event.NewClock(time.Now), zap.NewNop())
 }
 
-// testVM is a scheduler with its parts.
+// testVM is a scheduler with its dependencies.
 type testVM struct {
 	*Scheduler
 	directory *upstream.Directory
@@ -39,7 +39,7 @@
 }
 
 func newTestVM(ctx context.Context, upstreams ...platform.Upstream) testVM {
-	vm := testVM{directory: upstream.NewDirectory(), loads: upstream.NewLoads(), events: quietRecorder()}
+	vm := testVM{directory: upstream.NewDirectory(), loads: upstream.NewLoads(), events: newRecorder()}
 	vm.directory.Replace(upstreams)
 	vm.Scheduler = NewScheduler(Config{
 		VM:            "vm-a1",
@@ -60,19 +60,19 @@
 	return w
 }
 
-// slowEngine serves slots requests at once, in the order of arrival.
-type slowEngine struct{ slots chan struct{} }
+// fakeEngine serves as many requests concurrently as it has slots, in the order of arrival.
+type fakeEngine struct{ slots chan struct{} }
 
-func (e *slowEngine) serve(d time.Duration) {
+func (e *fakeEngine) serve(d time.Duration) {
 	e.slots <- struct{}{}
 	time.Sleep(d)
 	<-e.slots
 }
 
-// floodAndAsk lets one account send 200 long requests at once and another one
-// a second later, and returns how long the other waited for its answer.
-func floodAndAsk(d Dispatcher) time.Duration {
-	e := &slowEngine{slots: make(chan struct{}, 4)}
+// smallAccountLatency lets one account send 200 long requests at once and another account
+// one request a second later. It returns the latency of the second account's request.
+func smallAccountLatency(d Dispatcher) time.Duration {
+	e := &fakeEngine{slots: make(chan struct{}, 4)}
 	run := func(account string) {
 		g, err := d.Acquire(context.Background(), engineWork(account, 100))
 		if err != nil {
@@ -86,34 +86,33 @@
 		all.Go(func() { run("flood") })
 	}
 	time.Sleep(time.Second + time.Millisecond)
-	begun := time.Now()
+	started := time.Now()
 	run("small")
-	took := time.Since(begun)
+	elapsed := time.Since(started)
 	all.Wait()
-	return took
+	return elapsed
 }
 
-// One account sends 200 long requests at once, and another asks for one answer
-// meanwhile. With a plain queue its caller waits until the whole flood has been
-// served; with the fair queue for one place to come free, at most.
+// Guards against a flood of 200 long requests that delays another account's single
+// request. In a FIFO queue the request waits until the whole flood has been served, in
+// the fair queue at most until one slot is free.
 func TestFloodDoesNotDelayASmallAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		vm := newTestVM(ctx, engineOf("e1", "a", 4))
-		if fair := floodAndAsk(vm); fair > 2*time.Second {
+		if fair := smallAccountLatency(vm); fair > 2*time.Second {
 			t.Fatalf("the small account waited %v for an answer that takes 1s", fair)
 		}
-		if plain := floodAndAsk(NewFIFO(vm.directory)); plain < 40*time.Second {
-			t.Fatalf("the baseline took only %v: the test shows nothing", plain)
+		if plain := smallAccountLatency(NewFIFO(vm.directory)); plain < 40*time.Second {
+			t.Fatalf("the small account waited only %v with FIFO, want at least 40s for the comparison to be valid", plain)
 		}
 	})
 }
 
-// A request beyond the queue's limit must hear so at once, with the time after
-// which the queue will have drained, for a caller held in doubt can do nothing
-// else meanwhile.
-func TestRefusalComesAtOnceWithTheMeasuredTime(t *testing.T) {
+// Guards against a request beyond the queue's limit that waits instead of being
+// rejected at once with the time after which the queue will have drained.
+func TestRequestBeyondQueueLimitIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -125,28 +124,28 @@
 			go func() { _, _ = vm.Acquire(ctx, work) }()
 		}
 		synctest.Wait()
-		begun := time.Now()
+		started := time.Now()
 		for range 2 {
 			go func() { _, _ = vm.Acquire(ctx, work) }()
 		}
 		synctest.Wait()
 		_, err := vm.Acquire(ctx, work)
 		if !fault.Is[*fault.QueueFull](err) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got error %v, want QueueFull", err)
 		}
-		if took := time.Since(begun); took != 0 {
-			t.Errorf("the refusal was held for %v", took)
+		if elapsed := time.Since(started); elapsed != 0 {
+			t.Errorf("the request was rejected after %v, want at once", elapsed)
 		}
 		wait := fault.RetryAfterOf(err, 0)
 		if wait < 15*time.Second || wait > 30*time.Second {
-			t.Errorf("told to come back after %v; 20 wait and one a second ends", wait)
+			t.Errorf("retry after %v, want 15s to 30s: 20 requests are queued and one ends per second", wait)
 		}
 	})
 }
 
-// serveFor runs one request after the other for a while.
-func serveFor(d Dispatcher, w Work, span, each time.Duration) {
-	for begun := time.Now(); time.Since(begun) < span; {
+// serveFor runs requests one after the other for the given duration.
+func serveFor(d Dispatcher, w Work, duration, each time.Duration) {
+	for started := time.Now(); time.Since(started) < duration; {
 		g, err := d.Acquire(context.Background(), w)
 		if err != nil {
 			return
@@ -156,17 +155,17 @@
 	}
 }
 
-// A caller goes away at the very moment when its place comes free. Were the
-// place lost, each such caller would cost the engine one slot until the VM is
-// restarted, and in the end nobody would be served.
-func TestPlaceOfACallerThatLeftIsNotLost(t *testing.T) {
+// Guards against a slot that is lost when its caller cancels at the moment of the
+// grant. Each such caller would cost the engine one slot until the VM restarts, until
+// no request is served.
+func TestSlotOfACanceledRequestIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		vm := newTestVM(ctx, engineOf("e1", "a", 1))
 		for range 50 {
-			patient, stop := context.WithTimeout(ctx, time.Minute)
-			g, err := vm.Acquire(patient, engineWork("fields", 10))
+			acquireCtx, stop := context.WithTimeout(ctx, time.Minute)
+			g, err := vm.Acquire(acquireCtx, engineWork("fields", 10))
 			stop()
 			if err != nil {
 				t.Fatalf("the slot is lost: %v", err)
@@ -193,9 +192,9 @@
 	})
 }
 
-// An account may run only so many requests at once by its contract. Others must
-// use the places that it may not.
-func TestRunningLimitLeavesPlacesToOthers(t *testing.T) {
+// Guards against slots that stay unused because the account next in the queue is at
+// its limit of running requests. Other accounts must get them.
+func TestRunningLimitLeavesSlotsToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -225,9 +224,9 @@
 	})
 }
 
-// The platform's list shows that the last upstream of a pool is leaving while
-// requests wait for it. They must hear so, not wait for their deadline.
-func TestWaitersHearThatTheirPoolIsGone(t *testing.T) {
+// Guards against queued requests that wait for their deadline after the last upstream
+// of their pool is listed as leaving. They must fail soon.
+func TestQueuedRequestsFailWhenTheirPoolHasNoUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -236,35 +235,35 @@
 			t.Fatal(err)
 		}
 		waiter := make(chan error, 1)
-		patient, stop := context.WithTimeout(ctx, time.Minute)
+		acquireCtx, stop := context.WithTimeout(ctx, time.Minute)
 		defer stop()
 		go func() {
-			_, err := vm.Acquire(patient, engineWork("fields", 10))
+			_, err := vm.Acquire(acquireCtx, engineWork("fields", 10))
 			waiter <- err
 		}()
 		synctest.Wait()
-		time.Sleep(2 * tickPeriod)
+		time.Sleep(2 * tickInterval)
 		leaving := engineOf("e1", "a", 1)
 		leaving.State = platform.UpstreamLeaving
 		vm.directory.Replace([]platform.Upstream{leaving})
-		begun := time.Now()
+		started := time.Now()
 		if err := <-waiter; !fault.Is[*fault.NoUpstream](err) {
-			t.Fatalf("got %v", err)
+			t.Fatalf("got error %v, want NoUpstream", err)
 		}
-		if took := time.Since(begun); took > time.Second {
-			t.Fatalf("the waiter heard after %v", took)
+		if elapsed := time.Since(started); elapsed > time.Second {
+			t.Fatalf("the queued request failed after %v, want at most 1s", elapsed)
 		}
-		time.Sleep(2 * tickPeriod)
-		told := vm.events.Since(event.Stamp{})
-		if len(told) != 1 || told[0].Number != event.UpstreamLeaving || told[0].Upstream != "e1" {
-			t.Errorf("the time line says %+v", told)
+		time.Sleep(2 * tickInterval)
+		recorded := vm.events.Since(event.Stamp{})
+		if len(recorded) != 1 || recorded[0].Number != event.UpstreamLeaving || recorded[0].Upstream != "e1" {
+			t.Errorf("recorded events %+v, want UpstreamLeaving for e1", recorded)
 		}
 	})
 }
 
-// An upstream is leaving, or has vanished from the list, or does not answer polls
-// of its load, or its own report says that it serves another model by now. New work sent there would be cut off or
-// refused, and its callers would see failed attempts.
+// Guards against failed attempts on an upstream that is leaving, is no longer listed,
+// does not answer load polls, or reports another model. It would abort or reject new
+// work.
 func TestNoNewWorkForUpstreamsThatLeaveOrServeAnotherModel(t *testing.T) {
 	changes := map[string]func(vm testVM){
 		"leaving": func(vm testVM) {
@@ -297,7 +296,7 @@
 						t.Fatal(err)
 					}
 					if g.Upstream.ID == "e1" {
-						t.Fatal("new work for e1")
+						t.Fatal("e1 got new work")
 					}
 				}
 			})
@@ -305,9 +304,9 @@
 	}
 }
 
-// An engine failed its swap and still serves old weights. Samples that it made
-// would be stale at once, and a step that kept meeting it would never be whole;
-// work that takes any weights may go on there.
+// Guards against work on an engine whose weight load failed and that still serves old
+// weights. Its samples would be stale, and a step that repeatedly got them would never
+// be complete. Work for any version may still run there.
 func TestEngineWithOldWeightsGetsNoWorkThatNeedsNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -330,18 +329,18 @@
 			}
 		}
 		if g, err := vm.Acquire(ctx, engineWork("fields", 10)); err != nil || g.Upstream.ID != "old" {
-			t.Errorf("work for any version got %q, %v, want the engine with room", g.Upstream.ID, err)
+			t.Errorf("work for any version got %q, %v, want the engine with free slots", g.Upstream.ID, err)
 		}
 		report("old", 2)
 		if g, err := vm.Acquire(ctx, needsNew); err != nil || g.Upstream.ID != "old" {
-			t.Errorf("after the swap got %q, %v, want the engine with room", g.Upstream.ID, err)
+			t.Errorf("after the weight load got %q, %v, want the engine with free slots", g.Upstream.ID, err)
 		}
 	})
 }
 
-// This VM's own network fails for a moment, so that no engine seems to answer the
-// polls of its load. Were all left out, every request would wait for a fault that
-// may be over already.
+// Guards against excluding all engines when this VM's own network fails for a moment
+// and no engine seems to answer load polls. Every request would wait for a fault that
+// may have ended.
 func TestEnginesAreUsedWhenNoneSeemsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -349,24 +348,25 @@
 		vm := newTestVM(ctx, engineOf("e1", "a", 1), engineOf("e2", "a", 1))
 		vm.loads.Set("e1", upstream.Report{Misses: 5})
 		vm.loads.Set("e2", upstream.Report{Misses: 5})
-		patient, stop := context.WithTimeout(ctx, time.Minute)
+		acquireCtx, stop := context.WithTimeout(ctx, time.Minute)
 		defer stop()
-		if _, err := vm.Acquire(patient, engineWork("fields", 10)); err != nil {
+		if _, err := vm.Acquire(acquireCtx, engineWork("fields", 10)); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// A contract lets half of an account's repeatable work run on reclaimable
-// upstreams. Work that may not be repeated would be lost with them, and more
-// than half would stall the account's steps when a failure domain is reclaimed.
+// Guards against too much work on reclaimable upstreams when a contract allows half of
+// an account's repeatable work there. Work that may not be repeated would be lost with
+// them, and more than half would stall the account's steps when a failure domain is
+// reclaimed.
 func TestReclaimableUpstreamsGetOnlyTheContractsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		cheap := engineOf("cheap", "a", 8)
-		cheap.Reclaimable = true
-		vm := newTestVM(ctx, cheap, engineOf("paid", "a", 8))
+		reclaimable := engineOf("cheap", "a", 8)
+		reclaimable.Reclaimable = true
+		vm := newTestVM(ctx, reclaimable, engineOf("paid", "a", 8))
 		tokens := map[string]int64{}
 		for i := range 400 {
 			w := engineWork("fields", 100)
@@ -385,19 +385,19 @@
 			}
 			g.Done(Result{Cost: cost})
 			if tokens["cheap"] > tokens["paid"] {
-				t.Fatalf("after %d requests %v tokens", i, tokens)
+				t.Fatalf("after %d requests %v tokens, want at most half on the reclaimable upstream", i, tokens)
 			}
 		}
 		if tokens["cheap"]*3 < tokens["paid"] {
-			t.Fatalf("the share is hardly used: %v", tokens)
+			t.Fatalf("too little work on the reclaimable upstream: %v", tokens)
 		}
 	})
 }
 
-// The samples of a group share a long prompt, which an engine keeps in its
-// cache. Spread over all engines each would compute it anew, and the step would
-// take longer.
-func TestGroupMeetsOnOneEngineAsLongAsItHasRoom(t *testing.T) {
+// Guards against a group of samples that is spread over all engines. Its samples share
+// a long prompt that an engine caches; each engine would compute it anew, and the step
+// would take longer.
+func TestGroupStaysOnOneEngineWhileItHasFreeSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -422,19 +422,19 @@
 		}
 		slices.Sort(counts)
 		if !slices.Equal(counts, []int{4, 8}) {
-			t.Fatalf("12 requests of a group went to %v", used)
+			t.Fatalf("12 requests of a group went to %v, want 8 on one engine and 4 on the next", used)
 		}
 	})
 }
 
-// An engine answers every attempt with a failure. After a few it must get no
-// more work, and once it is well again it must be found out by a single request.
+// Guards against more work for an engine that fails every attempt. After a few failures
+// it must be ejected, and its recovery must be detected by a single probe request.
 func TestFailingEngineIsEjectedAndProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		vm := newTestVM(ctx, engineOf("bad", "a", 4), engineOf("good", "a", 4))
-		attempt := func(broken bool) (bad int) {
+		attempt := func(failing bool) (bad int) {
 			for range 40 {
 				g, err := vm.Acquire(ctx, engineWork("fields", 10))
 				if err != nil {
@@ -445,28 +445,28 @@
 					bad++
 				}
 				time.Sleep(10 * time.Millisecond)
-				g.Done(Result{Cost: 10, Failed: isBad && broken})
+				g.Done(Result{Cost: 10, Failed: isBad && failing})
 			}
 			return bad
 		}
 		if n := attempt(true); n != 3 {
-			t.Fatalf("%d attempts went to the failing engine", n)
+			t.Fatalf("%d attempts went to the failing engine, want 3", n)
 		}
 		time.Sleep(3 * time.Second)
 		if n := attempt(true); n != 1 {
-			t.Fatalf("%d attempts probed the failing engine", n)
+			t.Fatalf("%d attempts probed the failing engine, want 1", n)
 		}
 		time.Sleep(5 * time.Second)
 		if n := attempt(false); n < 10 {
-			t.Fatalf("only %d attempts went to the engine that is well again", n)
+			t.Fatalf("only %d attempts went to the recovered engine, want at least 10", n)
 		}
 	})
 }
 
-// An engine is ejected while several of its requests still run. Their answers
-// came from before the ejection: they must neither end it nor make it longer.
-func TestAnswersFromBeforeAnEjectionDoNotJudgeIt(t *testing.T) {
-	health := upstream.NewHealth(quietRecorder())
+// Guards against answers to requests sent before an ejection: they must neither end
+// the ejection nor prolong it.
+func TestAnswersFromBeforeAnEjectionDoNotChangeIt(t *testing.T) {
+	health := upstream.NewHealth(newRecorder())
 	ids := []string{"e1", "e2"}
 	now := time.Now()
 	for range 3 {
@@ -480,14 +480,15 @@
 		health.Failed("e1", ids, now)
 	}
 	if health.Standing("e1", now.Add(3*time.Second)) != upstream.Probing {
-		t.Error("earlier failures made the ejection longer")
+		t.Error("earlier failures prolonged the ejection")
 	}
 }
 
-// Every engine fails at once, for example because of a bad model. Ejecting all
-// of them would turn slow service into none; half of a pool must stay in.
+// Guards against ejecting every engine when all fail at once, for example because of a
+// bad model, which would replace slow service by none. Half of a pool must stay in
+// rotation.
 func TestHalfOfAPoolIsNeverEjected(t *testing.T) {
-	health := upstream.NewHealth(quietRecorder())
+	health := upstream.NewHealth(newRecorder())
 	ids := []string{"e1", "e2", "e3", "e4", "e5"}
 	now := time.Now()
 	for range 20 {
@@ -496,14 +497,14 @@
 		}
 	}
 	if out := health.Out(); out != 2 {
-		t.Fatalf("%d of 5 are ejected", out)
+		t.Fatalf("%d of 5 upstreams are ejected, want 2", out)
 	}
 }
 
-// An engine that answers ten times slower than its like holds up every request
-// that it gets, although none fails.
+// Guards against an engine that is ten times slower than the others and delays every
+// request that it gets, although none fails.
 func TestSlowEngineIsEjected(t *testing.T) {
-	health := upstream.NewHealth(quietRecorder())
+	health := upstream.NewHealth(newRecorder())
 	ids := []string{"e1", "e2", "e3"}
 	now := time.Now()
 	for range 20 {
@@ -515,6 +516,6 @@
 		t.Fatal("the slow engine still gets work")
 	}
 	if health.Standing("e2", now) != upstream.Healthy || health.Standing("e3", now) != upstream.Healthy {
-		t.Fatal("a good engine is out")
+		t.Fatal("a healthy engine is not in rotation")
 	}
 }
--- a/internal/dispatch/review.go
+++ b/internal/dispatch/tracker.go
@@ -5,18 +5,18 @@
 	"dogwoodpond/internal/platform"
 )
 
-// listReview follows the changes of the list of upstreams.
-type listReview struct {
+// upstreamTracker detects changes of the list of upstreams.
+type upstreamTracker struct {
 	list []platform.Upstream
-	// live holds the upstreams that the list last showed live.
+	// live holds the upstreams that were live in the last list.
 	live map[string]bool
 }
 
-// review notes which upstreams have left, and lets the books forget those that
-// are not listed any more.
-func (r *listReview) review(c Config) {
+// update emits an event for each upstream that is no longer live, and removes health
+// and load records of upstreams that are no longer listed.
+func (t *upstreamTracker) update(c Config) {
 	list := c.Directory.Load()
-	if sameList(list, r.list) {
+	if sameList(list, t.list) {
 		return
 	}
 	listed := make(map[string]bool, len(list))
@@ -27,18 +27,18 @@
 			live[u.ID] = true
 		}
 	}
-	for id := range r.live {
+	for id := range t.live {
 		if !live[id] {
 			c.Events.Emit(event.UpstreamLeaving, event.Subject{Upstream: id})
 		}
 	}
 	c.Health.Keep(listed)
 	c.Loads.Keep(listed)
-	r.list, r.live = list, live
+	t.list, t.live = list, live
 }
 
-// sameList reports whether two lists are one in memory; a replaced list never
-// is.
+// sameList reports whether two lists are the same slice in memory. A replaced list
+// never is.
 func sameList(a, b []platform.Upstream) bool {
 	if len(a) != len(b) {
 		return false
