--- a/internal/dispatch/apportion_test.go
+++ b/internal/dispatch/apportion_test.go
@@ -50,14 +50,14 @@
 // requests would wait in the engine, where no shares are known. VMs with the same
 // view must claim each slot exactly once.
 func TestVMsWithTheSameViewClaimEachSlotOnce(t *testing.T) {
-	check := func(vms, engines int, wants []uint32) string {
+	check := func(vms, engineCount int, wants []uint32) string {
 		members := vmsOf("a", vms)
 		for i := range members {
 			members[i].Flows = []FlowDemand{demandOf(fmt.Sprint(i%5), 100, wants[i])}
 		}
-		places := enginesWithSlots(engines, 8)
-		sum := totalAllocations(members, func(Member) []Member { return members }, places)
-		for _, e := range places {
+		engines := enginesWithSlots(engineCount, 8)
+		sum := totalAllocations(members, func(Member) []Member { return members }, engines)
+		for _, e := range engines {
 			if sum[e.upstream] != e.slots && sum[e.upstream] != 0 {
 				return fmt.Sprintf("%s has %d slots, claimed %d times", e.upstream, e.slots, sum[e.upstream])
 			}
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -49,7 +49,8 @@
 	borrowLoadNumerator, borrowLoadDenominator = 3, 4
 	// reportTTL is the age up to which a report alone can decide on an engine.
 	reportTTL = 3 * time.Second
-	// missesUntilUnreachable is how many polls in a row must fail.
+	// missesUntilUnreachable is how many load polls in a row must fail before an
+	// engine counts as unreachable.
 	missesUntilUnreachable = 2
 	// unreachableQuorum is how many VMs must find an engine of their failure
 	// domain unreachable before its slots are no longer divided.
@@ -178,7 +179,7 @@
 	p.assignment = a
 }
 
-// assignAll lets the VM fill all slots; defaultSlots applies to upstreams without a number.
+// assignAll lets the VM fill all slots; defaultSlots applies to upstreams that declare none.
 func (a *assignment) assignAll(defaultSlots int) {
 	for _, u := range a.upstreams {
 		a.limits[u.ID] = u.Slots
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
 // Package dispatch decides which request runs next and on which upstream. It
 // consists of a fair queue over client accounts, a picker over upstreams, and
-// limits. Queue, picker and the division of slots take no locks and read no clock;
+// limits. The queue, the picker and the division of slots take no locks and read no clock;
 // Scheduler adds both.
 package dispatch
 
--- a/internal/dispatch/drain.go
+++ b/internal/dispatch/drain.go
@@ -37,12 +37,12 @@
 
 // retryAfter estimates when an account with this number of queued requests and
 // this fraction of the shares will have free queue slots again.
-func (m *drainMeter) retryAfter(waiting int, fraction float64, now time.Time) time.Duration {
+func (m *drainMeter) retryAfter(queued int, fraction float64, now time.Time) time.Duration {
 	rate := m.currentRate(now) * fraction
 	if rate <= 0 {
 		return defaultRetryAfter
 	}
-	seconds := float64(max(1, waiting)) / rate
+	seconds := float64(max(1, queued)) / rate
 	if seconds >= maxRetryAfter.Seconds() {
 		return maxRetryAfter
 	}
--- a/internal/dispatch/fairqueue.go
+++ b/internal/dispatch/fairqueue.go
@@ -67,7 +67,7 @@
 	f.spent = f.spent*ratioDecay + float64(cost)
 }
 
-func (f *flow) waiting() int { return len(f.interactive) + len(f.background) }
+func (f *flow) queued() int { return len(f.interactive) + len(f.background) }
 
 // queuedCost returns the estimated tokens of the queued requests.
 func (f *flow) queuedCost() int64 {
@@ -133,7 +133,7 @@
 // others, which would be rejected while the flooding account is served.
 func (q *fairQueue) add(req *request) (shed []*request) {
 	f := q.flowOf(req.work)
-	if f.waiting() >= max(1, req.work.Contract.Limits.Queue) {
+	if f.queued() >= max(1, req.work.Contract.Limits.Queue) {
 		victim := f.newest()
 		if req.work.Background || !victim.work.Background {
 			q.removeIfIdle(f)
@@ -163,7 +163,7 @@
 }
 
 func (q *fairQueue) push(f *flow, req *request) {
-	if f.waiting() == 0 {
+	if f.queued() == 0 {
 		// An account without requests gets no credit for its idle time.
 		f.start = max(f.start, q.virtual)
 	}
@@ -182,7 +182,7 @@
 	var worst *flow
 	var most float64
 	for _, f := range q.flows {
-		if f.waiting() == 0 {
+		if f.queued() == 0 {
 			continue
 		}
 		backlog := float64(f.queuedCost()) / float64(f.share)
@@ -213,7 +213,7 @@
 
 // removeIfIdle removes a flow whose state equals that of a new one.
 func (q *fairQueue) removeIfIdle(f *flow) {
-	if f.waiting() == 0 && f.running == 0 && f.start <= q.virtual {
+	if f.queued() == 0 && f.running == 0 && f.start <= q.virtual {
 		delete(q.flows, f.account)
 	}
 }
@@ -240,7 +240,7 @@
 func (q *fairQueue) backlogged() []*flow {
 	var list []*flow
 	for _, f := range q.flows {
-		if f.waiting() > 0 {
+		if f.queued() > 0 {
 			list = append(list, f)
 		}
 	}
--- a/internal/dispatch/fairqueue_test.go
+++ b/internal/dispatch/fairqueue_test.go
@@ -98,36 +98,36 @@
 func TestQueueIsWorkConserving(t *testing.T) {
 	check := func(steps []int) string {
 		q := newFairQueue(64)
-		var waiting, running []*request
+		var queued, running []*request
 		for i, step := range steps {
 			switch step % 4 {
 			case 0, 1:
 				req := newRequest(workOf(fmt.Sprint(step%7), 1+step%5, int64(1+step%100)))
 				req.work.Background = step%2 == 0
 				shed := q.add(req)
-				waiting = append(waiting, req)
-				waiting = without(waiting, shed)
+				queued = append(queued, req)
+				queued = without(queued, shed)
 			case 2:
 				next := q.next(acceptAll)
-				if (next == nil) != (len(waiting) == 0) {
-					return fmt.Sprintf("step %d: granted %v with %d queued", i, next, len(waiting))
+				if (next == nil) != (len(queued) == 0) {
+					return fmt.Sprintf("step %d: granted %v with %d queued", i, next, len(queued))
 				}
 				if next != nil {
-					waiting = without(waiting, []*request{next})
+					queued = without(queued, []*request{next})
 					running = append(running, next)
 				}
 			case 3:
 				if len(running) > 0 {
 					q.settle(running[0], int64(step%50))
 					running = running[1:]
-				} else if len(waiting) > 0 && !q.cancel(waiting[0]) {
+				} else if len(queued) > 0 && !q.cancel(queued[0]) {
 					return "a queued request was not found"
-				} else if len(waiting) > 0 {
-					waiting = waiting[1:]
+				} else if len(queued) > 0 {
+					queued = queued[1:]
 				}
 			}
-			if q.total != len(waiting) || q.total > 64 {
-				return fmt.Sprintf("step %d: total %d with %d queued", i, q.total, len(waiting))
+			if q.total != len(queued) || q.total > 64 {
+				return fmt.Sprintf("step %d: total %d with %d queued", i, q.total, len(queued))
 			}
 		}
 		return ""
@@ -198,7 +198,7 @@
 		running = append(running, next)
 		return next
 	}
-	overtakes := 0
+	grantedFirst := 0
 	const rounds = 200
 	for range rounds {
 		for range 20 {
@@ -208,10 +208,10 @@
 		}
 		add("small")
 		for grantOne().work.Account != "small" {
-			overtakes++
+			grantedFirst++
 		}
 	}
-	if mean := float64(overtakes) / rounds; mean > 1.5 {
+	if mean := float64(grantedFirst) / rounds; mean > 1.5 {
 		t.Fatalf("on average %.2f requests of the two other accounts were granted first, want at most 1.5", mean)
 	}
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -5,7 +5,7 @@
 // metrics are the metrics of a Scheduler. Package metrics measures wait times and
 // work outside the Scheduler.
 type metrics struct {
-	waiting    *prometheus.GaugeVec
+	queued     *prometheus.GaugeVec
 	overcommit *prometheus.GaugeVec
 	ejected    prometheus.Gauge
 	grants     *prometheus.CounterVec
@@ -20,7 +20,7 @@
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
-		waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		queued: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "dogwoodpond_dispatch_waiting_requests",
 			Help: "Requests that wait in this VM for a place on an upstream of the pool.",
 		}, []string{"pool"}),
@@ -42,7 +42,7 @@
 		}, []string{"account"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.waiting, m.overcommit, m.ejected, m.grants, m.shed)
+		registerer.MustRegister(m.queued, m.overcommit, m.ejected, m.grants, m.shed)
 	}
 	return m
 }
@@ -61,6 +61,6 @@
 	for id, n := range p.inFlight {
 		overcommitted += max(0, n-p.assignment.limits[id])
 	}
-	m.waiting.WithLabelValues(p.name.String()).Set(float64(p.queue.total))
+	m.queued.WithLabelValues(p.name.String()).Set(float64(p.queue.total))
 	m.overcommit.WithLabelValues(p.name.String()).Set(float64(overcommitted))
 }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -53,7 +53,7 @@
 }
 
 // cancel removes a request and reports whether it was still queued, and the retry-after time.
-func (p *poolQueue) cancel(req *request) (wait time.Duration, waiting bool) {
+func (p *poolQueue) cancel(req *request) (wait time.Duration, queued bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	wait = p.retryAfter(req.work)
@@ -62,17 +62,17 @@
 
 // retryAfter returns the time after which a rejected caller of an account should retry.
 func (p *poolQueue) retryAfter(w Work) time.Duration {
-	share, totalShare, waiting := max(1, w.Contract.Share), 0, 0
+	share, totalShare, queued := max(1, w.Contract.Share), 0, 0
 	for _, f := range p.queue.flows {
-		if f.waiting() == 0 {
+		if f.queued() == 0 {
 			continue
 		}
 		totalShare += f.share
 		if f.account == w.Account {
-			waiting = f.waiting()
+			queued = f.queued()
 		}
 	}
-	return p.drain.retryAfter(waiting, float64(share)/float64(max(share, totalShare)), time.Now())
+	return p.drain.retryAfter(queued, float64(share)/float64(max(share, totalShare)), time.Now())
 }
 
 func (p *poolQueue) grantQueued() {
@@ -183,7 +183,7 @@
 func (p *poolQueue) finish(req *request, u platform.Upstream, r Result, started time.Time) {
 	now := time.Now()
 	p.recordHealth(u, r, now.Sub(started), now)
-	wasFull := p.scheduler.account(req.work.Account).release(req.work, u.Reclaimable, r.Cost)
+	wasAtLimit := p.scheduler.account(req.work.Account).release(req.work, u.Reclaimable, r.Cost)
 	p.mu.Lock()
 	p.inFlight[u.ID]--
 	if p.inFlight[u.ID] == 0 {
@@ -193,7 +193,7 @@
 	p.drain.recordEnd(now)
 	p.grantAll(now)
 	p.mu.Unlock()
-	if wasFull {
+	if wasAtLimit {
 		p.scheduler.grantInOtherPools(p)
 	}
 }
@@ -229,7 +229,7 @@
 	defer p.mu.Unlock()
 	var list []FlowDemand
 	for _, f := range p.queue.flows {
-		if f.waiting()+f.running == 0 {
+		if f.queued()+f.running == 0 {
 			continue
 		}
 		list = append(list, FlowDemand{
@@ -237,7 +237,7 @@
 			Account:  hash32(string(f.account)),
 			Share:    uint32(f.share),
 			InFlight: uint32(f.running),
-			Waiting:  uint32(f.waiting()),
+			Waiting:  uint32(f.queued()),
 		})
 	}
 	return list
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -110,8 +110,8 @@
 // same time is returned unused: nobody would call its Done, and its slot would be
 // lost permanently.
 func (s *Scheduler) cancelAcquire(ctx context.Context, p *poolQueue, req *request) (Grant, error) {
-	wait, waiting := p.cancel(req)
-	if !waiting {
+	wait, queued := p.cancel(req)
+	if !queued {
 		if o := <-req.ready; o.grant.Done != nil {
 			o.grant.Done(Result{})
 		}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -111,7 +111,8 @@
 }
 
 // Guards against a request beyond the queue's limit that waits instead of being
-// rejected at once with the time after which the queue will have drained.
+// rejected at once with the time after which the queue will have drained. A caller
+// whose request is undecided can do nothing else meanwhile.
 func TestRequestBeyondQueueLimitIsRejectedAtOnceWithRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
