--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -223,7 +223,7 @@
 // poll it, so that it is included again once it answers.
 //
 // An engine counts as unreachable if two VMs of its own failure domain report it, or
-// the only one. One VM with a broken network, a wrong digest, or a partition between
+// the only one. One VM with a broken network, a wrong digest, or a network failure between
 // failure domains must not take engines away from VMs that reach them. If no engine
 // of a failure domain seems to answer, all of them stay.
 func reachable(list []platform.Upstream, members []Member) []platform.Upstream {
--- a/internal/dispatch/reachable_test.go
+++ b/internal/dispatch/reachable_test.go
@@ -46,7 +46,7 @@
 }
 
 // Guards against one VM's fault that takes engines away from all VMs: its own network
-// fails, a digest is wrong, or two failure domains are partitioned. Engines that other
+// fails, a digest is wrong, or two failure domains are cut off from each other. Engines that other
 // VMs reach must stay.
 func TestSingleVMCanNotExcludeEngines(t *testing.T) {
 	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
