--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -2,10 +2,10 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics are the counters of a Scheduler. Waits and work are measured around
-// it by the package metrics.
+// metrics are the metrics of a Scheduler. Package metrics measures wait times and
+// work outside the Scheduler.
 type metrics struct {
-	waiting    *prometheus.GaugeVec
+	queued     *prometheus.GaugeVec
 	overcommit *prometheus.GaugeVec
 	ejected    prometheus.Gauge
 	grants     *prometheus.CounterVec
@@ -20,7 +20,7 @@
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
-		waiting: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		queued: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "dogwoodpond_dispatch_waiting_requests",
 			Help: "Requests that wait in this VM for a place on an upstream of the pool.",
 		}, []string{"pool"}),
@@ -42,12 +42,12 @@
 		}, []string{"account"}),
 	}
 	if registerer != nil {
-		registerer.MustRegister(m.waiting, m.overcommit, m.ejected, m.grants, m.shed)
+		registerer.MustRegister(m.queued, m.overcommit, m.ejected, m.grants, m.shed)
 	}
 	return m
 }
 
-func (m *metrics) granted(c candidate) {
+func (m *metrics) recordGrant(c candidate) {
 	place := placeOwn
 	if !c.own {
 		place = placeBorrowed
@@ -55,12 +55,12 @@
 	m.grants.WithLabelValues(place).Inc()
 }
 
-// pool shows the state of a pool; its lock is held.
-func (m *metrics) pool(p *poolQueue) {
-	beyond := 0
+// updatePool sets the metrics of a pool. The caller holds the pool's lock.
+func (m *metrics) updatePool(p *poolQueue) {
+	overcommitted := 0
 	for id, n := range p.inFlight {
-		beyond += max(0, n-p.division.limits[id])
+		overcommitted += max(0, n-p.assignment.limits[id])
 	}
-	m.waiting.WithLabelValues(p.name.String()).Set(float64(p.queue.total))
-	m.overcommit.WithLabelValues(p.name.String()).Set(float64(beyond))
+	m.queued.WithLabelValues(p.name.String()).Set(float64(p.queue.total))
+	m.overcommit.WithLabelValues(p.name.String()).Set(float64(overcommitted))
 }
