--- a/internal/sample/attribution.go
+++ b/internal/sample/attribution.go
@@ -6,49 +6,49 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Span says that the tokens from Start up to, not including, End came from one
+// Span attributes the tokens from Start up to, but not including, End to one
 // weight version of one engine process.
 type Span struct {
 	Start   int   `json:"start"`
 	End     int   `json:"end"`
 	Version int64 `json:"version"`
-	// Upstream and Incarnation name the engine process.
+	// Upstream and Incarnation identify the engine process.
 	Upstream    string `json:"upstream"`
 	Incarnation string `json:"incarnation"`
 }
 
-// process names one run of an engine's process.
-type process struct {
+// engineProcess identifies one incarnation of an engine.
+type engineProcess struct {
 	upstream    string
 	incarnation string
 }
 
-// Attribute reports whether the spans truly name the weight version of every
-// token of a sample. latest is the newest version that the weight store has
-// published for the model. It fails with *fault.SampleUnattributable.
+// Attribute fails with *fault.SampleUnattributable unless the spans reliably
+// attribute every token of a sample to a weight version. tokens is the sample's
+// length, and latest the newest version that is published for the model.
 //
-// An engine that restarts or swaps in mid-stream may report what it was told to
-// load in place of what it ran. It shows by a missing or unpublished version,
-// by a second incarnation of an engine within one sample, or by a version that
-// moves back within one process. A sample that shows any of these is not
-// delivered: a trainer would weigh its tokens by the wrong policy, unseen.
+// An engine that restarts or loads other weights in mid-stream may report the
+// version that it was ordered to load instead of the one that it ran. Such a
+// sample has a missing or unpublished version, two incarnations of one engine,
+// or a version that decreases within one process. It is not delivered, because
+// the trainer would weigh its tokens by the wrong policy without noticing.
 func Attribute(slot Slot, tokens int, spans []Span, latest int64) error {
 	incarnations := make(map[string]string)
-	versions := make(map[process]int64)
+	versions := make(map[engineProcess]int64)
 	next := 0
 	for _, s := range spans {
-		runs := process{upstream: s.Upstream, incarnation: s.Incarnation}
-		if problem := problemOf(s, next, latest); problem != "" {
+		process := engineProcess{upstream: s.Upstream, incarnation: s.Incarnation}
+		if problem := spanProblem(s, next, latest); problem != "" {
 			return unattributable(slot, problem)
 		}
 		if first, seen := incarnations[s.Upstream]; seen && first != s.Incarnation {
 			return unattributable(slot, "the engine restarted within the sample")
 		}
-		if s.Version < versions[runs] {
-			return unattributable(slot, "the version moved back within one engine process")
+		if s.Version < versions[process] {
+			return unattributable(slot, "the version decreased within one engine process")
 		}
 		incarnations[s.Upstream] = s.Incarnation
-		versions[runs] = s.Version
+		versions[process] = s.Version
 		next = s.End
 	}
 	if next != tokens || tokens == 0 {
@@ -57,8 +57,9 @@
 	return nil
 }
 
-// problemOf returns what is wrong with a span on its own, or nothing.
-func problemOf(s Span, next int, latest int64) string {
+// spanProblem returns what is wrong with a span that should start at next, or an
+// empty string. It does not compare the span's version with earlier spans.
+func spanProblem(s Span, next int, latest int64) string {
 	switch {
 	case s.Start != next:
 		return "the spans have a gap or overlap"
--- a/internal/sample/freshness.go
+++ b/internal/sample/freshness.go
@@ -10,34 +10,38 @@
 
 // Bound is a contract's staleness bound.
 type Bound struct {
-	// Versions is how many weight versions a sample may be behind.
+	// Versions limits how many versions the sample's oldest weight version may
+	// lag behind the newest published one.
 	Versions int64
-	// Age is how long ago the oldest version of the sample may have been
-	// superseded; 0 means no bound.
+	// Age limits the time since the sample's oldest weight version was
+	// superseded; 0 means no limit.
 	Age time.Duration
 }
 
-// Supersession tells when a version was superseded.
+// Supersession describes when a sample's oldest weight version was superseded.
 type Supersession struct {
 	// Latest is the newest published version.
 	Latest int64
-	// At is the earliest time at which the sample's oldest version can have
-	// been superseded. It counts only when Known.
+	// At is the earliest time at which the version can have been superseded. It
+	// is valid only if Known is true.
 	At    time.Time
 	Known bool
 }
 
-// Age is how old a sample is at one moment.
+// Age is the age of a sample at one point in time.
 type Age struct {
-	// Versions is how many versions the oldest token is behind.
+	// Versions is how many versions the sample's oldest weight version lags
+	// behind the newest published one.
 	Versions int64
-	// Elapsed is how long ago the oldest version was superseded, at most.
+	// Elapsed is an upper bound of the time since the oldest version was
+	// superseded.
 	Elapsed time.Duration
-	// Known is false when Elapsed is not known.
+	// Known reports whether Elapsed is known.
 	Known bool
 }
 
-// AgeOf returns the age of a sample whose oldest version has the supersession.
+// AgeOf returns the age at now of a sample whose oldest weight version is oldest,
+// superseded as s describes.
 func AgeOf(oldest int64, s Supersession, now time.Time) Age {
 	age := Age{Versions: max(0, s.Latest-oldest), Known: true}
 	if age.Versions == 0 {
@@ -50,13 +54,13 @@
 	return age
 }
 
-// Check fails with *fault.SampleStale when the age exceeds the bound. An age
-// that is not known counts as above any bound in time: passing the sample on
-// might break the promise, and generating it again only costs work.
+// Check fails with *fault.SampleStale when the age exceeds the bound. An unknown
+// elapsed time exceeds every limit: delivering the sample might violate the
+// contract, whereas generating it again only costs work.
 func (b Bound) Check(slot Slot, age Age) error {
-	tooFar := age.Versions > b.Versions
-	tooOld := b.Age > 0 && (!age.Known || age.Elapsed > b.Age)
-	if tooFar || tooOld {
+	exceedsVersions := age.Versions > b.Versions
+	exceedsAge := b.Age > 0 && (!age.Known || age.Elapsed > b.Age)
+	if exceedsVersions || exceedsAge {
 		return errors.WithStack(&fault.SampleStale{Slot: slot.Name()})
 	}
 	return nil
--- a/internal/sample/progress.go
+++ b/internal/sample/progress.go
@@ -8,39 +8,39 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Progress is the changing part of a step. Its row in the table service is the
-// only judge of which slots have a sample and which numbers are given: every
-// change replaces the row that it was read from, or does nothing.
+// Progress is the mutable part of a step. Its row in the store alone decides
+// which slots have a sample and which numbers are assigned: a change replaces
+// exactly the row version that it was computed from, or has no effect.
 type Progress struct {
 	Model string `json:"model"`
-	// Slots is how many slots the step has.
+	// Slots is the number of slots of the step.
 	Slots int `json:"slots"`
-	// Epoch is the fencing number of the newest owner.
+	// Epoch is the fencing token of the newest owner.
 	Epoch uint64 `json:"epoch"`
-	// Filled has a bit for each slot that has a sample, by position.
+	// Filled is a bitmap of the slots that have a sample, by position.
 	Filled []byte `json:"filled"`
-	// Committed is the highest number given.
+	// Committed is the highest sample number assigned.
 	Committed int64 `json:"committed"`
-	// Acked is the number up to which the trainer confirmed.
+	// Acked is the number up to which the trainer acknowledged the samples.
 	Acked int64 `json:"acked"`
-	// Pull is the highest number of a pull that had its turn.
+	// Pull is the highest registered pull number.
 	Pull int64 `json:"pull"`
 }
 
-const byteBits = 8
+const bitsPerByte = 8
 
-// NewProgress returns the progress of a step that was just opened.
+// NewProgress returns the progress of a newly opened step.
 func NewProgress(d Definition) Progress {
 	count := d.Count()
-	return Progress{Model: d.Model, Slots: count, Filled: make([]byte, (count+byteBits-1)/byteBits)}
+	return Progress{Model: d.Model, Slots: count, Filled: make([]byte, (count+bitsPerByte-1)/bitsPerByte)}
 }
 
 // Has reports whether the slot at the position has a sample.
 func (p Progress) Has(position int) bool {
-	return p.Filled[position/byteBits]&(1<<(position%byteBits)) != 0
+	return p.Filled[position/bitsPerByte]&(1<<(position%bitsPerByte)) != 0
 }
 
-// Count returns how many slots have a sample.
+// Count returns the number of slots that have a sample.
 func (p Progress) Count() int {
 	count := 0
 	for _, b := range p.Filled {
@@ -52,8 +52,8 @@
 // Complete reports whether every slot has a sample.
 func (p Progress) Complete() bool { return p.Count() == p.Slots }
 
-// Claim puts the owner with the epoch in charge. It fails with
-// *fault.LeaseLost when a newer owner has claimed the step.
+// Claim records the epoch as that of the step's owner. It fails with
+// *fault.LeaseLost when an owner with a higher epoch has claimed the step.
 func (p Progress) Claim(step string, epoch uint64) (Progress, error) {
 	if p.Epoch > epoch {
 		return p, errors.WithStack(&fault.LeaseLost{Lease: step, Epoch: epoch})
@@ -62,11 +62,11 @@
 	return p, nil
 }
 
-// Commit gives the next numbers to the samples whose slots are still empty,
-// and returns these samples. It fails with *fault.LeaseLost unless the epoch is
-// the newest owner's: an owner that was paused until its lease lapsed still
-// believes that it owns the step, and would fill slots that its successor is
-// about to fill.
+// Commit fills the slots of those samples whose slots are empty, assigns the
+// next numbers to these samples and returns them. It fails with
+// *fault.LeaseLost unless the epoch is that of the newest owner: an owner that
+// was paused until its lease expired still considers itself the owner, and
+// would fill slots that the new owner is about to fill.
 func (p Progress) Commit(step string, epoch uint64, samples []Sample) (Progress, []Sample, error) {
 	if p.Epoch != epoch {
 		return p, nil, errors.WithStack(&fault.LeaseLost{Lease: step, Epoch: epoch})
@@ -77,7 +77,7 @@
 		if p.Has(s.Slot.Position) {
 			continue
 		}
-		p.Filled[s.Slot.Position/byteBits] |= 1 << (s.Slot.Position % byteBits)
+		p.Filled[s.Slot.Position/bitsPerByte] |= 1 << (s.Slot.Position % bitsPerByte)
 		p.Committed++
 		s.Number = p.Committed
 		numbered = append(numbered, s)
@@ -85,8 +85,9 @@
 	return p, numbered, nil
 }
 
-// TakeTurn gives the turn to a pull. It fails with *fault.PullOvertaken when
-// the pull does not come after all that had a turn: the trainer has given it up.
+// TakeTurn registers the number of a pull. It fails with *fault.PullOvertaken
+// unless the number is higher than all registered ones: the trainer ignores the
+// answer of a pull with a lower number.
 func (p Progress) TakeTurn(step string, number int64) (Progress, error) {
 	if number <= p.Pull {
 		return p, errors.WithStack(&fault.PullOvertaken{Step: step})
@@ -95,9 +96,10 @@
 	return p, nil
 }
 
-// CheckTurn fails with *fault.PullOvertaken when a later pull has had its turn.
-// The trainer may by then hold what an earlier pull takes for stale; if that one
-// still withdrew it, the slot would come a second time.
+// CheckTurn fails with *fault.PullOvertaken when a later pull has been
+// registered. The later pull may have delivered a sample that the earlier one
+// considers stale; if the earlier one still withdrew that sample, the trainer
+// would receive a second sample for its slot.
 func (p Progress) CheckTurn(step string, number int64) error {
 	if number != p.Pull {
 		return errors.WithStack(&fault.PullOvertaken{Step: step})
@@ -106,29 +108,30 @@
 }
 
 // Withdraw empties the slot of a committed sample and reports whether it did.
-// A sample that the trainer confirmed stays: its slot is done.
+// A sample that the trainer acknowledged is not withdrawn: its slot is complete.
 func (p Progress) Withdraw(s Sample) (Progress, bool) {
 	if s.Number <= p.Acked || s.Withdrawn {
 		return p, false
 	}
 	p.Filled = append([]byte(nil), p.Filled...)
-	p.Filled[s.Slot.Position/byteBits] &^= 1 << (s.Slot.Position % byteBits)
+	p.Filled[s.Slot.Position/bitsPerByte] &^= 1 << (s.Slot.Position % bitsPerByte)
 	return p, true
 }
 
-// Ack confirms the samples up to a number. A lower number than before changes
-// nothing, and one above the highest given counts as the highest.
+// Ack records that the trainer acknowledged the samples up to a number. A number
+// lower than before changes nothing, and one above the highest assigned number
+// counts as the highest.
 func (p Progress) Ack(through int64) Progress {
 	p.Acked = max(p.Acked, min(through, p.Committed))
 	return p
 }
 
-// CheckCursor fails with *fault.BadRequest when a cursor lies before what the
-// trainer confirmed. Confirmed samples may be stale by now and can't be
-// withdrawn any more, so that they are not sent again.
+// CheckCursor fails with *fault.BadRequest when a cursor is lower than the
+// highest acknowledged number. Acknowledged samples may be stale by now and
+// can't be withdrawn any more, so they are not delivered again.
 func (p Progress) CheckCursor(after int64) error {
 	if after < p.Acked {
-		return errors.WithStack(&fault.BadRequest{Field: "after", Problem: "lies before the confirmed samples; the step's status gives their number"})
+		return errors.WithStack(&fault.BadRequest{Field: "after", Problem: "is lower than the acknowledged number, which the step's status reports"})
 	}
 	return nil
 }
--- a/internal/sample/property_test.go
+++ b/internal/sample/property_test.go
@@ -9,9 +9,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// Engines may report anything. Whatever is accepted must name a published
-// version for each token exactly once, and for each engine one process whose
-// versions never move back.
+// Engines may report arbitrary spans. An accepted sample must have exactly one
+// published version for each token, and for each engine one incarnation whose
+// versions never decrease.
 func TestAcceptedSpansNameEveryToken(t *testing.T) {
 	const latest = 3
 	parameters := gopter.DefaultTestParameters()
@@ -28,44 +28,46 @@
 			accepted++
 			return namesEveryToken(spans, tokens, latest)
 		},
-		gen.SliceOfN(3, anySpan()).FlatMap(joinSome, spansType),
+		gen.SliceOfN(3, genSpan()).FlatMap(joinSpans, spansType),
 		gen.OneConstOf(0, 0, 0, 0, 1, -1),
 	))
 	properties.TestingRun(t)
 	if accepted < 100 {
-		t.Errorf("only %d samples were accepted, so that the property says little", accepted)
+		t.Errorf("only %d samples were accepted, too few to test the property", accepted)
 	}
 }
 
-// namesEveryToken checks token by token, in another way than the rule does.
+// namesEveryToken checks the spans token by token, so that it shares no logic
+// with Attribute.
 func namesEveryToken(spans []Span, tokens int, latest int64) bool {
-	type last struct {
+	type lastProcess struct {
 		incarnation string
 		version     int64
 	}
-	engines := make(map[string]last)
+	engines := make(map[string]lastProcess)
 	for token := range tokens {
-		var owners []Span
+		var matching []Span
 		for _, s := range spans {
 			if s.Start <= token && token < s.End {
-				owners = append(owners, s)
+				matching = append(matching, s)
 			}
 		}
-		if len(owners) != 1 || owners[0].Version < 1 || owners[0].Version > latest {
+		if len(matching) != 1 || matching[0].Version < 1 || matching[0].Version > latest {
 			return false
 		}
-		s := owners[0]
-		before, seen := engines[s.Upstream]
-		if seen && (before.incarnation != s.Incarnation || before.version > s.Version) {
+		s := matching[0]
+		previous, seen := engines[s.Upstream]
+		if seen && (previous.incarnation != s.Incarnation || previous.version > s.Version) {
 			return false
 		}
-		engines[s.Upstream] = last{incarnation: s.Incarnation, version: s.Version}
+		engines[s.Upstream] = lastProcess{incarnation: s.Incarnation, version: s.Version}
 	}
 	return tokens > 0
 }
 
-// anySpan returns spans that are short and often wrong.
-func anySpan() gopter.Gen {
+// genSpan generates short spans, many of them invalid. Start and End are relative
+// to the end of the previous span.
+func genSpan() gopter.Gen {
 	return gopter.CombineGens(
 		gen.OneConstOf(0, 0, 0, 0, 0, 1, -1),
 		gen.OneConstOf(1, 1, 1, 2, 3, 0),
@@ -85,9 +87,9 @@
 
 var spansType = reflect.TypeFor[[]Span]()
 
-// joinSome puts the spans behind each other, so that many fit together; some
-// starts are off by one.
-func joinSome(v any) gopter.Gen {
+// joinSpans makes each span's positions relative to the end of the previous span,
+// so that many spans are contiguous; some starts are off by one.
+func joinSpans(v any) gopter.Gen {
 	var joined []Span
 	next := 0
 	for _, s := range v.([]Span) {
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,6 +1,6 @@
-// Package sample is the aggregate of rollout steps: groups, slots, samples,
-// their weight versions, their freshness and the order of their delivery. It
-// does no I/O and reads no clock.
+// Package sample is the domain model of rollout steps: groups, slots, and
+// samples with their weight versions, their staleness and the order of their
+// delivery. It does no I/O and reads no clock.
 package sample
 
 import (
@@ -12,32 +12,34 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Definition says what a step consists of. It never changes once opened.
+// Definition describes the contents of a step. It does not change after the step
+// is opened.
 type Definition struct {
 	Model   string  `json:"model" validate:"required,max=128"`
 	Adapter string  `json:"adapter,omitempty" validate:"max=128"`
 	Groups  []Group `json:"groups" validate:"min=1,max=2048,dive"`
-	// MaxTokens bounds each sample.
+	// MaxTokens limits the length of each sample.
 	MaxTokens int `json:"maxTokens" validate:"min=1,max=131072"`
-	// Scorer names a plain service that scores each sample; empty for none.
+	// Scorer names the plain service that scores each sample; empty means that
+	// samples are not scored.
 	Scorer string `json:"scorer,omitempty" validate:"max=64"`
 }
 
-// Group is a prompt with several samples.
+// Group is a prompt for which a number of samples is generated.
 type Group struct {
 	ID      string `json:"id" validate:"required,max=64"`
 	Prompt  string `json:"prompt" validate:"required"`
 	Samples int    `json:"samples" validate:"min=1,max=2048"`
 }
 
-// MaxSlots is the largest number of samples in a step.
+// MaxSlots is the maximum number of samples in a step.
 const MaxSlots = 2048
 
-// Slot is the place of one sample in a step.
+// Slot identifies one of the samples that a step asks for.
 type Slot struct {
 	Group string `json:"group"`
 	Index int    `json:"index"`
-	// Position counts the slots of the step from 0, in the order of the
+	// Position is the index of the slot in the step, in the order of the
 	// definition.
 	Position int    `json:"position"`
 	Prompt   string `json:"-"`
@@ -66,19 +68,19 @@
 	return slots
 }
 
-// Check fails with *fault.BadRequest on a definition whose parts do not fit
-// together. Two groups of one name would give two slots the same name, and a
-// trainer could not tell a second sample from a repeated one.
+// Check fails with *fault.BadRequest when the definition has too many samples or
+// repeats a group ID. Two groups with the same ID would have slots with the same
+// names, and a trainer could not tell a second sample from a repeated one.
 func (d Definition) Check() error {
 	if d.Count() > MaxSlots {
-		return badGroups("hold more than 2048 samples")
+		return badGroups("contain more than 2048 samples")
 	}
-	names := make(map[string]bool, len(d.Groups))
+	ids := make(map[string]bool, len(d.Groups))
 	for _, g := range d.Groups {
-		if names[g.ID] {
+		if ids[g.ID] {
 			return badGroups("use the ID " + g.ID + " twice")
 		}
-		names[g.ID] = true
+		ids[g.ID] = true
 	}
 	return nil
 }
@@ -89,17 +91,18 @@
 
 // Sample is one committed sample, or the tombstone of a withdrawn one.
 type Sample struct {
-	// Number orders the samples of a step from 1, without gaps.
+	// Number is the sample's sequence number in the step. Numbers start at 1 and
+	// have no gaps.
 	Number int64 `json:"number"`
 	Slot   Slot  `json:"slot"`
-	// Withdrawn marks a tombstone: the sample of this number went stale before
-	// the trainer confirmed it. It has no content, and the slot's sample comes
-	// under a later number.
+	// Withdrawn marks a tombstone: the sample with this number became stale
+	// before the trainer acknowledged it. A tombstone has no content, and the
+	// sample that replaces it gets a later number.
 	Withdrawn bool `json:"withdrawn,omitempty"`
 	// Text is the generated answer.
 	Text   string `json:"text,omitempty"`
 	Tokens int    `json:"tokens"`
-	// Spans name the weight version of every token.
+	// Spans attribute every token to a weight version.
 	Spans []Span   `json:"spans,omitempty"`
 	Score *float64 `json:"score,omitempty"`
 }
@@ -109,29 +112,30 @@
 	return Sample{Number: s.Number, Slot: s.Slot, Withdrawn: true}
 }
 
-// Pull asks for the samples of a step.
+// Pull requests the samples of a step.
 type Pull struct {
-	// After is the trainer's cursor: it has the samples up to this number.
+	// After is the trainer's cursor: the trainer has the samples up to this
+	// number.
 	After int64
-	// Number rises with each pull of the trainer, repeats included; 0 lets the
-	// pull be numbered on its arrival. Of two pulls the one with the higher
-	// number is the one whose answer the trainer takes.
+	// Number increases with each pull of the trainer, retries included; a pull
+	// with 0 is numbered on arrival. Of two pulls, the trainer uses only the
+	// answer of the one with the higher number.
 	Number int64
-	// Wait is how long to wait for the first sample.
+	// Wait limits how long the pull waits for its first sample.
 	Wait time.Duration
 }
 
-// Status tells how far a step is.
+// Status reports the progress of a step.
 type Status struct {
 	Step  string `json:"step"`
 	Slots int    `json:"slots"`
-	// Filled is how many slots have a sample.
+	// Filled is the number of slots that have a sample.
 	Filled int `json:"filled"`
-	// Committed is the highest number, those of tombstones included.
+	// Committed is the highest sample number assigned, tombstones included.
 	Committed int64 `json:"committed"`
-	// Acked is the number up to which the trainer confirmed.
+	// Acked is the number up to which the trainer acknowledged the samples.
 	Acked int64 `json:"acked"`
-	// Pull is the highest number of a pull that had its turn; a trainer that
-	// restarts numbers its pulls from there.
+	// Pull is the highest registered pull number; a trainer that restarts
+	// numbers its pulls from there.
 	Pull int64 `json:"pull"`
 }
--- a/internal/sample/sample_test.go
+++ b/internal/sample/sample_test.go
@@ -21,9 +21,9 @@
 	return Span{Start: start, End: end, Version: version, Upstream: upstream, Incarnation: incarnation}
 }
 
-// Engines misreport in several ways when they restart or swap weights in the
-// middle of a stream. A trainer that took such a sample would weigh tokens by a
-// policy that never produced them.
+// Engines that restart or load other weights in mid-stream misreport versions in
+// several ways. A trainer that used such a sample would weigh its tokens by a
+// policy that did not produce them.
 func TestAttribute(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -31,7 +31,7 @@
 		ok    bool
 	}{
 		{"one version", []Span{span(0, 8, 3, "e1", "i1")}, true},
-		{"swap in mid-stream", []Span{span(0, 4, 2, "e1", "i1"), span(4, 8, 3, "e1", "i1")}, true},
+		{"other weights in mid-stream", []Span{span(0, 4, 2, "e1", "i1"), span(4, 8, 3, "e1", "i1")}, true},
 		{"resume on another engine with older weights", []Span{span(0, 4, 3, "e1", "i1"), span(4, 8, 2, "e2", "i2")}, true},
 		{"no spans", nil, false},
 		{"no version", []Span{span(0, 4, 2, "e1", "i1"), span(4, 8, 0, "e1", "i1")}, false},
@@ -43,9 +43,9 @@
 		{"long", []Span{span(0, 9, 2, "e1", "i1")}, false},
 		{"never published", []Span{span(0, 8, 4, "e1", "i1")}, false},
 		{"restart within the sample", []Span{span(0, 4, 2, "e1", "i1"), span(4, 8, 2, "e1", "i2")}, false},
-		{"restart behind a detour", []Span{span(0, 2, 2, "e1", "i1"), span(2, 4, 2, "e2", "i3"), span(4, 8, 2, "e1", "i2")}, false},
-		{"version moves back", []Span{span(0, 4, 3, "e1", "i1"), span(4, 8, 2, "e1", "i1")}, false},
-		{"version moves back behind a detour", []Span{span(0, 2, 3, "e1", "i1"), span(2, 4, 2, "e2", "i2"), span(4, 8, 2, "e1", "i1")}, false},
+		{"restart after a span of another engine", []Span{span(0, 2, 2, "e1", "i1"), span(2, 4, 2, "e2", "i3"), span(4, 8, 2, "e1", "i2")}, false},
+		{"version decreases", []Span{span(0, 4, 3, "e1", "i1"), span(4, 8, 2, "e1", "i1")}, false},
+		{"version decreases after a span of another engine", []Span{span(0, 2, 3, "e1", "i1"), span(2, 4, 2, "e2", "i2"), span(4, 8, 2, "e1", "i1")}, false},
 		{"no engine", []Span{span(0, 8, 3, "", "i1")}, false},
 		{"no incarnation", []Span{span(0, 8, 3, "e1", "")}, false},
 	}
@@ -62,9 +62,9 @@
 	}
 }
 
-// New weights come every few minutes while samples wait for their trainer. A
-// sample past the contract's bound teaches the trainer an outdated policy.
-func TestBound(t *testing.T) {
+// New weights are published every few minutes while samples wait for the trainer.
+// A sample past the contract's bound would train it on an outdated policy.
+func TestStalenessBound(t *testing.T) {
 	start := time.Unix(1000, 0)
 	cases := []struct {
 		name         string
@@ -74,13 +74,13 @@
 		now          time.Duration
 		fresh        bool
 	}{
-		{"newest version never ages", Bound{Versions: 0, Age: time.Second}, 5, Supersession{Latest: 5}, time.Hour, true},
+		{"newest version has no age", Bound{Versions: 0, Age: time.Second}, 5, Supersession{Latest: 5}, time.Hour, true},
 		{"at the bound in versions", Bound{Versions: 2}, 3, Supersession{Latest: 5}, 0, true},
 		{"past the bound in versions", Bound{Versions: 2}, 2, Supersession{Latest: 5}, 0, false},
 		{"at the bound in seconds", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute, true},
 		{"past the bound in seconds", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute + 1, false},
 		{"no bound in seconds", Bound{Versions: 2}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Hour, true},
-		{"supersession not known", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5}, 0, false},
+		{"unknown time of supersession", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -95,10 +95,10 @@
 	}
 }
 
-// An owner is paused until its lease lapses and another VM takes the step over.
-// The first wakes up with finished samples in hand. Committing them would give
-// a slot two samples, and the trainer would learn it twice.
-func TestCommitOfAnOldOwner(t *testing.T) {
+// An owner is paused until its lease expires and another VM takes over the step.
+// It then resumes with finished samples. If it could commit them, a slot would
+// get two samples and the trainer would train on both.
+func TestCommitByPreviousOwnerIsRefused(t *testing.T) {
 	d := definition(2, 2)
 	slots := d.Slots()
 	p, err := NewProgress(d).Claim("s", 1)
@@ -114,23 +114,23 @@
 		t.Fatal(err)
 	}
 	if _, _, err := p.Commit("s", 1, []Sample{{Slot: slots[1]}}); !fault.Is[*fault.LeaseLost](err) {
-		t.Fatalf("the old owner's commit gave %v", err)
+		t.Fatalf("commit by the previous owner: %v", err)
 	}
 	if _, err := p.Claim("s", 1); !fault.Is[*fault.LeaseLost](err) {
-		t.Fatalf("the old owner's claim gave %v", err)
+		t.Fatalf("claim by the previous owner: %v", err)
 	}
 	p, numbered, err := p.Commit("s", 2, []Sample{{Slot: slots[0]}, {Slot: slots[1]}})
 	if err != nil || len(numbered) != 1 || numbered[0].Number != 2 || numbered[0].Slot != slots[1] {
-		t.Fatalf("the new owner's commit gave %+v, %v", numbered, err)
+		t.Fatalf("commit by the new owner: %+v, %v", numbered, err)
 	}
 	if p.Count() != 2 || p.Complete() {
 		t.Fatalf("%d slots are filled", p.Count())
 	}
 }
 
-// A sample goes stale between its commit and its delivery. Its number must stay
-// in the sequence, or the trainer would wait for it, and the slot must be run
-// again; but a sample that the trainer already confirmed must stay.
+// A sample becomes stale between its commit and its delivery. Its number must
+// remain in the sequence, or the trainer would wait for it, and its slot must be
+// generated again. A sample that the trainer acknowledged must remain.
 func TestWithdraw(t *testing.T) {
 	d := definition(1, 3)
 	slots := d.Slots()
@@ -139,25 +139,25 @@
 		t.Fatalf("%+v, %v", p, err)
 	}
 	p = p.Ack(1)
-	if _, did := p.Withdraw(numbered[0]); did {
-		t.Fatal("a confirmed sample was withdrawn")
+	if _, withdrawn := p.Withdraw(numbered[0]); withdrawn {
+		t.Fatal("an acknowledged sample was withdrawn")
 	}
-	p, did := p.Withdraw(numbered[1])
-	if !did || p.Has(1) || p.Complete() {
-		t.Fatal("the slot was not emptied")
+	p, withdrawn := p.Withdraw(numbered[1])
+	if !withdrawn || p.Has(1) || p.Complete() {
+		t.Fatal("the slot still has a sample")
 	}
-	if _, did := p.Withdraw(numbered[1].Tombstone()); did {
+	if _, withdrawn := p.Withdraw(numbered[1].Tombstone()); withdrawn {
 		t.Fatal("a tombstone was withdrawn")
 	}
-	p, again, err := p.Commit("s", 0, []Sample{{Slot: slots[1]}})
-	if err != nil || len(again) != 1 || again[0].Number != 4 || !p.Complete() {
-		t.Fatalf("the replacement is %+v, %v", again, err)
+	p, replacement, err := p.Commit("s", 0, []Sample{{Slot: slots[1]}})
+	if err != nil || len(replacement) != 1 || replacement[0].Number != 4 || !p.Complete() {
+		t.Fatalf("commit of the replacement: %+v, %v", replacement, err)
 	}
 }
 
-// A trainer confirms late or twice when its own replies are lost. The mark must
-// neither move back nor pass samples that do not exist.
-func TestAckMovesForward(t *testing.T) {
+// A trainer acknowledges late or twice when it loses the replies. The
+// acknowledged number must neither decrease nor exceed the committed one.
+func TestAckIsMonotonic(t *testing.T) {
 	p := Progress{Committed: 5}
 	p = p.Ack(3)
 	p = p.Ack(2)
@@ -168,14 +168,14 @@
 		t.Fatalf("acked is %d", p.Acked)
 	}
 	if err := p.CheckCursor(4); !fault.Is[*fault.BadRequest](err) {
-		t.Fatalf("a cursor before the confirmed samples gave %v", err)
+		t.Fatalf("cursor before the acknowledged samples: %v", err)
 	}
 	if err := p.CheckCursor(5); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A trainer that names a group twice could not tell the two slots apart.
+// A trainer could not tell the slots of two groups with the same ID apart.
 func TestCheckDefinition(t *testing.T) {
 	d := definition(2, 2)
 	if err := d.Check(); err != nil {
@@ -184,9 +184,9 @@
 	d.Groups[1].ID = d.Groups[0].ID
 	var bad *fault.BadRequest
 	if err := d.Check(); !errors.As(err, &bad) || bad.Field != "groups" {
-		t.Fatalf("a repeated group gave %v", err)
+		t.Fatalf("repeated group: %v", err)
 	}
 	if err := definition(2, 1025).Check(); !errors.As(err, &bad) {
-		t.Fatalf("too many samples gave %v", err)
+		t.Fatalf("too many samples: %v", err)
 	}
 }
