--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -1,5 +1,5 @@
-// Package request is the aggregate of callers' requests: which may be repeated,
-// and the claims that let a non-idempotent request run at most once.
+// Package request manages the claims on idempotency keys by which a
+// non-idempotent request runs at most once.
 package request
 
 import (
@@ -19,47 +19,47 @@
 	"dogwoodpond/internal/service"
 )
 
-// claimRow is the value of a claim's row. Its transaction's nonce names the
-// claimer.
+// claimRow is the value of a claim's row. The row's nonce, which is that of
+// the transaction that wrote the row, identifies the claim until its end is stored.
 type claimRow struct {
 	Account     contract.Account `json:"account"`
 	Fingerprint string           `json:"fingerprint"`
-	// Answer is set once the outcome is known.
+	// Answer is set when the request has an outcome.
 	Answer *service.Answer `json:"answer,omitempty"`
 }
 
-// Claims keeps the claims of non-idempotent requests in the table service, so
-// that all VMs together run each at most once. It is safe for concurrent use.
+// Claims manages the claims of non-idempotent requests in the store, so that each
+// request runs at most once across all VMs. It is safe for concurrent use.
 type Claims struct {
 	tables platform.Tables
 
 	mu sync.Mutex
-	// running holds the rows of the claims that this process runs now.
+	// running holds the row keys of the claims whose requests run in this process.
 	running map[string]struct{}
 }
 
-// NewClaims returns the claims kept in tables.
+// NewClaims returns the claims that are stored in tables.
 func NewClaims(tables platform.Tables) *Claims {
 	return &Claims{tables: tables, running: make(map[string]struct{})}
 }
 
-// Claim is the right to run a request.
+// Claim is the right to run a request, or the answer of a request that has run.
 type Claim struct {
 	account     contract.Account
 	key         string
 	nonce       string
 	fingerprint string
-	// Answer is set when the request ran before; then it must not run again.
+	// Answer is set when the request has already run; then it must not run again.
 	Answer *service.Answer
 }
 
-// rowKey names the row of an account's idempotency key. Escaping keeps the two
-// parts apart: otherwise one account could name another account's claim.
+// rowKey returns the key of the row for an account's idempotency key. The two
+// parts are escaped: otherwise one account could address another's claim.
 func rowKey(account contract.Account, idempotencyKey string) string {
 	return "claim/" + url.PathEscape(string(account)) + "/" + url.PathEscape(idempotencyKey)
 }
 
-// Fingerprint identifies the content of a call of the named service.
+// Fingerprint returns a hash of the content of a call to the named service.
 func Fingerprint(name string, call service.Call) string {
 	h := sha256.New()
 	for _, part := range []string{name, call.Method, call.Path, call.Query.Encode(), string(call.Body)} {
@@ -69,27 +69,28 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Take claims an idempotency key of an account. After any failure the request
-// must not run: *fault.ClaimMismatch when the key was used for another request,
-// *fault.ClaimInProgress when this process is running it,
-// *fault.ClaimUnknown when it was claimed and its outcome is not known, and
+// Take claims an idempotency key of an account, or returns the answer of the
+// request that ran under it. After any failure the request must not run. It
+// fails with *fault.ClaimMismatch when the key was used for another request,
+// *fault.ClaimInProgress when the request is running in this process,
+// *fault.ClaimUnknown when the key is claimed and the outcome is unknown, and
 // *fault.StoreUnavailable. The holder of a claim ends it by Finish, Withdraw or
 // Leave.
 func (c *Claims) Take(ctx context.Context, account contract.Account, idempotencyKey, fingerprint string) (Claim, error) {
 	claim := Claim{account: account, key: rowKey(account, idempotencyKey), fingerprint: fingerprint}
-	for range takeTries {
+	for range maxAcquireTries {
 		claim.nonce = platform.NewNonce()
 		err := c.insert(ctx, claim)
 		if err == nil {
-			c.begin(claim)
+			c.markRunning(claim)
 			return claim, nil
 		}
 		if !fault.Is[*fault.PreconditionFailed](err) {
 			return Claim{}, err
 		}
-		repeated, withdrawn, err := c.repeat(ctx, claim, idempotencyKey)
+		existing, withdrawn, err := c.readExisting(ctx, claim, idempotencyKey)
 		if !withdrawn {
-			return repeated, err
+			return existing, err
 		}
 	}
 	return Claim{}, errors.WithStack(&fault.ClaimUnknown{IdempotencyKey: idempotencyKey})
@@ -99,13 +100,14 @@
 	return platform.CommitSurely(ctx, c.tables, platform.Txn{
 		Nonce:         claim.nonce,
 		Preconditions: []platform.Precondition{{Key: claim.key}},
-		Writes:        []platform.Write{{Key: claim.key, Value: claim.row(nil)}},
+		Writes:        []platform.Write{{Key: claim.key, Value: claim.encodeRow(nil)}},
 	})
 }
 
-// repeat answers for a key that was claimed before. withdrawn tells that the
-// claim is gone again, so that the key can be claimed.
-func (c *Claims) repeat(ctx context.Context, claim Claim, idempotencyKey string) (repeated Claim, withdrawn bool, err error) {
+// readExisting returns the result of Take for a key that is already claimed.
+// withdrawn reports that the claim was withdrawn in the meantime, so that the
+// key can be claimed.
+func (c *Claims) readExisting(ctx context.Context, claim Claim, idempotencyKey string) (existing Claim, withdrawn bool, err error) {
 	row, err := c.tables.Get(ctx, claim.key)
 	if err != nil {
 		return Claim{}, false, err
@@ -113,65 +115,70 @@
 	if !row.Exists() {
 		return Claim{}, true, nil
 	}
-	var kept claimRow
-	if err := json.Unmarshal(row.Value, &kept); err != nil {
+	var stored claimRow
+	if err := json.Unmarshal(row.Value, &stored); err != nil {
 		return Claim{}, false, errors.WithStack(&fault.Internal{Where: "claim"})
 	}
-	if kept.Fingerprint != claim.fingerprint || kept.Account != claim.account {
+	if stored.Fingerprint != claim.fingerprint || stored.Account != claim.account {
 		return Claim{}, false, errors.WithStack(&fault.ClaimMismatch{})
 	}
-	if kept.Answer != nil {
-		claim.Answer = kept.Answer
+	if stored.Answer != nil {
+		claim.Answer = stored.Answer
 		return claim, false, nil
 	}
-	// A claim without an outcome may be running on another VM, or that VM may
-	// have died. Only a run in this very process is known to go on.
+	// The request of a claim without an outcome may be running on another VM, or
+	// that VM may be dead. Only this process's own requests are known to be
+	// running.
 	if c.isRunning(claim) {
-		return Claim{}, false, errors.WithStack(&fault.ClaimInProgress{Wait: inProgressWait})
+		return Claim{}, false, errors.WithStack(&fault.ClaimInProgress{Wait: inProgressRetryAfter})
 	}
 	return Claim{}, false, errors.WithStack(&fault.ClaimUnknown{IdempotencyKey: idempotencyKey})
 }
 
 const (
-	// takeTries bounds how often a key is claimed that others give back.
-	takeTries = 3
-	// inProgressWait is when the caller of a running request may ask again.
-	inProgressWait = time.Second
-	// settleTries bounds how often the end of a claim is written.
-	settleTries = 4
-	// settlePause is the pause between the tries.
-	settlePause = 100 * time.Millisecond
+	// maxAcquireTries limits how often Take tries to claim a key whose claims are
+	// withdrawn in the meantime.
+	maxAcquireTries = 3
+	// inProgressRetryAfter is the time after which a caller may repeat a request
+	// that is running.
+	inProgressRetryAfter = time.Second
+	// maxFinalizeTries limits the tries to write the end of a claim.
+	maxFinalizeTries = 4
+	// finalizeBackoff is the wait between these tries.
+	finalizeBackoff = 100 * time.Millisecond
 )
 
-// Finish stores the outcome for repeats. Without it a repeat is told "unknown",
-// which stays true. It fails with *fault.StoreUnavailable.
+// Finish ends a claim and stores the answer for repeats of the request. It fails
+// with *fault.StoreUnavailable; repeats may then get *fault.ClaimUnknown, which
+// remains correct.
 func (c *Claims) Finish(ctx context.Context, claim Claim, answer service.Answer) error {
 	defer c.Leave(claim)
-	return c.settle(ctx, claim, platform.Write{Key: claim.key, Value: claim.row(&answer)})
+	return c.finalize(ctx, claim, platform.Write{Key: claim.key, Value: claim.encodeRow(&answer)})
 }
 
-// Withdraw gives a claim back whose request certainly never ran, so that a
-// repeat can run. It fails with *fault.StoreUnavailable; then a repeat is told
-// "unknown".
+// Withdraw removes a claim whose request certainly did not run, so that a repeat
+// can run. It fails with *fault.StoreUnavailable; a repeat may then get
+// *fault.ClaimUnknown.
 func (c *Claims) Withdraw(ctx context.Context, claim Claim) error {
 	defer c.Leave(claim)
-	return c.settle(ctx, claim, platform.Write{Key: claim.key, Delete: true})
+	return c.finalize(ctx, claim, platform.Write{Key: claim.key, Delete: true})
 }
 
-// Leave ends a claim whose request has an unknown outcome: from now on this
-// process can't say that it is in progress.
+// Leave ends a claim whose request has an unknown outcome. A repeat then gets
+// *fault.ClaimUnknown instead of *fault.ClaimInProgress.
 func (c *Claims) Leave(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, claim.key)
 }
 
-// settle replaces the claim's row, until that took effect or the tries are
-// used up. A row with another nonce is this claim's settled one, or a later
-// claim after this one's withdrawal; neither may be touched.
-func (c *Claims) settle(ctx context.Context, claim Claim, write platform.Write) error {
-	var last error
-	for range settleTries {
+// finalize replaces or deletes the claim's row and retries until the write took
+// effect, ctx ends or the tries are used up. A row with another nonce is this
+// claim's final row or a claim made after this one's withdrawal; neither may be
+// changed.
+func (c *Claims) finalize(ctx context.Context, claim Claim, write platform.Write) error {
+	var lastErr error
+	for range maxFinalizeTries {
 		row, err := c.tables.Get(ctx, claim.key)
 		if err == nil && row.Nonce != claim.nonce {
 			return nil
@@ -186,17 +193,17 @@
 		if err == nil {
 			return nil
 		}
-		last = err
+		lastErr = err
 		select {
 		case <-ctx.Done():
-			return last
-		case <-time.After(settlePause):
+			return lastErr
+		case <-time.After(finalizeBackoff):
 		}
 	}
-	return last
+	return lastErr
 }
 
-func (c *Claims) begin(claim Claim) {
+func (c *Claims) markRunning(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.running[claim.key] = struct{}{}
@@ -209,11 +216,11 @@
 	return running
 }
 
-// row returns the value of the claim's row.
-func (c Claim) row(answer *service.Answer) []byte {
-	text, err := json.Marshal(claimRow{Account: c.account, Fingerprint: c.fingerprint, Answer: answer})
+// encodeRow returns the value of the claim's row.
+func (c Claim) encodeRow(answer *service.Answer) []byte {
+	value, err := json.Marshal(claimRow{Account: c.account, Fingerprint: c.fingerprint, Answer: answer})
 	if err != nil {
 		panic(err)
 	}
-	return text
+	return value
 }
--- a/internal/request/claim_test.go
+++ b/internal/request/claim_test.go
@@ -13,30 +13,30 @@
 	"dogwoodpond/internal/service"
 )
 
-const farm contract.Account = "farm"
+const testAccount contract.Account = "farm"
 
-const deposit = "tree-17"
+const depositKey = "tree-17"
 
 var (
-	charge = service.Call{Method: http.MethodPost, Path: "/deposit", Body: []byte(`{"cents":2500}`)}
-	paid   = service.Answer{Status: http.StatusOK, Body: []byte("paid")}
+	depositCall = service.Call{Method: http.MethodPost, Path: "/deposit", Body: []byte(`{"cents":2500}`)}
+	paidAnswer  = service.Answer{Status: http.StatusOK, Body: []byte("paid")}
 )
 
-// take claims the deposit for the farm.
-func take(c *Claims) (Claim, error) {
-	return c.Take(context.Background(), farm, deposit, Fingerprint("desk", charge))
+// acquire claims the key of the deposit on one VM.
+func acquire(c *Claims) (Claim, error) {
+	return c.Take(context.Background(), testAccount, depositKey, Fingerprint("desk", depositCall))
 }
 
-// vms returns the claims of several VMs over one store.
-func vms(w *platformtest.World, names ...string) []*Claims {
+// startVMs starts VMs that use the same store and returns the Claims of each.
+func startVMs(cluster *platformtest.World, names ...string) []*Claims {
 	var all []*Claims
 	for _, name := range names {
-		all = append(all, NewClaims(w.Start(context.Background(), name)))
+		all = append(all, NewClaims(cluster.Start(context.Background(), name)))
 	}
 	return all
 }
 
-func wantFault[T error](t *testing.T, err error) {
+func wantError[T error](t *testing.T, err error) {
 	t.Helper()
 	if !fault.Is[T](err) {
 		var want T
@@ -44,190 +44,192 @@
 	}
 }
 
-// A family presses "pay" twice and the two requests reach two VMs. Both running
-// would charge the deposit twice.
-func TestSecondClaimDoesNotRun(t *testing.T) {
-	w := platformtest.NewWorld(platformtest.NoFaults)
-	vm := vms(w, "vm-1", "vm-2")
-	first, err := take(vm[0])
+// A caller sends the same payment twice and the two requests reach two VMs. If
+// both ran, the deposit would be charged twice.
+func TestRepeatDoesNotRun(t *testing.T) {
+	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	claims := startVMs(cluster, "vm-1", "vm-2")
+	first, err := acquire(claims[0])
 	if err != nil || first.Answer != nil {
 		t.Fatalf("first claim: %+v, %v", first, err)
 	}
-	_, err = take(vm[0])
-	wantFault[*fault.ClaimInProgress](t, err)
-	_, err = take(vm[1])
-	wantFault[*fault.ClaimUnknown](t, err)
-	if err := vm[0].Finish(context.Background(), first, paid); err != nil {
+	_, err = acquire(claims[0])
+	wantError[*fault.ClaimInProgress](t, err)
+	_, err = acquire(claims[1])
+	wantError[*fault.ClaimUnknown](t, err)
+	if err := claims[0].Finish(context.Background(), first, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	again, err := take(vm[1])
-	if err != nil || again.Answer == nil || string(again.Answer.Body) != "paid" {
-		t.Errorf("repeat after the outcome: %+v, %v", again, err)
+	repeat, err := acquire(claims[1])
+	if err != nil || repeat.Answer == nil || string(repeat.Answer.Body) != "paid" {
+		t.Errorf("repeat after the outcome: %+v, %v", repeat, err)
 	}
 }
 
-// The run ended without a known outcome, for example by a broken connection to
-// the desk. A repeat on the same VM must not be told that it is still running,
-// or the family would wait for ever.
-func TestLeftClaimIsUnknown(t *testing.T) {
-	vm := vms(platformtest.NewWorld(platformtest.NoFaults), "vm-1")
-	claim, err := take(vm[0])
+// A request ended with an unknown outcome, for example because the connection to
+// the service broke. A repeat on the same VM must not be answered with "in
+// progress", or the caller would repeat it for ever.
+func TestClaimWithUnknownOutcomeIsNotInProgress(t *testing.T) {
+	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1")
+	claim, err := acquire(claims[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	vm[0].Leave(claim)
-	_, err = take(vm[0])
-	wantFault[*fault.ClaimUnknown](t, err)
+	claims[0].Leave(claim)
+	_, err = acquire(claims[0])
+	wantError[*fault.ClaimUnknown](t, err)
 }
 
-// The claim is stored but its reply is lost. Running nothing would refuse a
-// request that could run; claiming again would look like somebody else's claim.
-func TestClaimWithALostReplyRuns(t *testing.T) {
+// The commit of a claim loses its request or its reply, or takes effect late. If
+// the VM took its own claim for another VM's, it would refuse a request that may
+// run.
+func TestClaimSurvivesCommitFaults(t *testing.T) {
 	for _, kind := range []platformtest.Kind{platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late} {
 		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+				cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 					if s.Process == "vm-1" && s.Index == 0 {
 						return platformtest.Fault{Kind: kind, For: 10 * time.Second}
 					}
 					return platformtest.Fault{}
 				})
-				vm := vms(w, "vm-1", "vm-2")
-				if _, err := take(vm[0]); err != nil {
+				claims := startVMs(cluster, "vm-1", "vm-2")
+				if _, err := acquire(claims[0]); err != nil {
 					t.Errorf("first claim: %v", err)
 				}
 				time.Sleep(time.Minute)
-				_, err := take(vm[1])
-				wantFault[*fault.ClaimUnknown](t, err)
+				_, err := acquire(claims[1])
+				wantError[*fault.ClaimUnknown](t, err)
 			})
 		})
 	}
 }
 
-// The VM gives up before anything was sent and says "not run". The caller tries
-// again elsewhere, and the request must run then.
-func TestWithdrawnClaimCanBeTakenAgain(t *testing.T) {
+// A VM withdraws a claim because nothing was sent, and reports that the request
+// did not run. When the caller repeats the request at another VM, it must run.
+func TestWithdrawnKeyCanBeClaimed(t *testing.T) {
 	for _, kind := range []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest} {
 		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+				cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 					if s.Process == "vm-1" && s.Index == 2 { // the withdrawal's commit
 						return platformtest.Fault{Kind: kind}
 					}
 					return platformtest.Fault{}
 				})
-				vm := vms(w, "vm-1", "vm-2")
-				claim, err := take(vm[0])
+				claims := startVMs(cluster, "vm-1", "vm-2")
+				claim, err := acquire(claims[0])
 				if err != nil {
 					t.Fatal(err)
 				}
-				if err := vm[0].Withdraw(context.Background(), claim); err != nil {
+				if err := claims[0].Withdraw(context.Background(), claim); err != nil {
 					t.Errorf("withdraw: %v", err)
 				}
-				second, err := take(vm[1])
+				second, err := acquire(claims[1])
 				if err != nil || second.Answer != nil {
 					t.Errorf("claim after the withdrawal: %+v, %v", second, err)
 				}
-				// The outcome is stored although versions don't begin anew.
-				if err := vm[1].Finish(context.Background(), second, paid); err != nil {
+				// The row's version does not restart after the delete; the outcome must
+				// be stored nevertheless.
+				if err := claims[1].Finish(context.Background(), second, paidAnswer); err != nil {
 					t.Fatal(err)
 				}
-				again, err := take(vm[0])
-				if err != nil || again.Answer == nil {
-					t.Errorf("repeat after the outcome: %+v, %v", again, err)
+				repeat, err := acquire(claims[0])
+				if err != nil || repeat.Answer == nil {
+					t.Errorf("repeat after the outcome: %+v, %v", repeat, err)
 				}
 			})
 		})
 	}
 }
 
-// A withdrawal is late: it reaches the store after the key was claimed and run
-// again. It must not remove that claim, or a third request would run.
-func TestLateWithdrawalLeavesALaterClaim(t *testing.T) {
+// A withdrawal takes effect only after another VM has claimed the key. It must not
+// remove that claim, or the request could run a second time.
+func TestLateWithdrawalKeepsLaterClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+		cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 			if s.Process == "vm-1" && s.Index == 2 {
 				return platformtest.Fault{Kind: platformtest.Late, For: time.Minute}
 			}
 			return platformtest.Fault{}
 		})
-		vm := vms(w, "vm-1", "vm-2", "vm-3")
-		claim, _ := take(vm[0])
-		if err := vm[0].Withdraw(context.Background(), claim); err != nil {
+		claims := startVMs(cluster, "vm-1", "vm-2", "vm-3")
+		claim, _ := acquire(claims[0])
+		if err := claims[0].Withdraw(context.Background(), claim); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := take(vm[1]); err != nil {
+		if _, err := acquire(claims[1]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Minute)
-		_, err := take(vm[2])
-		wantFault[*fault.ClaimUnknown](t, err)
+		_, err := acquire(claims[2])
+		wantError[*fault.ClaimUnknown](t, err)
 	})
 }
 
 // Another account, another body or another service uses the same idempotency
-// key. Nobody may get an answer that belongs to somebody else.
-func TestClaimsOfOthersAreApart(t *testing.T) {
+// key. No request may get the answer of another one.
+func TestClaimsAreSeparatePerRequest(t *testing.T) {
 	ctx := context.Background()
-	vm := vms(platformtest.NewWorld(platformtest.NoFaults), "vm-1")[0]
-	claim, err := vm.Take(ctx, "a", "b/c", Fingerprint("desk", charge))
+	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1")[0]
+	claim, err := claims.Take(ctx, "a", "b/c", Fingerprint("desk", depositCall))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := vm.Finish(ctx, claim, paid); err != nil {
+	if err := claims.Finish(ctx, claim, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	other, err := vm.Take(ctx, "a/b", "c", Fingerprint("desk", charge))
+	other, err := claims.Take(ctx, "a/b", "c", Fingerprint("desk", depositCall))
 	if err != nil || other.Answer != nil {
 		t.Errorf("the other account got %+v, %v", other, err)
 	}
-	_, err = vm.Take(ctx, "a", "b/c", Fingerprint("clinic", charge))
-	wantFault[*fault.ClaimMismatch](t, err)
-	changed := charge
+	_, err = claims.Take(ctx, "a", "b/c", Fingerprint("clinic", depositCall))
+	wantError[*fault.ClaimMismatch](t, err)
+	changed := depositCall
 	changed.Body = []byte(`{"cents":1}`)
-	_, err = vm.Take(ctx, "a", "b/c", Fingerprint("desk", changed))
-	wantFault[*fault.ClaimMismatch](t, err)
+	_, err = claims.Take(ctx, "a", "b/c", Fingerprint("desk", changed))
+	wantError[*fault.ClaimMismatch](t, err)
 }
 
-// The store is silent when a claim is taken, so it is not known whether the
-// claim stands. The request must not run, also when the claim arrives later.
-func TestClaimOverASilentStoreDoesNotRun(t *testing.T) {
+// The store does not answer while a key is claimed, so it is unknown whether the
+// claim is stored. The request must not run, even if the claim takes effect later.
+func TestClaimFailsWhileStoreIsUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		w.TakeDown(10 * time.Minute)
-		_, err := take(vms(w, "vm-1")[0])
-		wantFault[*fault.StoreUnavailable](t, err)
-		row, _ := w.Rows.Get(context.Background(), rowKey(farm, deposit))
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster.TakeDown(10 * time.Minute)
+		_, err := acquire(startVMs(cluster, "vm-1")[0])
+		wantError[*fault.StoreUnavailable](t, err)
+		row, _ := cluster.Rows.Get(context.Background(), rowKey(testAccount, depositKey))
 		if row.Exists() {
-			t.Error("a claim stands")
+			t.Error("a claim was stored")
 		}
 	})
 }
 
-// A VM settles the same claim twice, with another VM's claim between the two.
-// The second time must leave the other claim alone.
-func TestSettlingTwiceLeavesALaterClaim(t *testing.T) {
+// A VM ends the same claim several times, and another VM claims the key after the
+// first. The later calls must not change the other VM's claim.
+func TestEndingClaimAgainKeepsLaterClaim(t *testing.T) {
 	ctx := context.Background()
-	vm := vms(platformtest.NewWorld(platformtest.NoFaults), "vm-1", "vm-2")
-	claim, _ := take(vm[0])
-	if err := vm[0].Withdraw(ctx, claim); err != nil {
+	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1", "vm-2")
+	claim, _ := acquire(claims[0])
+	if err := claims[0].Withdraw(ctx, claim); err != nil {
 		t.Fatal(err)
 	}
-	later, err := take(vm[1])
+	later, err := acquire(claims[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := vm[0].Withdraw(ctx, claim); err != nil {
+	if err := claims[0].Withdraw(ctx, claim); err != nil {
 		t.Fatal(err)
 	}
-	if err := vm[0].Finish(ctx, claim, service.Answer{Body: []byte("of the first claim")}); err != nil {
+	if err := claims[0].Finish(ctx, claim, service.Answer{Body: []byte("of the first claim")}); err != nil {
 		t.Fatal(err)
 	}
-	if err := vm[1].Finish(ctx, later, paid); err != nil {
+	if err := claims[1].Finish(ctx, later, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	again, err := take(vm[0])
-	if err != nil || again.Answer == nil || string(again.Answer.Body) != "paid" {
-		t.Errorf("repeat: %+v, %v", again, err)
+	repeat, err := acquire(claims[0])
+	if err != nil || repeat.Answer == nil || string(repeat.Answer.Body) != "paid" {
+		t.Errorf("repeat: %+v, %v", repeat, err)
 	}
 }
--- a/internal/request/matrix_test.go
+++ b/internal/request/matrix_test.go
@@ -12,86 +12,86 @@
 	"dogwoodpond/internal/platform/platformtest"
 )
 
-// desk is a plain service that must not run the deposit twice.
-type desk struct {
-	mu      sync.Mutex
-	runs    int
-	answers int
-	broken  string
+// paymentService is a plain service that must not run the deposit twice.
+type paymentService struct {
+	mu        sync.Mutex
+	runs      int
+	answers   int
+	violation string
 }
 
-func (d *desk) run() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.runs++
-	if d.runs > 1 {
-		d.broken = "the deposit ran twice"
+func (s *paymentService) run() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.runs++
+	if s.runs > 1 {
+		s.violation = "the deposit ran twice"
 	}
 	return nil
 }
 
-func (d *desk) answered(body string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.answers++
-	if body != "paid" || d.runs == 0 {
-		d.broken = "a caller got an answer of nothing that ran"
+func (s *paymentService) recordAnswer(body string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.answers++
+	if body != "paid" || s.runs == 0 {
+		s.violation = "a caller got a wrong answer, or an answer although nothing ran"
 	}
 }
 
-// ask takes the claim and runs the deposit, as an entry VM does. giveUp lets it
-// withdraw before anything is sent.
-func (d *desk) ask(p *platformtest.Process, claims *Claims, giveUp bool) (done bool) {
+// handle claims the key and runs the deposit, as an entry VM does. If withdraw is
+// true, it withdraws the claim before anything is sent.
+func (s *paymentService) handle(p *platformtest.Process, claims *Claims, withdraw bool) (done bool) {
 	ctx, cancel := context.WithTimeout(p.Context, 10*time.Second)
 	defer cancel()
-	claim, err := claims.Take(ctx, farm, deposit, Fingerprint("desk", charge))
+	claim, err := claims.Take(ctx, testAccount, depositKey, Fingerprint("desk", depositCall))
 	if err != nil {
 		return false
 	}
 	if claim.Answer != nil {
 		if !p.Dead() {
-			d.answered(string(claim.Answer.Body))
+			s.recordAnswer(string(claim.Answer.Body))
 		}
 		return true
 	}
-	if giveUp {
+	if withdraw {
 		_ = claims.Withdraw(ctx, claim)
 		return false
 	}
-	if err := p.Call(ctx, "service", "desk", true, d.run); err != nil {
+	if err := p.Call(ctx, "service", "desk", true, s.run); err != nil {
 		claims.Leave(claim)
 		return false
 	}
-	return claims.Finish(ctx, claim, paid) == nil
+	return claims.Finish(ctx, claim, paidAnswer) == nil
 }
 
-// A deposit is asked for at two VMs again and again, and one of them first gives
-// up. Whatever fails, it runs at most once, and nobody gets an answer that no
-// run gave.
+// Two VMs repeatedly receive the same deposit, and one of them withdraws its first
+// claim. Under every fault, the deposit must run at most once, and no caller may
+// get an answer before it ran.
 func TestMatrixClaim(t *testing.T) {
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name:  "claim",
 		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(w *platformtest.World) error {
+		Run: func(cluster *platformtest.World) error {
 			ctx, stop := context.WithCancel(context.Background())
-			d := &desk{}
-			var group sync.WaitGroup
-			var gaveUp atomic.Bool
+			s := &paymentService{}
+			var processes sync.WaitGroup
+			var withdrawn atomic.Bool
 			for _, name := range []string{"vm-1", "vm-2"} {
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+				cluster.Supervise(ctx, &processes, name, func(p *platformtest.Process) {
 					claims := NewClaims(p)
 					for range 8 {
-						d.ask(p, claims, name == "vm-1" && gaveUp.CompareAndSwap(false, true))
+						s.handle(p, claims, name == "vm-1" && withdrawn.CompareAndSwap(false, true))
 						time.Sleep(2 * time.Second)
 					}
 				})
 				time.Sleep(time.Millisecond)
 			}
-			group.Wait()
+			processes.Wait()
 			stop()
 			time.Sleep(time.Minute)
-			if d.broken != "" {
-				return errors.Newf("%s", d.broken)
+			if s.violation != "" {
+				return errors.Newf("%s", s.violation)
 			}
 			return nil
 		},
