--- a/internal/generate/attempts_test.go
+++ b/internal/generate/attempts_test.go
@@ -33,55 +33,55 @@
 	attemptModel    = "berry-1"
 )
 
-// brownOut is a pool of engines of which some fail every attempt.
-type brownOut struct {
+// faultyPool is a pool of engines of which some fail every attempt.
+type faultyPool struct {
 	upstreams []platform.Upstream
 	attempts  atomic.Int64
 	next      atomic.Int64
-	// anonymous gives every grant a new upstream ID, so that no circuit learns.
+	// anonymous gives every grant a new upstream ID, so that no circuit opens.
 	anonymous bool
 }
 
-func newBrownOut(t *testing.T, failing int) *brownOut {
-	b := &brownOut{}
+func newFaultyPool(t *testing.T, failing int) *faultyPool {
+	p := &faultyPool{}
 	for n := range attemptEngines {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			b.attempts.Add(1)
+			p.attempts.Add(1)
 			if n < failing {
 				panic(http.ErrAbortHandler)
 			}
-			answerShortly(w, r)
+			serveOneToken(w, r)
 		}))
 		t.Cleanup(server.Close)
-		b.upstreams = append(b.upstreams, platform.Upstream{
+		p.upstreams = append(p.upstreams, platform.Upstream{
 			ID: fmt.Sprintf("e%d", n), Address: strings.TrimPrefix(server.URL, "http://"),
 		})
 	}
-	return b
+	return p
 }
 
-// answerShortly answers with one token.
-func answerShortly(w http.ResponseWriter, r *http.Request) {
+// serveOneToken answers a completion request with one token.
+func serveOneToken(w http.ResponseWriter, r *http.Request) {
 	var request engine.CompletionRequest
 	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		return
 	}
-	text, _ := json.Marshal(engine.CompletionChunk{
+	chunk, _ := json.Marshal(engine.CompletionChunk{
 		ID: request.RequestID, Model: request.Model, WeightVersion: 1, Incarnation: "i",
 		Choices: []engine.CompletionChoice{{Tokens: []string{"a"}, FinishReason: "stop"}},
 	})
-	_, _ = fmt.Fprintf(w, "data: %s\n\ndata: %s\n\n", text, engine.DoneEvent)
+	_, _ = fmt.Fprintf(w, "data: %s\n\ndata: %s\n\n", chunk, engine.DoneEvent)
 }
 
-// Acquire implements dispatch.Dispatcher: it grants the engines in turn.
-func (b *brownOut) Acquire(_ context.Context, work dispatch.Work) (dispatch.Grant, error) {
-	for range b.upstreams {
-		n := b.next.Add(1)
-		u := b.upstreams[n%int64(len(b.upstreams))]
+// Acquire implements dispatch.Dispatcher. It grants the engines round-robin.
+func (p *faultyPool) Acquire(_ context.Context, work dispatch.Work) (dispatch.Grant, error) {
+	for range p.upstreams {
+		n := p.next.Add(1)
+		u := p.upstreams[n%int64(len(p.upstreams))]
 		if slices.Contains(work.Exclude, u.ID) {
 			continue
 		}
-		if b.anonymous {
+		if p.anonymous {
 			u.ID = fmt.Sprintf("%s-%d", u.ID, n)
 		}
 		return dispatch.Grant{Upstream: u, Done: func(dispatch.Result) {}}, nil
@@ -89,9 +89,9 @@
 	return dispatch.Grant{}, errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: time.Second})
 }
 
-// run makes the requests; each gets its policy from policies. It returns how
-// many were answered.
-func (b *brownOut) run(t *testing.T, policies func() *retry.Policy) int64 {
+// runRequests makes attemptRequests requests, each with the policy that
+// nextPolicy returns, and returns how many were served.
+func (p *faultyPool) runRequests(t *testing.T, nextPolicy func() *retry.Policy) int64 {
 	t.Helper()
 	view := contract.NewView()
 	account := contract.DefaultContract("strathallan")
@@ -102,7 +102,7 @@
 	for range attemptWorkers {
 		workers.Go(func() {
 			for n := range attemptRequests / attemptWorkers {
-				local := NewLocal(view, b, engines, policies(), quietEvents())
+				local := NewLocal(view, p, engines, nextPolicy(), newRecorder())
 				request := Request{ID: fmt.Sprint(n), Account: account.Account, Model: attemptModel, Prompt: "p", MaxTokens: 4}
 				if _, err := local.Generate(t.Context(), request, nil); err == nil {
 					served.Add(1)
@@ -114,37 +114,37 @@
 	return served.Load()
 }
 
-func quietEvents() *event.Recorder {
+func newRecorder() *event.Recorder {
 	return event.NewRecorder("vm-1", 16, event.NewClock(time.Now), zap.NewNop())
 }
 
-func newPolicy() *retry.Policy { return retry.NewPolicy(prometheus.NewRegistry(), quietEvents()) }
+func newPolicy() *retry.Policy { return retry.NewPolicy(prometheus.NewRegistry(), newRecorder()) }
 
-// A part of the engines fails every attempt, up to all of them. Were each
-// request tried until its attempts are used up, the load would grow by that
-// number in the very moment in which the engines can't bear any.
+// Some or all engines fail every attempt. If each request were retried up to its
+// limit of attempts, the load would multiply by that limit when the engines can
+// bear it least. The retry budget must limit the attempts.
 func TestAttemptsPerRequest(t *testing.T) {
 	t.Logf("%d requests, %d engines; attempts per request (share served)", attemptRequests, attemptEngines)
-	t.Logf("%8s %18s %18s %18s", "failing", "no bound", "budget", "budget, circuits")
+	t.Logf("%8s %18s %18s %18s", "failing", "no limit", "budget", "budget, circuits")
 	for _, failing := range []int{0, 1, 5, 10} {
 		row := fmt.Sprintf("%7d%%", failing*100/attemptEngines)
 		for _, mode := range []string{"none", "budget", "both"} {
-			pool := newBrownOut(t, failing)
+			pool := newFaultyPool(t, failing)
 			pool.anonymous = mode == "budget"
 			shared := newPolicy()
-			policies := func() *retry.Policy { return shared }
+			nextPolicy := func() *retry.Policy { return shared }
 			if mode == "none" {
-				policies = newPolicy
+				nextPolicy = newPolicy
 			}
-			served := pool.run(t, policies)
+			served := pool.runRequests(t, nextPolicy)
 			attempts := pool.attempts.Load()
 			row += fmt.Sprintf(" %10.3f (%4.0f%%)", float64(attempts)/attemptRequests, 100*float64(served)/attemptRequests)
-			const reserve, share = 64, 5
-			if bound := attemptRequests + reserve + served/share; mode != "none" && attempts > bound {
-				t.Errorf("%d%% failing, %s: %d attempts, bound %d", failing*100/attemptEngines, mode, attempts, bound)
+			const budgetCapacity, successesPerRetry = 64, 5
+			if limit := attemptRequests + budgetCapacity + served/successesPerRetry; mode != "none" && attempts > limit {
+				t.Errorf("%d%% failing, %s: %d attempts, limit %d", failing*100/attemptEngines, mode, attempts, limit)
 			}
 			if failing == 0 && served != attemptRequests {
-				t.Errorf("%s: only %d were served by well engines", mode, served)
+				t.Errorf("%s: only %d requests were served although no engine fails", mode, served)
 			}
 		}
 		t.Log(row)
--- a/internal/generate/generate.go
+++ b/internal/generate/generate.go
@@ -1,6 +1,6 @@
-// Package generate runs generations on model engines: it picks an engine
-// through the dispatcher, follows the stream, checks that it is whole, and
-// resumes or retries elsewhere within the retry budget.
+// Package generate runs generations on model engines: it acquires an engine from
+// the dispatcher, reads the token stream, checks that the answer is complete, and
+// resumes or retries on another engine within the retry budget.
 package generate
 
 import (
@@ -10,10 +10,10 @@
 	"dogwoodpond/internal/contract"
 )
 
-// Priority orders the work of one client account.
+// Priority orders the requests of one client account.
 type Priority int
 
-// The priorities; interactive work goes before rollouts of the same account.
+// The priorities. Interactive requests precede rollouts of the same account.
 const (
 	Interactive Priority = iota
 	Rollout
@@ -21,42 +21,45 @@
 
 // Request is one generation.
 type Request struct {
-	// ID is unique; a retry of the caller has a new one.
+	// ID is unique; a retry by the caller has a new ID.
 	ID      string           `json:"id"`
 	Account contract.Account `json:"account"`
 	Model   string           `json:"model"`
 	Adapter string           `json:"adapter,omitempty"`
 	Prompt  string           `json:"prompt"`
-	// MaxTokens bounds the answer.
+	// MaxTokens limits the length of the answer.
 	MaxTokens int `json:"maxTokens"`
-	// Seed makes the engine's sampling repeatable.
+	// Seed makes the engine's sampling reproducible.
 	Seed     int64    `json:"seed"`
 	Priority Priority `json:"priority"`
-	// Group brings requests with a shared prefix to the same engine.
+	// Group is the same for requests that share a prefix. They prefer the same
+	// engine.
 	Group string `json:"group,omitempty"`
-	// MinVersion refuses engines that serve older weights; 0 means any.
+	// MinVersion excludes engines that serve older weights; 0 excludes none.
 	MinVersion int64 `json:"minVersion,omitempty"`
 	// Step and Slot are set for rollouts.
 	Step string `json:"step,omitempty"`
 	Slot string `json:"slot,omitempty"`
-	// Timeout is what remains of the caller's deadline.
+	// Timeout is the time left until the caller's deadline; 0 means
+	// that there is none.
 	Timeout time.Duration `json:"timeout"`
 }
 
-// Chunk is one token run of a stream, as an engine reported it.
+// Chunk is a sequence of tokens of a stream, as an engine reported it.
 type Chunk struct {
-	// Offset is the index of the run's first token in the answer.
+	// Offset is the index of the chunk's first token in the answer.
 	Offset int `json:"offset"`
-	// Tokens are the texts of the run's tokens.
+	// Tokens are the texts of the tokens.
 	Tokens []string `json:"tokens"`
-	// Version is the weight version that produced the run.
+	// Version is the weight version that produced the tokens.
 	Version int64 `json:"version"`
-	// Upstream and Incarnation tell which engine process produced the run.
+	// Upstream and Incarnation identify the engine process that produced the
+	// tokens.
 	Upstream    string `json:"upstream"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Span says that the tokens from Start up to, not including, End came from one
+// Span attributes the tokens from Start up to, but not including, End to one
 // weight version of one engine process.
 type Span struct {
 	Start       int    `json:"start"`
@@ -66,13 +69,13 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// Result is a whole answer.
+// Result is a complete answer.
 type Result struct {
 	ID       string   `json:"id"`
 	Tokens   []string `json:"tokens"`
 	Spans    []Span   `json:"spans"`
 	Attempts int      `json:"attempts"`
-	// FinishReason is the engine's: "stop" or "length".
+	// FinishReason is the reason that the engine reports: "stop" or "length".
 	FinishReason string `json:"finishReason"`
 }
 
@@ -82,7 +85,7 @@
 
 // Runner runs generations.
 //
-// Generate returns the whole result or a typed failure. It stops soon after
+// Generate returns the complete result or a typed failure. It returns soon after
 // ctx ends. sink may be nil. Implementations are safe for concurrent use.
 type Runner interface {
 	Generate(ctx context.Context, request Request, sink Sink) (Result, error)
--- a/internal/generate/local.go
+++ b/internal/generate/local.go
@@ -17,10 +17,10 @@
 	"dogwoodpond/internal/retry"
 )
 
-// maxFruitless bounds the attempts in a row that bring no token.
-const maxFruitless = 4
+// maxEmptyAttempts limits the consecutive attempts that produce no token.
+const maxEmptyAttempts = 4
 
-// Local runs generations on the upstreams that this VM reaches.
+// Local is a Runner for the upstreams that this VM can reach.
 type Local struct {
 	view       *contract.View
 	dispatcher dispatch.Dispatcher
@@ -29,7 +29,7 @@
 	events     *event.Recorder
 }
 
-// NewLocal returns a runner over the VM's dispatcher.
+// NewLocal returns a runner that acquires upstreams from the VM's dispatcher.
 func NewLocal(view *contract.View, dispatcher dispatch.Dispatcher, engines *engine.Client, retries *retry.Policy, events *event.Recorder) *Local {
 	return &Local{view: view, dispatcher: dispatcher, engines: engines, retries: retries, events: events}
 }
@@ -53,29 +53,29 @@
 		sink:      sink,
 		result:    Result{ID: request.ID},
 		execution: fault.NotRun,
-		delays:    retry.NewDelays(),
+		backoff:   retry.NewDelays(),
 	}
 	return g.run(ctx)
 }
 
-// generation is one generation on its way.
+// generation is the state of a running generation.
 type generation struct {
 	local    *Local
 	request  Request
 	contract contract.Contract
 	sink     Sink
 	result   Result
-	// exclude names the upstreams that failed this generation.
+	// exclude lists the IDs of the upstreams that failed this generation.
 	exclude []string
-	// fruitless counts the latest attempts that brought no token.
-	fruitless int
-	// execution is what all attempts so far may have run.
+	// emptyAttempts counts the attempts since the last one that produced a token.
+	emptyAttempts int
+	// execution reports whether any attempt so far ran or may have run.
 	execution fault.Execution
-	delays    *retry.Delays
+	backoff   *retry.Delays
 }
 
-// run makes attempts until one completes the answer or the generation is given
-// up. A failure carries what all attempts together may have run.
+// run makes attempts until one completes the answer or no other attempt is
+// allowed. Its failure carries the combined execution of all attempts.
 func (g *generation) run(ctx context.Context) (Result, error) {
 	for {
 		err := g.attempt(ctx)
@@ -85,49 +85,51 @@
 		}
 		g.execution = g.execution.Or(fault.ExecutionOf(err))
 		if ctx.Err() != nil {
-			return Result{}, fault.WithExecution(ended(ctx), g.execution)
+			return Result{}, fault.WithExecution(contextError(ctx), g.execution)
 		}
-		if !g.mayRetry(err) {
+		if !g.allowRetry(err) {
 			return Result{}, fault.WithExecution(err, g.execution)
 		}
-		if !g.delays.Wait(ctx) {
-			return Result{}, fault.WithExecution(ended(ctx), g.execution)
+		if !g.backoff.Wait(ctx) {
+			return Result{}, fault.WithExecution(contextError(ctx), g.execution)
 		}
 	}
 }
 
-// mayRetry decides without waiting, so that a request that is given up on gets
-// its answer at once.
-func (g *generation) mayRetry(err error) bool {
-	if g.result.FinishReason != "" || g.fruitless >= maxFruitless {
+// allowRetry reports whether another attempt may be made. A retry of a failed
+// attempt is taken from the retry budget. allowRetry does not wait, so that a
+// request that may not be retried is answered at once.
+func (g *generation) allowRetry(err error) bool {
+	if g.result.FinishReason != "" || g.emptyAttempts >= maxEmptyAttempts {
 		return false
 	}
 	if fault.Is[*fault.NoUpstream](err) && len(g.exclude) > 0 {
-		// Only upstreams that failed this generation are left; one of them may
-		// be well again.
+		// The only upstreams left have failed this generation; one of them may
+		// have recovered.
 		g.exclude = nil
 		return true
 	}
-	return repeatable(err) && g.local.retries.Take(g.pool().String())
+	return isRetryable(err) && g.local.retries.Take(g.pool().String())
 }
 
-// retryAfter is when the caller of an ended generation should come back.
+// retryAfter is the time after which a caller may retry when its deadline was
+// exceeded.
 const retryAfter = 2 * time.Second
 
-// ended turns the end of a context into a failure.
-func ended(ctx context.Context) error {
+// contextError returns the failure for a context that has ended.
+func contextError(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return errors.WithStack(&fault.DeadlineExceeded{Wait: retryAfter})
 	}
 	return errors.WithStack(&fault.CallerGone{})
 }
 
-// repeatable reports whether another engine may do better.
-func repeatable(err error) bool {
+// isRetryable reports whether the request may succeed on another engine.
+func isRetryable(err error) bool {
 	return fault.Is[*fault.UpstreamFailed](err) || fault.Is[*fault.AnswerTruncated](err)
 }
 
-// attempt runs one attempt. What the dispatcher refuses has not run.
+// attempt makes one attempt. If the dispatcher refuses the request, nothing ran.
 func (g *generation) attempt(ctx context.Context) error {
 	grant, report, err := g.acquire(ctx)
 	if err != nil {
@@ -135,27 +137,28 @@
 	}
 	g.result.Attempts++
 	g.emit(event.RequestDispatched, grant.Upstream.ID, "")
-	before := len(g.result.Tokens)
-	if before > 0 {
+	tokensBefore := len(g.result.Tokens)
+	if tokensBefore > 0 {
 		g.emit(event.StreamResumed, grant.Upstream.ID, "")
 	}
-	settled := false
-	// A panic must not keep the place: the engine would look full for ever.
+	reported := false
+	// A panic must release the grant: otherwise the engine would look full for
+	// ever.
 	defer func() {
-		if !settled {
+		if !reported {
 			report(retry.Abandoned)
 			grant.Done(dispatch.Result{})
 		}
 	}()
 	err = g.stream(ctx, grant)
-	settled = true
-	failed := err != nil && repeatable(err) && ctx.Err() == nil
-	report(outcomeOf(err, failed))
-	got := len(g.result.Tokens) - before
-	grant.Done(dispatch.Result{Cost: int64(got), Failed: failed})
-	g.fruitless++
-	if got > 0 {
-		g.fruitless = 0
+	reported = true
+	failed := err != nil && isRetryable(err) && ctx.Err() == nil
+	report(attemptOutcome(err, failed))
+	produced := len(g.result.Tokens) - tokensBefore
+	grant.Done(dispatch.Result{Cost: int64(produced), Failed: failed})
+	g.emptyAttempts++
+	if produced > 0 {
+		g.emptyAttempts = 0
 	}
 	if err != nil {
 		g.emit(event.AttemptFailed, grant.Upstream.ID, string(fault.CodeOf(err)))
@@ -164,7 +167,7 @@
 	return err
 }
 
-func outcomeOf(err error, failed bool) retry.Outcome {
+func attemptOutcome(err error, failed bool) retry.Outcome {
 	switch {
 	case err == nil:
 		return retry.Succeeded
@@ -175,12 +178,13 @@
 	}
 }
 
-// acquire gets a place on an upstream whose circuit lets an attempt through.
+// acquire returns a grant for an upstream whose circuit admits an attempt, and the
+// function that reports the attempt's outcome to the circuit.
 func (g *generation) acquire(ctx context.Context) (dispatch.Grant, func(retry.Outcome), error) {
-	var closed []string
+	var refused []string
 	for {
 		work := g.work()
-		work.Exclude = slices.Concat(g.exclude, g.local.retries.Open(), closed)
+		work.Exclude = slices.Concat(g.exclude, g.local.retries.Open(), refused)
 		grant, err := g.local.dispatcher.Acquire(ctx, work)
 		if err != nil {
 			return dispatch.Grant{}, nil, err
@@ -190,16 +194,16 @@
 			return grant, report, nil
 		}
 		grant.Done(dispatch.Result{})
-		closed = append(closed, grant.Upstream.ID)
+		refused = append(refused, grant.Upstream.ID)
 	}
 }
 
-// stream follows one engine's stream. The chunk with the finish reason is the
-// last one by the protocol, so an answer that has it is whole even if the
+// stream reads the stream of one attempt. The protocol makes the chunk with the
+// finish reason the last one, so an answer that has it is complete even if the
 // terminal event was lost.
 func (g *generation) stream(ctx context.Context, grant dispatch.Grant) error {
 	err := g.local.engines.Stream(ctx, grant.Upstream.Address, g.completion(), func(c engine.CompletionChunk) error {
-		return g.take(grant.Upstream.ID, c)
+		return g.addChunk(grant.Upstream.ID, c)
 	})
 	finished := g.result.FinishReason != ""
 	if err == nil && !finished {
@@ -235,8 +239,8 @@
 	}
 }
 
-// completion builds the engine's request anew, from nothing that the caller's
-// headers held.
+// completion returns the engine's request. It is built from the generation alone;
+// no header of the caller is forwarded.
 func (g *generation) completion() engine.CompletionRequest {
 	return engine.CompletionRequest{
 		RequestID: g.request.ID,
@@ -249,10 +253,11 @@
 	}
 }
 
-// take adds a chunk to the answer. A chunk that leaves a gap, repeats tokens or
-// comes after the last one would corrupt the answer unseen, so the offset must
-// be exactly the next and the length within what was asked for.
-func (g *generation) take(upstreamID string, wire engine.CompletionChunk) error {
+// addChunk adds a chunk to the answer and passes it to the sink. A chunk that
+// leaves a gap, repeats tokens or follows the last one would corrupt the answer
+// unnoticed, so its offset must be the next one and the answer must not exceed
+// MaxTokens.
+func (g *generation) addChunk(upstreamID string, wire engine.CompletionChunk) error {
 	choice := wire.Choices[0]
 	if problem := g.chunkProblem(wire.Model, choice); problem != "" {
 		return errors.WithStack(&fault.UpstreamFailed{Upstream: upstreamID, Reason: problem})
@@ -273,24 +278,24 @@
 	return g.sink(chunk)
 }
 
-// chunkProblem names what is wrong with a chunk.
+// chunkProblem returns what is wrong with a chunk, or an empty string.
 func (g *generation) chunkProblem(model string, choice engine.CompletionChoice) string {
 	switch {
 	case g.result.FinishReason != "":
-		return "a chunk after the last"
+		return "received a chunk after the finish reason"
 	case choice.Offset != len(g.result.Tokens):
-		return "a chunk is out of order"
+		return "received a chunk at an unexpected offset"
 	case choice.Offset+len(choice.Tokens) > g.request.MaxTokens:
-		return "more tokens than asked for"
+		return "received more tokens than requested"
 	case model != g.request.Model:
-		return "a chunk of another model"
+		return "received a chunk of another model"
 	default:
 		return ""
 	}
 }
 
-// AppendSpan extends the spans of an answer by a chunk. A chunk without tokens,
-// as some engines send with the finish reason, has nothing to attribute.
+// AppendSpan extends the spans of an answer by the tokens of a chunk. A chunk
+// without tokens, which some engines send with the finish reason, changes nothing.
 func AppendSpan(spans []Span, c Chunk) []Span {
 	if len(c.Tokens) == 0 {
 		return spans
--- a/internal/generate/local_test.go
+++ b/internal/generate/local_test.go
@@ -18,29 +18,29 @@
 	"dogwoodpond/internal/platform"
 )
 
-// onePlace grants the same upstream and counts the places that are held.
-type onePlace struct {
+// fakeDispatcher always grants the same upstream and counts the grants held.
+type fakeDispatcher struct {
 	upstream platform.Upstream
 	held     int
 }
 
 // Acquire implements dispatch.Dispatcher.
-func (p *onePlace) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
-	p.held++
-	return dispatch.Grant{Upstream: p.upstream, Done: func(dispatch.Result) { p.held-- }}, nil
+func (d *fakeDispatcher) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
+	d.held++
+	return dispatch.Grant{Upstream: d.upstream, Done: func(dispatch.Result) { d.held-- }}, nil
 }
 
-// A defect makes a request panic while it holds a place on an engine. The VM
-// goes on without the request; if it kept the place, the engine would look full
-// after a few such requests, and nobody would know why.
-func TestPanicGivesThePlaceBack(t *testing.T) {
-	server := httptest.NewServer(http.HandlerFunc(answerShortly))
+// A defect makes a request panic while it holds a grant for an engine, and the VM
+// continues. If the grant were not released, the engine would look full after a
+// few such requests, without a visible cause.
+func TestPanicReleasesGrant(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(serveOneToken))
 	defer server.Close()
-	place := &onePlace{upstream: platform.Upstream{ID: "e1", Address: strings.TrimPrefix(server.URL, "http://")}}
+	dispatcher := &fakeDispatcher{upstream: platform.Upstream{ID: "e1", Address: strings.TrimPrefix(server.URL, "http://")}}
 	view := contract.NewView()
 	account := contract.DefaultContract("strathallan")
 	view.Advance(&contract.Snapshot{Revision: 1, Contracts: map[contract.Account]contract.Contract{account.Account: account}})
-	local := NewLocal(view, place, engine.NewClient(), newPolicy(), quietEvents())
+	local := NewLocal(view, dispatcher, engine.NewClient(), newPolicy(), newRecorder())
 	func() {
 		defer func() {
 			if recover() == nil {
@@ -50,16 +50,16 @@
 		request := Request{ID: "r1", Account: account.Account, Model: attemptModel, Prompt: "p", MaxTokens: 4}
 		_, _ = local.Generate(t.Context(), request, func(Chunk) error { panic("defect") })
 	}()
-	if place.held != 0 {
-		t.Errorf("%d places are still held", place.held)
+	if dispatcher.held != 0 {
+		t.Errorf("%d grants are still held", dispatcher.held)
 	}
 }
 
-// The spans are the answer to the question which weights wrote a sample. A hole
-// or an overlap attributes tokens to the wrong ones.
+// Spans attribute the tokens of a sample to weight versions. A gap or an overlap
+// would attribute tokens to wrong versions.
 func TestSpansCoverEveryTokenOnce(t *testing.T) {
 	properties := gopter.NewProperties(&gopter.TestParameters{MinSuccessfulTests: 300, MaxSize: 50, Rng: gopter.DefaultTestParametersWithSeed(11).Rng, Workers: 1})
-	properties.Property("spans follow each other and keep each chunk's version", prop.ForAll(
+	properties.Property("spans are contiguous and have the version of each chunk", prop.ForAll(
 		func(lengths []int) bool {
 			var spans []Span
 			var versions []int64
@@ -70,14 +70,14 @@
 					versions = append(versions, version)
 				}
 			}
-			return covered(spans, versions)
+			return spansMatchVersions(spans, versions)
 		},
 		gen.SliceOf(gen.IntRange(0, 5)),
 	))
 	properties.TestingRun(t)
 }
 
-func covered(spans []Span, versions []int64) bool {
+func spansMatchVersions(spans []Span, versions []int64) bool {
 	next := 0
 	for _, span := range spans {
 		if span.Start != next || span.End <= span.Start {
