--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,6 @@
-// Package control runs what at most one VM may do at a time: the orders of a
-// failure domain and the usage reports. Each loop runs under a lease, and every
-// VM campaigns for the leases that it may hold.
+// Package control runs the duties that at most one VM may have at a time: the
+// orders of a failure domain and the usage reports. Each duty runs under a lease,
+// and every VM campaigns for the leases that it may hold.
 package control
 
 import (
@@ -20,30 +20,31 @@
 
 // Names of the leases.
 const (
-	// DomainLease is followed by the failure domain's name.
+	// DomainLease is the prefix of a failure domain's lease; the domain's name
+	// follows.
 	DomainLease  = "domain/"
 	ReportsLease = "reports"
 )
 
-// Demands tells the work that waits and runs in the failure domain, by account
-// and pool. It is soft state: wrong figures cost money or time within the
-// contract, never more.
+// Demands returns how many requests are running and queued in the failure domain,
+// by account and pool. It is soft state: wrong figures cost money or time within
+// the limits of the contracts, never more.
 type Demands interface {
 	Demand() []provision.Demand
 }
 
-// Platform is what the loops ask of the platform.
+// Platform is the part of the platform's API that the controller uses.
 type Platform interface {
 	platform.Upstreams
 	platform.Weights
 }
 
-// Loads returns engines' load reports.
+// Loads reads the load reports of engines.
 type Loads interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// Config holds what a Controller is built from.
+// Config holds the dependencies and settings of a Controller.
 type Config struct {
 	FailureDomain string
 	Leases        *lease.Manager
@@ -55,17 +56,19 @@
 	Mover         *pools.Mover
 	Provisioner   *provision.Provisioner
 	Closer        *usage.Closer
-	// Period is the time between two looks at the failure domain.
+	// Period is the interval between two rounds of orders for the failure domain.
 	Period time.Duration
-	// ClosePeriod is the time between two looks at the usage windows.
+	// ClosePeriod is the interval between two checks for usage windows to close.
 	ClosePeriod time.Duration
-	// OrderTimeout is how long an order of an earlier holder can be under way.
+	// OrderTimeout is how long after it was sent an order of a previous holder of
+	// the lease can still take effect.
 	OrderTimeout time.Duration
-	// ReportTimeout is the same for a usage report.
+	// ReportTimeout is how long after it was sent a usage report of a previous
+	// holder of the lease can still take effect.
 	ReportTimeout time.Duration
 }
 
-// Controller runs the loops of one VM.
+// Controller runs the duties of one VM.
 type Controller struct {
 	Config
 }
@@ -73,18 +76,19 @@
 // New returns a controller.
 func New(config Config) *Controller { return &Controller{Config: config} }
 
-// Run campaigns and works until ctx ends, and then releases the leases.
+// Run campaigns for the leases and runs the duties of those that it holds until
+// ctx ends, and then releases the leases.
 func (c *Controller) Run(ctx context.Context) {
 	var campaigns sync.WaitGroup
-	campaigns.Go(func() { _ = c.Leases.Campaign(ctx, DomainLease+c.FailureDomain, c.holdDomain) })
-	campaigns.Go(func() { _ = c.Leases.Campaign(ctx, ReportsLease, c.holdReports) })
+	campaigns.Go(func() { _ = c.Leases.Campaign(ctx, DomainLease+c.FailureDomain, c.runDomain) })
+	campaigns.Go(func() { _ = c.Leases.Campaign(ctx, ReportsLease, c.runReports) })
 	campaigns.Wait()
 }
 
-// holdReports closes usage windows. Not every billing refuses an old fencing
-// number, so the first report waits until none of an earlier holder can be
-// under way.
-func (c *Controller) holdReports(ctx context.Context, guard lease.Guard) (bool, error) {
+// runReports closes usage windows until the lease is lost or ctx ends. Some
+// billing services accept outdated fencing tokens, so the first report waits until
+// no report of a previous holder can take effect any more.
+func (c *Controller) runReports(ctx context.Context, guard lease.Guard) (bool, error) {
 	if err := lease.Settle(ctx, guard, c.ReportTimeout); err != nil {
 		return false, err
 	}
@@ -92,9 +96,10 @@
 	return false, guard.Check()
 }
 
-// holdDomain orders for the failure domain. Some engines ignore fencing numbers,
-// so the first order waits until none of an earlier holder can be under way.
-func (c *Controller) holdDomain(ctx context.Context, guard lease.Guard) (bool, error) {
+// runDomain sends the orders for the failure domain until the lease is lost or ctx
+// ends. Some engines ignore fencing tokens, so the first order waits until no
+// order of a previous holder can take effect any more.
+func (c *Controller) runDomain(ctx context.Context, guard lease.Guard) (bool, error) {
 	if err := lease.Settle(ctx, guard, c.OrderTimeout); err != nil {
 		return false, err
 	}
@@ -112,8 +117,8 @@
 	return false, guard.Check()
 }
 
-// tick looks at the failure domain once and gives the orders that are due. What
-// fails is tried again by the next tick, from what is then seen.
+// tick observes the failure domain once and sends the orders that are due. After a
+// failure the next tick retries, based on what it then observes.
 func (c *Controller) tick(ctx context.Context, guard lease.Guard) {
 	upstreams, err := c.Platform.Upstreams(ctx)
 	if err != nil {
@@ -121,14 +126,14 @@
 	}
 	observed := c.observe(ctx, upstreams)
 	if versions, err := c.Platform.Latest(ctx); err == nil {
-		c.Roller.Tick(ctx, guard, weightEngines(observed), latest(versions))
+		c.Roller.Tick(ctx, guard, weightEngines(observed), latestVersions(versions))
 	}
 	demands := c.Demands.Demand()
-	_ = c.Mover.Tick(ctx, guard, poolEngines(observed), queued(demands))
+	_ = c.Mover.Tick(ctx, guard, poolEngines(observed), queuedByPool(demands))
 	c.provision(ctx, guard, upstreams, demands)
 }
 
-// provision orders upstreams for the accounts whose contract pays for any.
+// provision orders upstreams for the accounts whose contracts pay for them.
 func (c *Controller) provision(ctx context.Context, guard lease.Guard, upstreams []platform.Upstream, demands []provision.Demand) {
 	offers, err := c.Platform.Offers(ctx)
 	if err != nil {
--- a/internal/control/demands.go
+++ b/internal/control/demands.go
@@ -11,9 +11,9 @@
 	"dogwoodpond/internal/upstream"
 )
 
-// FleetDemands adds up what the VMs of a failure domain say in their digests.
-// In a large failure domain a VM hears only its own cell; the sum is then scaled
-// up from the VMs that were heard to all.
+// FleetDemands sums the demands in the digests of a failure domain's VMs. In a
+// large failure domain a VM receives digests only from its own cell; the sum is
+// then scaled up from the VMs whose demand is known to all VMs.
 type FleetDemands struct {
 	domain    string
 	members   func() []dispatch.Member
@@ -21,22 +21,22 @@
 	directory *upstream.Directory
 }
 
-// NewFleetDemands returns the demands of a failure domain. members returns the
-// live VMs with their demands.
+// NewFleetDemands returns the demands of the named failure domain. members
+// returns the VMs that are alive, with their demands.
 func NewFleetDemands(domain string, members func() []dispatch.Member, view *contract.View, directory *upstream.Directory) *FleetDemands {
 	return &FleetDemands{domain: domain, members: members, view: view, directory: directory}
 }
 
-// flowKey names a demand as digests do.
+// flowKey identifies a demand by the IDs that digests contain.
 type flowKey struct {
 	pool, account uint32
 }
 
-// Demand implements Demands. The result is ordered by account and pool.
+// Demand implements Demands. The result is sorted by account and pool.
 func (f *FleetDemands) Demand() []provision.Demand {
 	sums, scale := f.sum()
 	var demands []provision.Demand
-	for _, pool := range f.pools() {
+	for _, pool := range f.enginePools() {
 		for account := range f.view.Load().Contracts {
 			flow, ok := sums[flowKey{pool: pool.ID(), account: dispatch.AccountID(account)}]
 			if !ok {
@@ -57,11 +57,11 @@
 	return demands
 }
 
-// sum adds up the flows of the VMs that were heard, and returns by how much the
-// failure domain is larger than these.
+// sum returns the summed flows of the VMs whose demand is known, and the ratio of
+// all VMs of the failure domain to these.
 func (f *FleetDemands) sum() (sums map[flowKey]dispatch.FlowDemand, scale float64) {
 	sums = make(map[flowKey]dispatch.FlowDemand)
-	heard, all := 0, 0
+	known, all := 0, 0
 	for _, m := range f.members() {
 		if m.FailureDomain != f.domain {
 			continue
@@ -70,7 +70,7 @@
 		if !m.Heard {
 			continue
 		}
-		heard++
+		known++
 		for _, flow := range m.Flows {
 			key := flowKey{pool: flow.Pool, account: flow.Account}
 			sum := sums[key]
@@ -79,17 +79,17 @@
 			sums[key] = sum
 		}
 	}
-	return sums, float64(all) / float64(max(1, heard))
+	return sums, float64(all) / float64(max(1, known))
 }
 
-// pools lists the engine pools of the directory, each once.
-func (f *FleetDemands) pools() []dispatch.Pool {
-	var list []dispatch.Pool
+// enginePools returns the engine pools of the directory without duplicates.
+func (f *FleetDemands) enginePools() []dispatch.Pool {
+	var pools []dispatch.Pool
 	for _, u := range f.directory.Load() {
 		pool := dispatch.Pool{Kind: platform.KindEngine, Model: u.Model, Adapter: u.Adapter}
-		if u.Kind == platform.KindEngine && !slices.Contains(list, pool) {
-			list = append(list, pool)
+		if u.Kind == platform.KindEngine && !slices.Contains(pools, pool) {
+			pools = append(pools, pool)
 		}
 	}
-	return list
+	return pools
 }
--- a/internal/control/demands_test.go
+++ b/internal/control/demands_test.go
@@ -31,7 +31,7 @@
 	return NewFleetDemands("a", func() []dispatch.Member { return members }, view, directory)
 }
 
-func TestDemandsOfAFailureDomainAddUp(t *testing.T) {
+func TestDemandIsSummedPerFailureDomain(t *testing.T) {
 	demands := newDemands(t,
 		dispatch.Member{VM: "vm-1", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 3, 1)}},
 		dispatch.Member{VM: "vm-2", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 2, 4), flow("gone", 9, 9)}},
@@ -42,9 +42,10 @@
 	}
 }
 
-// In a large failure domain a VM hears a part of the others only. Taken for the
-// whole, the sum would order too few upstreams, and work would wait for ever.
-func TestDemandsAreScaledToVMsThatWereNotHeard(t *testing.T) {
+// In a large failure domain a VM receives digests from some VMs only. If their sum
+// were used for the whole domain, too few upstreams would be ordered, and requests
+// would stay queued for ever.
+func TestDemandIsScaledToVMsWithUnknownDemand(t *testing.T) {
 	demands := newDemands(t,
 		dispatch.Member{VM: "vm-1", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 4, 2)}},
 		dispatch.Member{VM: "vm-2", FailureDomain: "a"},
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -11,29 +11,29 @@
 	"dogwoodpond/internal/weights"
 )
 
-// observation is an engine with its own report.
+// observation is an engine with its load report.
 type observation struct {
 	upstream platform.Upstream
 	load     engine.Load
 }
 
-// asksAtOnce bounds the load reports that are asked for at the same time.
-const asksAtOnce = 16
+// maxLoadReads limits the load reports that are read concurrently.
+const maxLoadReads = 16
 
-// observe asks every live engine of the failure domain for its report. One that
-// does not answer is left out.
+// observe reads the load reports of all live engines of the failure domain. It
+// omits engines that do not answer.
 func (c *Controller) observe(ctx context.Context, upstreams []platform.Upstream) []observation {
 	var mu sync.Mutex
 	var observed []observation
-	var asks sync.WaitGroup
-	places := make(chan struct{}, asksAtOnce)
+	var reads sync.WaitGroup
+	sem := make(chan struct{}, maxLoadReads)
 	for _, u := range upstreams {
 		if u.Kind != platform.KindEngine || u.FailureDomain != c.FailureDomain || u.State != platform.UpstreamLive {
 			continue
 		}
-		places <- struct{}{}
-		asks.Go(func() {
-			defer func() { <-places }()
+		sem <- struct{}{}
+		reads.Go(func() {
+			defer func() { <-sem }()
 			load, err := c.Loads.Load(ctx, u.Address)
 			if err != nil {
 				return
@@ -43,7 +43,7 @@
 			observed = append(observed, observation{upstream: u, load: load})
 		})
 	}
-	asks.Wait()
+	reads.Wait()
 	return observed
 }
 
@@ -78,8 +78,8 @@
 	return engines
 }
 
-// latest returns the newest version of each model.
-func latest(versions []platform.WeightVersion) map[string]int64 {
+// latestVersions returns the newest published version of each model.
+func latestVersions(versions []platform.WeightVersion) map[string]int64 {
 	byModel := make(map[string]int64, len(versions))
 	for _, v := range versions {
 		byModel[v.Model] = max(byModel[v.Model], v.Version)
@@ -87,8 +87,8 @@
 	return byModel
 }
 
-// queued returns how many requests wait for each pool.
-func queued(demands []provision.Demand) map[pools.Pool]int {
+// queuedByPool returns the number of queued requests of each pool.
+func queuedByPool(demands []provision.Demand) map[pools.Pool]int {
 	byPool := make(map[pools.Pool]int)
 	for _, d := range demands {
 		byPool[pools.Pool{Model: d.Model, Adapter: d.Adapter}] += d.Queued
