--- a/internal/window/clock.go
+++ b/internal/window/clock.go
@@ -1,7 +1,9 @@
-// Package window counts the use of client accounts in windows of true time and
-// reports each window once. Every VM writes its own totals of a window to a row;
-// the holder of a lease adds them up, fixes the sum in a row of its own, and only
-// then reports it, so that a repeat by whomever sends the same figures.
+// Package window counts the requests of client accounts in usage windows and reports
+// each window to billing. Windows are intervals of fleet time, which is the same on
+// all VMs (see Clock). Every VM writes its own totals of a window to a row of its own.
+// The holder of a lease adds the totals up, stores the sum in another row, which never
+// changes, and only then reports it. A repeated report therefore has the same counts,
+// also when another VM sends it.
 package window
 
 import (
@@ -16,8 +18,9 @@
 	"dogwoodpond/internal/kept"
 )
 
-// The rows of usage: the totals of the VMs, one partition for each window, and
-// the fixed sums.
+// The tables and row names of usage. totalsTable has one partition per window with
+// the totals of each VM; reportTable has the stored sums; clockTable has the row of
+// the fleet's clock.
 const (
 	totalsTable = "usage"
 	reportTable = "usage_report"
@@ -25,10 +28,11 @@
 	clockName   = "offset"
 )
 
-// Clock tells true time from the store's steady clock. The time of day of a VM
-// may jump by seconds, and a VM that was frozen has lost time on its own steady
-// clock; then its counts would go into the wrong windows. The offset between the
-// two is agreed once for the fleet, by the first VM that starts.
+// Clock returns fleet time: the store's monotonic clock plus an offset that is the
+// same on all VMs. The first VM that starts sets the offset by its time of day, once for
+// the fleet. A VM's own clocks are not used because its time of day may jump by seconds,
+// and its monotonic clock loses time while the VM is frozen; requests would then be
+// counted in the wrong windows.
 type Clock struct {
 	store  kept.Clock
 	offset atomic.Int64
@@ -36,18 +40,18 @@
 	agreed atomic.Bool
 }
 
-// agreement is the row of the fleet's clock.
-type agreement struct {
-	// Offset is what the store's clock is behind true time, in milliseconds.
+// clockRow is the value of the row of the fleet's clock.
+type clockRow struct {
+	// Offset is fleet time minus the store's clock, in milliseconds.
 	Offset int64 `json:"offset"`
-	// Since is the true time of the agreement, in Unix milliseconds.
+	// Since is the fleet time at which the offset was set, in Unix milliseconds.
 	Since int64 `json:"since"`
 }
 
-// NewClock returns a clock that goes by the time of day until Agree succeeds.
+// NewClock returns a clock that uses this VM's time of day until Agree succeeds.
 func NewClock(store kept.Clock) *Clock { return &Clock{store: store} }
 
-// Agree takes the fleet's offset, or sets it when there is none yet.
+// Agree reads the fleet's offset from the store, or sets it if there is none yet.
 func (c *Clock) Agree(ctx context.Context, store kept.Store) error {
 	key := kept.Key{Table: clockTable, Name: clockName}
 	page, err := store.Read(ctx, clockTable, "", clockName, "")
@@ -55,11 +59,11 @@
 		return err
 	}
 	if len(page.Rows) > 0 {
-		return c.take(page.Rows[0])
+		return c.applyRow(page.Rows[0])
 	}
 	now, _ := c.store.StoreNow()
 	since := time.Now().UnixMilli()
-	first := agreement{Offset: since - now, Since: since}
+	first := clockRow{Offset: since - now, Since: since}
 	value, err := json.Marshal(first)
 	if err != nil {
 		return err
@@ -70,7 +74,7 @@
 	})
 	var conflict *kept.Conflict
 	if errors.As(err, &conflict) {
-		return c.take(conflict.Row(key))
+		return c.applyRow(conflict.Row(key))
 	}
 	if err == nil {
 		c.set(first)
@@ -78,32 +82,33 @@
 	return err
 }
 
-func (c *Clock) take(row kept.Row) error {
-	var a agreement
-	// Earlier releases wrote the offset alone.
-	if json.Unmarshal(row.Value, &a.Offset) != nil {
-		if err := json.Unmarshal(row.Value, &a); err != nil {
+func (c *Clock) applyRow(row kept.Row) error {
+	var value clockRow
+	// Earlier releases stored the offset alone, as a number.
+	if json.Unmarshal(row.Value, &value.Offset) != nil {
+		if err := json.Unmarshal(row.Value, &value); err != nil {
 			return errors.WithStack(&fault.Internal{Where: "row " + row.String()})
 		}
 	}
-	c.set(a)
+	c.set(value)
 	return nil
 }
 
-func (c *Clock) set(a agreement) {
-	c.offset.Store(a.Offset)
-	c.since.Store(a.Since)
+func (c *Clock) set(value clockRow) {
+	c.offset.Store(value.Offset)
+	c.since.Store(value.Since)
 	c.agreed.Store(true)
 }
 
-// Since returns the true time since which the fleet counts, in Unix milliseconds; 0 when
-// it is not known.
+// Since returns the fleet time at which the offset was set, in Unix milliseconds. It
+// returns 0 until Agree succeeds, and if an earlier release stored the offset.
 func (c *Clock) Since() int64 { return c.since.Load() }
 
-// Agreed reports whether the clock goes by the store.
+// Agreed reports whether the fleet's offset is known.
 func (c *Clock) Agreed() bool { return c.agreed.Load() }
 
-// Millis returns the true time of a moment, in Unix milliseconds.
+// Millis converts at, a reading of this VM's clock, to fleet time in Unix
+// milliseconds. Until Agree succeeds, it returns the VM's time of day.
 func (c *Clock) Millis(at time.Time) int64 {
 	if now, ok := c.store.StoreNow(); ok && c.agreed.Load() {
 		return now + c.offset.Load() - time.Since(at).Milliseconds()
--- a/internal/window/closer.go
+++ b/internal/window/closer.go
@@ -17,61 +17,70 @@
 )
 
 const (
-	// closeAfter is when a window is added up behind the last writes of its totals, which
-	// a slow store carries out within it. The sooner a window is reported, the less an
-	// outage of the store before it is due can make it late.
-	closeAfter = time.Second
-	// closeLate is when it is added up though a VM is silent; reports are due
-	// 10 s after the end of their window.
-	closeLate = 7 * time.Second
-	// lookEvery is the period of looking for windows to close.
-	lookEvery = 400 * time.Millisecond
-	// reportTimeout bounds one report, and so how long a new holder waits before
-	// its first one. Billing answers within it also when it is slow.
+	// closeDelay is the time between the last flush of a window's totals, which begins
+	// at most one flush interval after the end of the window, and the close of the window.
+	// A slow store completes the write within this time. The delay is short because a
+	// window that is reported early is less likely to become late through an outage of
+	// the store before the report is due.
+	closeDelay = time.Second
+	// closeTimeout is the time after the end of a window at which it is closed even if a
+	// VM is unresponsive. Reports are due 10 s after the end of their window.
+	closeTimeout = 7 * time.Second
+	// closeCheckInterval is the interval between checks for windows to close.
+	closeCheckInterval = 400 * time.Millisecond
+	// reportTimeout is the timeout of one report. Billing answers within it also when it
+	// is slow. A new holder of the lease waits slightly longer before its first report,
+	// until no report of a previous holder can still take effect.
 	reportTimeout = 800 * time.Millisecond
-	// leaseName names the lease of the one process that reports.
+	// leaseName is the lease whose holder reports.
 	leaseName = "usage"
-	// sentName is the row that names the newest window that was reported.
-	sentName = "sent"
+	// lastReportedName is the row with the number of the newest reported window.
+	lastReportedName = "sent"
 )
 
-// Report is the usage of all client accounts in one window.
+// Report is the usage of all client accounts in one window. Windows are numbered: window
+// n begins n window lengths after the Unix epoch, in fleet time.
 type Report struct {
 	Window int64
+	// Counts has the number of requests by client account.
 	Counts map[string]int64
-	// Holder and Epoch name the process in charge.
+	// Holder is the VM that held the lease when it reported, Epoch the lease's epoch.
 	Holder string
 	Epoch  uint64
 }
 
-// Billing takes usage reports. A repeat with the same figures is harmless. It
-// fails with *fault.StoreUnavailable when the report has to be repeated.
+// Billing accepts usage reports. A repeated report with the same counts has no effect.
+// ReportUsage fails with *fault.StoreUnavailable when the report has to be repeated, and
+// with *fault.PlatformRefused when billing refuses it permanently.
 type Billing interface {
 	ReportUsage(ctx context.Context, report Report) error
 }
 
-// Closer reports the windows while it holds the lease.
+// Closer closes windows and reports them to billing while its VM holds the lease.
 type Closer struct {
 	VM      string
-	Length  time.Duration
+	Length  time.Duration // of a window
 	Clock   *Clock
 	Store   kept.Store
 	Billing Billing
 	Leases  *lease.Manager
-	Calls   *budget.Budget
+	Calls   *budget.Budget // determines the flush interval of the meters
 	Events  *event.Recorder
 	// Accounts returns the client accounts of the configuration in force.
 	Accounts func() []string
-	// AllHeard reports whether every VM has written to the store a moment ago.
+	// AllHeard reports whether no VM has to be awaited: each one has written its status
+	// row recently or is known to be dead.
 	AllHeard func() bool
 }
 
 // Run campaigns for the lease until ctx ends.
 func (c *Closer) Run(ctx context.Context) {
-	c.Leases.Serve(ctx, leaseName, c.hold)
+	c.Leases.Serve(ctx, leaseName, c.reportWindows)
 }
 
-func (c *Closer) hold(ctx context.Context, guard lease.Guard) error {
+// reportWindows closes and reports windows in order until ctx ends. A report that fails
+// is repeated at the next check, unless billing refused it permanently.
+func (c *Closer) reportWindows(ctx context.Context, guard lease.Guard) error {
 	if err := lease.Settle(ctx, guard, reportTimeout); err != nil {
 		return err
 	}
@@ -79,17 +88,17 @@
 	if err != nil {
 		return err
 	}
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(closeCheckInterval)
 	defer ticker.Stop()
-	told := int64(-1)
+	warned := int64(-1) // the last window whose failed report emitted an event
 	for {
-		for c.due(next) {
+		for c.isDue(next) {
 			err := c.close(ctx, guard, next)
 			if err != nil && !c.refused(err, next) {
-				if told != next {
+				if warned != next {
 					c.Events.Emit(event.UsageIncomplete, event.Subject{Count: next, Epoch: guard.Epoch(), Detail: "not reported yet: " + err.Error()})
 				}
-				told = next
+				warned = next
 				break
 			}
 			next++
@@ -102,8 +111,8 @@
 	}
 }
 
-// refused reports whether billing will never take a window; the next ones must
-// not wait for it.
+// refused reports whether billing refused a window permanently, and emits an event if
+// it did. Later windows must not wait for such a window.
 func (c *Closer) refused(err error, window int64) bool {
 	var refused *fault.PlatformRefused
 	if !errors.As(err, &refused) {
@@ -113,26 +122,29 @@
 	return true
 }
 
-// firstWindow returns the window behind the newest that was reported.
+// firstWindow returns the first window to report: the one after the newest reported
+// window or, if none was reported, the oldest window.
 func (c *Closer) firstWindow(ctx context.Context) (int64, error) {
-	page, err := c.Store.Read(ctx, reportTable, "", sentName, sentName+"\x00")
+	page, err := c.Store.Read(ctx, reportTable, "", lastReportedName, lastReportedName+"\x00")
 	if err != nil {
 		return 0, err
 	}
 	if len(page.Rows) > 0 {
-		var sent int64
-		if err := json.Unmarshal(page.Rows[0].Value, &sent); err != nil {
+		var last int64
+		if err := json.Unmarshal(page.Rows[0].Value, &last); err != nil {
 			return 0, errors.WithStack(&fault.Internal{Where: "row " + page.Rows[0].String()})
 		}
-		return sent + 1, nil
+		return last + 1, nil
 	}
 	return c.oldestWindow(ctx)
 }
 
-// oldestWindow returns the first window that anybody counted in. The first holder may
-// come late: the store was away, or the one before died before its first report. It
-// would never bill what was counted until then. Counts may not be written yet, so it
-// begins with the window in which the fleet did, or earlier if a VM counted before.
+// oldestWindow returns the first window that may have counts: the one in which the
+// fleet's clock was set, or an earlier one if the store has totals of it. The first report
+// may be late, because of an outage of the store or because a previous holder of the lease
+// died before it reported. If it began with the current window, earlier requests would
+// never be billed. Stored totals alone don't show the oldest window, since VMs may not
+// have written theirs yet.
 func (c *Closer) oldestWindow(ctx context.Context) (int64, error) {
 	since := c.Clock.Since()
 	if since == 0 {
@@ -156,42 +168,44 @@
 	}
 }
 
-// due reports whether a window may be added up.
-func (c *Closer) due(window int64) bool {
+// isDue reports whether a window may be closed.
+func (c *Closer) isDue(window int64) bool {
 	if !c.Clock.Agreed() {
 		return false
 	}
-	since := time.Duration(c.Clock.Millis(time.Now())-(window+1)*c.Length.Milliseconds()) * time.Millisecond
-	return since >= closeLate || since >= flushPeriod(c.Calls)+closeAfter && c.AllHeard()
+	sinceEnd := time.Duration(c.Clock.Millis(time.Now())-(window+1)*c.Length.Milliseconds()) * time.Millisecond
+	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(c.Calls)+closeDelay && c.AllHeard()
 }
 
-// close adds a window up, fixes the sum and reports it.
+// close stores the counts of a window, reports them, and records that the window is
+// reported.
 func (c *Closer) close(ctx context.Context, guard lease.Guard, window int64) error {
-	counts, err := c.fix(ctx, window)
+	counts, err := c.finalCounts(ctx, window)
 	if err != nil {
 		return err
 	}
 	if err := guard.Check(); err != nil {
 		return err
 	}
-	call, cancel := context.WithTimeout(fence.Context(ctx, guard), reportTimeout)
+	callCtx, cancel := context.WithTimeout(fence.Context(ctx, guard), reportTimeout)
 	defer cancel()
 	report := Report{Window: window, Counts: counts, Holder: c.VM, Epoch: guard.Epoch()}
-	if err := c.Billing.ReportUsage(call, report); err != nil {
+	if err := c.Billing.ReportUsage(callCtx, report); err != nil {
 		return err
 	}
 	c.Events.Emit(event.UsageReported, event.Subject{Count: window, Epoch: guard.Epoch()})
-	return c.noteSent(ctx, window)
+	return c.storeLastReported(ctx, window)
 }
 
-func (c *Closer) noteSent(ctx context.Context, window int64) error {
-	key := kept.Key{Table: reportTable, Name: sentName}
+func (c *Closer) storeLastReported(ctx context.Context, window int64) error {
+	key := kept.Key{Table: reportTable, Name: lastReportedName}
 	_, err := c.Store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: []byte(strconv.FormatInt(window, 10))}}})
 	return err
 }
 
-// fix returns the figures of a window, which never change once they are stored.
-func (c *Closer) fix(ctx context.Context, window int64) (map[string]int64, error) {
+// finalCounts adds up the totals of a window, stores the sum and returns it. If a sum is
+// already stored, it returns that one instead, since stored sums never change.
+func (c *Closer) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
 	name := windowName(window)
 	rows, err := kept.ReadAll(ctx, c.Store, totalsTable, name)
 	if err != nil {
@@ -202,27 +216,29 @@
 		counts[account] = 0
 	}
 	for _, row := range rows {
-		var part map[string]int64
-		if err := json.Unmarshal(row.Value, &part); err != nil {
+		var vmCounts map[string]int64
+		if err := json.Unmarshal(row.Value, &vmCounts); err != nil {
 			c.Events.Emit(event.RowUnreadable, event.Subject{Detail: row.String()})
 			continue
 		}
-		for account, n := range part {
+		for account, n := range vmCounts {
 			counts[account] += n
 		}
 	}
-	return c.store(ctx, name, counts)
+	return c.storeCounts(ctx, name, counts)
 }
 
-func (c *Closer) store(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
+// storeCounts stores the counts of a window unless counts are already stored, and returns
+// the stored ones. name is the window's name as returned by windowName.
+func (c *Closer) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
 	value, err := json.Marshal(counts)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "usage of window " + name})
 	}
 	key := kept.Key{Table: reportTable, Name: "w" + name}
-	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err = kept.CommitSurely(call, c.Store, kept.Txn{
+	_, err = kept.CommitSurely(callCtx, c.Store, kept.Txn{
 		Expected: []kept.Expectation{{Key: key}},
 		Puts:     []kept.Put{{Key: key, Value: value}},
 	})
@@ -230,9 +246,9 @@
 	if !errors.As(err, &conflict) {
 		return counts, err
 	}
-	var fixed map[string]int64
-	if err := json.Unmarshal(conflict.Row(key).Value, &fixed); err != nil {
+	var stored map[string]int64
+	if err := json.Unmarshal(conflict.Row(key).Value, &stored); err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "row " + key.String()})
 	}
-	return fixed, nil
+	return stored, nil
 }
--- a/internal/window/meter.go
+++ b/internal/window/meter.go
@@ -18,48 +18,50 @@
 )
 
 const (
-	// flushEvery is how often changed totals are written by a VM of a small fleet. What a
-	// VM counted since is lost with its power.
-	flushEvery = 400 * time.Millisecond
-	// flushTimeout bounds one write.
+	// minFlushInterval is the interval between writes of changed totals in a small fleet.
+	// A VM that loses power loses what it counted since its last write.
+	minFlushInterval = 400 * time.Millisecond
+	// flushTimeout is the timeout of one write.
 	flushTimeout = 1500 * time.Millisecond
-	// keepWindows is how many windows are kept in memory; older ones are reported.
-	keepWindows = 8
+	// maxWindows is the number of windows in memory; older ones are already reported.
+	maxWindows = 8
 )
 
-// Meter counts what began to run on this VM's behalf.
+// Meter counts the requests that upstreams began to execute for this VM, by window and
+// client account, and writes the totals to the store. It is safe for concurrent use.
 type Meter struct {
-	clock  *Clock
-	store  kept.Store
-	name   string
-	length time.Duration
-	calls  *budget.Budget
-	events *event.Recorder
+	clock      *Clock
+	store      kept.Store
+	rowName    string
+	length     time.Duration
+	callBudget *budget.Budget
+	events     *event.Recorder
 
 	mu      sync.Mutex
 	windows map[int64]*totals
-	failing bool
+	failing bool // the last write failed
 }
 
 // totals are the counts of one window.
 type totals struct {
 	counts map[string]int64
 	dirty  bool
-	// version is that of the row that holds them, as far as is known.
+	// version is the row version of the stored totals, as far as this VM knows.
 	version int64
 }
 
-// NewMeter returns a meter. name is unique for each process, so that its totals
-// overwrite nobody else's.
-func NewMeter(clock *Clock, store kept.Store, name string, length time.Duration, calls *budget.Budget, events *event.Recorder) *Meter {
-	return &Meter{clock: clock, store: store, name: name, length: length, calls: calls, events: events, windows: make(map[int64]*totals)}
+// NewMeter returns a meter that writes to the row rowName. The name must be unique for
+// each process, so that no process overwrites another one's totals.
+func NewMeter(clock *Clock, store kept.Store, rowName string, length time.Duration, callBudget *budget.Budget, events *event.Recorder) *Meter {
+	return &Meter{clock: clock, store: store, rowName: rowName, length: length, callBudget: callBudget, events: events, windows: make(map[int64]*totals)}
 }
 
-// Began counts a run of the account that an upstream began at a moment.
+// Began counts a request of the account that an upstream began to execute at the given
+// time. Requests without an account are not counted.
 func (m *Meter) Began(account string, at time.Time) { m.add(account, at, 1) }
 
-// Refused takes back a run that was counted when it was sent: the upstream did not
-// begin it after all.
+// Refused subtracts a request that was counted when it was sent but that the upstream
+// did not execute. at is the time that was given to Began.
 func (m *Meter) Refused(account string, at time.Time) { m.add(account, at, -1) }
 
 func (m *Meter) add(account string, at time.Time, n int64) {
@@ -73,57 +75,59 @@
 	if !ok {
 		t = &totals{counts: make(map[string]int64)}
 		m.windows[window] = t
-		delete(m.windows, window-keepWindows)
+		delete(m.windows, window-maxWindows)
 	}
 	t.counts[account] += n
 	t.dirty = true
 }
 
-// Run writes the totals until ctx ends, and a last time then.
+// Run writes changed totals at intervals until ctx ends, and then once more.
 func (m *Meter) Run(ctx context.Context) {
-	for wait.For(ctx, flushPeriod(m.calls)) {
+	for wait.For(ctx, flushInterval(m.callBudget)) {
 		m.flush(ctx)
 	}
 	m.flush(context.WithoutCancel(ctx))
 }
 
-// flushPeriod is how often each VM of the fleet writes changed totals.
-func flushPeriod(calls *budget.Budget) time.Duration {
-	return calls.Period(budget.Totals, flushEvery)
+// flushInterval returns the interval at which each VM writes changed totals. It grows
+// with the size of the fleet.
+func flushInterval(callBudget *budget.Budget) time.Duration {
+	return callBudget.Period(budget.Totals, minFlushInterval)
 }
 
-// flush writes the windows that have changed. The totals are absolute, so that a
-// write whose answer was lost is repeated without harm. Each write expects the version
-// that it replaces: one that is carried out seconds late, behind a newer one, would
-// otherwise put the older totals back, and the customer's bill would lack requests.
+// flush writes the totals that have changed. Totals are absolute numbers, so a write with
+// an unknown outcome can be repeated. Each write expects the row version that it replaces.
+// Otherwise a write that the store executes seconds late, after a newer one, would restore
+// the older totals, and the client account would be billed for too few requests.
 func (m *Meter) flush(ctx context.Context) {
-	for window, t := range m.changed() {
-		version, err := m.write(ctx, window, t)
+	for window, t := range m.takeChanged() {
+		version, err := m.writeTotals(ctx, window, t)
 		var conflict *kept.Conflict
 		if errors.As(err, &conflict) {
-			// Only this process writes the row, so an earlier write took effect.
-			m.written(window, conflict.Row(m.key(window)).Version, false)
+			// Only this process writes the row, so an earlier write with an unknown
+			// outcome took effect. The next flush writes the totals.
+			m.noteVersion(window, conflict.Row(m.rowKey(window)).Version, false)
 			continue
 		}
-		m.written(window, version, err == nil)
-		m.tell(window, err)
+		m.noteVersion(window, version, err == nil)
+		m.noteWriteResult(window, err)
 	}
 }
 
-func (m *Meter) key(window int64) kept.Key {
-	return kept.Key{Table: totalsTable, Part: windowName(window), Name: m.name}
+func (m *Meter) rowKey(window int64) kept.Key {
+	return kept.Key{Table: totalsTable, Part: windowName(window), Name: m.rowName}
 }
 
-func (m *Meter) write(ctx context.Context, window int64, t totals) (int64, error) {
+func (m *Meter) writeTotals(ctx context.Context, window int64, t totals) (int64, error) {
 	value, err := json.Marshal(t.counts)
 	if err != nil {
 		return t.version, errors.WithStack(&fault.Internal{Where: "totals of window " + windowName(window)})
 	}
-	call, cancel := context.WithTimeout(ctx, flushTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	version, err := m.store.Commit(call, kept.Txn{
-		Expected: []kept.Expectation{{Key: m.key(window), Version: t.version}},
-		Puts:     []kept.Put{{Key: m.key(window), Value: value}},
+	version, err := m.store.Commit(callCtx, kept.Txn{
+		Expected: []kept.Expectation{{Key: m.rowKey(window), Version: t.version}},
+		Puts:     []kept.Put{{Key: m.rowKey(window), Value: value}},
 	})
 	if err != nil {
 		return t.version, err
@@ -131,19 +135,20 @@
 	return version, nil
 }
 
-// tell writes a line when the totals can't be written any more.
-func (m *Meter) tell(window int64, err error) {
+// noteWriteResult emits an event when a write fails after one that succeeded.
+func (m *Meter) noteWriteResult(window int64, err error) {
 	m.mu.Lock()
-	was := m.failing
+	wasFailing := m.failing
 	m.failing = err != nil
 	m.mu.Unlock()
-	if err != nil && !was {
+	if err != nil && !wasFailing {
 		m.events.Emit(event.UsageIncomplete, event.Subject{Count: window, Detail: "not written yet: " + err.Error()})
 	}
 }
 
-// changed returns copies of the totals that are to be written.
-func (m *Meter) changed() map[int64]totals {
+// takeChanged returns copies of the totals that have changed, by window, and marks them
+// as written.
+func (m *Meter) takeChanged() map[int64]totals {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make(map[int64]totals)
@@ -156,9 +161,9 @@
 	return out
 }
 
-// written notes the version of a window's row, and whether it holds what was to be
-// written.
-func (m *Meter) written(window, version int64, done bool) {
+// noteVersion records the version of a window's row. If done is false, the row does not
+// have the totals that were to be written, and they are marked as changed again.
+func (m *Meter) noteVersion(window, version int64, done bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if t, ok := m.windows[window]; ok {
@@ -167,5 +172,5 @@
 	}
 }
 
-// windowName names a window's partition.
+// windowName returns the name of a window's partition in totalsTable.
 func windowName(window int64) string { return strconv.FormatInt(window, 10) }
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -19,18 +19,18 @@
 	"dogwoodpond/internal/lease"
 )
 
-const length = 5 * time.Second
+const windowLength = 5 * time.Second
 
-// billing keeps the reports that it got. The answers to reports of the windows in
-// lost get lost, and those of refused are refused for good.
-type billing struct {
+// fakeBilling records the reports that it receives. The answers to reports of the windows
+// in lost are lost. Reports of the windows in refused are refused permanently.
+type fakeBilling struct {
 	mu      sync.Mutex
 	reports []Report
 	lost    map[int64]bool
 	refused map[int64]bool
 }
 
-func (b *billing) ReportUsage(_ context.Context, r Report) error {
+func (b *fakeBilling) ReportUsage(_ context.Context, r Report) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reports = append(b.reports, Report{Window: r.Window, Counts: maps.Clone(r.Counts), Holder: r.Holder, Epoch: r.Epoch})
@@ -43,7 +43,7 @@
 	return nil
 }
 
-func (b *billing) of(window int64) []Report {
+func (b *fakeBilling) reportsOf(window int64) []Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Report
@@ -55,23 +55,23 @@
 	return out
 }
 
-// vm is a meter and a closer of one VM.
+// vm is one VM, which runs a meter and a closer until kill is called.
 type vm struct {
 	meter *Meter
 	clock *Clock
 	kill  context.CancelFunc
 }
 
-func start(t *testing.T, store *memory.Store, b *billing, name string) vm {
+func startVM(t *testing.T, store *memory.Store, b *fakeBilling, name string) vm {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	clock := NewClock(store)
 	if err := clock.Agree(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
-	meter := NewMeter(clock, store, name+"/1", length, budget.New(budget.Rates{}), events)
+	meter := NewMeter(clock, store, name+"/1", windowLength, budget.New(budget.Rates{}), events)
 	closer := &Closer{
 		Calls: budget.New(budget.Rates{}),
-		VM:    name, Length: length, Clock: clock, Store: store, Billing: b, Events: events,
+		VM:    name, Length: windowLength, Clock: clock, Store: store, Billing: b, Events: events,
 		Leases:   lease.NewManager(kept.NewTables(store, "lease"), name, 3*time.Second, events),
 		Accounts: func() []string { return []string{"acc", "idle"} },
 		AllHeard: func() bool { return true },
@@ -83,45 +83,46 @@
 	return vm{meter: meter, clock: clock, kill: kill}
 }
 
-// next returns the number of the window that begins next, after waiting for it.
-func (v vm) next() int64 {
+// waitForNextWindow waits until the next window begins and returns its number.
+func (v vm) waitForNextWindow() int64 {
 	now := v.clock.Millis(time.Now())
-	window := now/length.Milliseconds() + 1
-	time.Sleep(time.Duration(window*length.Milliseconds()-now)*time.Millisecond + time.Millisecond)
+	window := now/windowLength.Milliseconds() + 1
+	time.Sleep(time.Duration(window*windowLength.Milliseconds()-now)*time.Millisecond + time.Millisecond)
 	return window
 }
 
 func TestWindowIsReportedOnceWithAllCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		a, c := start(t, store, b, "a"), start(t, store, b, "c")
-		window := a.next()
+		store, b := memory.New(), &fakeBilling{}
+		a, c := startVM(t, store, b, "a"), startVM(t, store, b, "c")
+		window := a.waitForNextWindow()
 		for range 3 {
 			a.meter.Began("acc", time.Now())
 		}
 		c.meter.Began("acc", time.Now())
-		time.Sleep(length + 6*time.Second)
-		reports := b.of(window)
+		time.Sleep(windowLength + 6*time.Second)
+		reports := b.reportsOf(window)
 		if len(reports) != 1 || reports[0].Counts["acc"] != 4 || len(reports[0].Counts) != 2 {
-			t.Errorf("reported: %+v", reports)
+			t.Errorf("reports are %+v, want one with 4 requests of acc and none of idle", reports)
 		}
 	})
 }
 
-// The VM in charge dies with a report on its way; a total that came late would
-// change the figures. Whoever reports the window next must send the same ones.
-func TestRepeatedReportHasTheSameFigures(t *testing.T) {
+// Guards against two bills for one window. The lease holder dies before billing answers
+// its report, and another total of the window is written afterwards. The next holder must
+// report the window with the counts of the first report.
+func TestRepeatedReportHasTheSameCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{lost: map[int64]bool{}}
-		a := start(t, store, b, "a")
-		window := a.next()
+		store, b := memory.New(), &fakeBilling{lost: map[int64]bool{}}
+		a := startVM(t, store, b, "a")
+		window := a.waitForNextWindow()
 		b.mu.Lock()
 		b.lost[window] = true
 		b.mu.Unlock()
 		a.meter.Began("acc", time.Now())
-		time.Sleep(length + 4*time.Second)
-		if len(b.of(window)) == 0 {
-			t.Fatal("no report yet")
+		time.Sleep(windowLength + 4*time.Second)
+		if len(b.reportsOf(window)) == 0 {
+			t.Fatal("the window is not reported yet")
 		}
 		a.kill()
 		late := kept.Key{Table: totalsTable, Part: "", Name: "late"}
@@ -130,79 +131,81 @@
 		b.mu.Lock()
 		b.lost = nil
 		b.mu.Unlock()
-		start(t, store, b, "c")
+		startVM(t, store, b, "c")
 		time.Sleep(15 * time.Second)
-		reports := b.of(window)
+		reports := b.reportsOf(window)
 		for _, r := range reports {
 			if r.Counts["acc"] != 1 {
-				t.Errorf("%s reported %v", r.Holder, r.Counts)
+				t.Errorf("%s reported %v, want 1 request", r.Holder, r.Counts)
 			}
 		}
 		last := reports[len(reports)-1]
 		if last.Holder != "c" || last.Epoch <= reports[0].Epoch {
-			t.Errorf("the last report is %+v", last)
+			t.Errorf("the last report is %+v, want one of c with a higher epoch", last)
 		}
 	})
 }
 
-// All VMs lose power in the middle of a window. What was counted until shortly
-// before must still be reported, by whoever comes back.
-func TestCountsSurviveTheLossOfAllVMs(t *testing.T) {
+// Guards against lost counts when all VMs lose power in the middle of a window. Requests
+// counted before the last flush must be reported by the VM that starts next.
+func TestCountsSurvivePowerLossOfAllVMs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		a := start(t, store, b, "a")
-		window := a.next()
+		store, b := memory.New(), &fakeBilling{}
+		a := startVM(t, store, b, "a")
+		window := a.waitForNextWindow()
 		a.meter.Began("acc", time.Now())
-		time.Sleep(flushEvery + 10*time.Millisecond)
+		time.Sleep(minFlushInterval + 10*time.Millisecond)
 		store.SetFate(func(kept.Txn) memory.Fate { return memory.Refused })
 		a.kill()
 		time.Sleep(time.Second)
 		store.SetFate(nil)
-		start(t, store, b, "c")
-		time.Sleep(length + 9*time.Second)
-		if reports := b.of(window); len(reports) != 1 || reports[0].Counts["acc"] != 1 {
-			t.Errorf("reported: %+v", reports)
+		startVM(t, store, b, "c")
+		time.Sleep(windowLength + 9*time.Second)
+		if reports := b.reportsOf(window); len(reports) != 1 || reports[0].Counts["acc"] != 1 {
+			t.Errorf("reports are %+v, want one with 1 request", reports)
 		}
 	})
 }
 
-// Billing refuses one window for good. The windows behind it must not wait for it
-// for ever.
-func TestRefusedWindowHoldsUpNoOther(t *testing.T) {
+// Guards against windows that are never reported because billing permanently refused an
+// earlier one.
+func TestRefusedWindowDoesNotBlockLaterOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{refused: map[int64]bool{}}
-		a := start(t, store, b, "a")
-		window := a.next()
+		store, b := memory.New(), &fakeBilling{refused: map[int64]bool{}}
+		a := startVM(t, store, b, "a")
+		window := a.waitForNextWindow()
 		b.mu.Lock()
 		b.refused[window] = true
 		b.mu.Unlock()
-		time.Sleep(3 * length)
-		if len(b.of(window)) != 1 || len(b.of(window+1)) != 1 {
-			t.Errorf("%d and %d reports", len(b.of(window)), len(b.of(window+1)))
+		time.Sleep(3 * windowLength)
+		if len(b.reportsOf(window)) != 1 || len(b.reportsOf(window+1)) != 1 {
+			t.Errorf("%d and %d reports, want one of each window", len(b.reportsOf(window)), len(b.reportsOf(window+1)))
 		}
 	})
 }
 
-// The store is away while a window ends. Its report comes late, but it comes.
-func TestWindowsOfAnOutageAreReported(t *testing.T) {
+// Guards against a missing report when the store has an outage at the end of the window.
+// The report may be late.
+func TestWindowIsReportedAfterStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		a := start(t, store, b, "a")
-		window := a.next()
+		store, b := memory.New(), &fakeBilling{}
+		a := startVM(t, store, b, "a")
+		window := a.waitForNextWindow()
 		a.meter.Began("acc", time.Now())
 		store.SetDown(true)
-		time.Sleep(length + 5*time.Second)
+		time.Sleep(windowLength + 5*time.Second)
 		store.SetDown(false)
 		time.Sleep(12 * time.Second)
-		if reports := b.of(window); len(reports) != 1 || reports[0].Counts["acc"] != 1 {
-			t.Errorf("reported: %+v", reports)
+		if reports := b.reportsOf(window); len(reports) != 1 || reports[0].Counts["acc"] != 1 {
+			t.Errorf("reports are %+v, want one with 1 request", reports)
 		}
 	})
 }
 
-// A VM's time of day is an hour off. Counted by it, requests would go into a
-// window that is reported already, or not for an hour.
-func TestWindowsGoByTheFleetsClock(t *testing.T) {
+// Guards against requests in wrong windows when a VM's time of day is wrong by an hour.
+// They would be counted in a window that is already reported, or that is not reported for
+// another hour.
+func TestClockUsesTheFleetsOffset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		first := NewClock(store)
@@ -216,19 +219,19 @@
 			t.Fatal(err)
 		}
 		if got := second.Millis(time.Now()); got == want || got < 3600000 {
-			t.Errorf("the clock goes by its own time of day: %d", got)
+			t.Errorf("the clock uses the VM's time of day: %d", got)
 		}
 	})
 }
 
-// The store carries a write of totals out seconds after it fell silent, when newer
-// totals of the window stand there. The customer would be billed for less than ran,
-// and the next windows' figures would not tell.
-func TestLateTotalsDoNotUndoNewerOnes(t *testing.T) {
+// Guards against a window that is billed with too few requests. The store executes a write
+// of totals seconds after its timeout, when the row already has newer totals. Nothing in
+// later windows would show the error.
+func TestDelayedTotalsDoNotReplaceNewerOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		v := start(t, store, b, "a")
-		window := v.next()
+		store, b := memory.New(), &fakeBilling{}
+		v := startVM(t, store, b, "a")
+		window := v.waitForNextWindow()
 		v.meter.Began("acc", time.Now())
 		store.SetFate(func(txn kept.Txn) memory.Fate {
 			if txn.Puts[0].Key.Table == totalsTable {
@@ -236,61 +239,61 @@
 			}
 			return memory.Normal
 		})
-		time.Sleep(flushEvery + 100*time.Millisecond)
+		time.Sleep(minFlushInterval + 100*time.Millisecond)
 		store.SetFate(nil)
 		v.meter.Began("acc", time.Now())
-		time.Sleep(2 * flushEvery)
+		time.Sleep(2 * minFlushInterval)
 		store.RunLate()
-		time.Sleep(2 * length)
-		got := b.of(window)
+		time.Sleep(2 * windowLength)
+		got := b.reportsOf(window)
 		if len(got) == 0 || got[0].Counts["acc"] != 2 {
 			t.Errorf("the window is reported as %+v, want 2 requests", got)
 		}
 	})
 }
 
-// beginFleet agrees on the fleet's clock and returns the window in which that was.
-func beginFleet(t *testing.T, store *memory.Store) int64 {
+// agreeFleetClock sets the fleet's clock and returns the current window.
+func agreeFleetClock(t *testing.T, store *memory.Store) int64 {
 	clock := NewClock(store)
 	if err := clock.Agree(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
-	return clock.Millis(time.Now()) / length.Milliseconds()
+	return clock.Millis(time.Now()) / windowLength.Milliseconds()
 }
 
-// Guards against windows that nobody bills: two outages of the store keep all totals from
-// being written until after the first holder has looked for the oldest ones.
-func TestFirstReporterBeginsWithTheFleet(t *testing.T) {
+// Guards against windows that are never billed: because of two outages of the store, no
+// VM writes totals before the first holder of the lease searches for the oldest ones.
+func TestFirstReporterBeginsWhenFleetClockWasSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		window := beginFleet(t, store)
-		time.Sleep(3 * length)
-		start(t, store, b, "a")
-		time.Sleep(2 * length)
+		store, b := memory.New(), &fakeBilling{}
+		window := agreeFleetClock(t, store)
+		time.Sleep(3 * windowLength)
+		startVM(t, store, b, "a")
+		time.Sleep(2 * windowLength)
 		for n := range int64(3) {
-			if len(b.of(window+n)) == 0 {
+			if len(b.reportsOf(window+n)) == 0 {
 				t.Errorf("window %d after the first is not reported", n)
 			}
 		}
 	})
 }
 
-// The VM that reports for the first time does so late: the store was away, or the one
-// in charge died before its first report. Requests of the windows before would never be
-// billed.
+// Guards against windows that are never billed: the first report is late because of an
+// outage of the store, or because the lease holder died before its first report. The
+// report must not begin with the current window.
 func TestFirstReporterBeginsWithTheOldestWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, b := memory.New(), &billing{}
-		window := beginFleet(t, store)
+		store, b := memory.New(), &fakeBilling{}
+		window := agreeFleetClock(t, store)
 		for n := range int64(4) {
 			store.Set(kept.Key{Table: totalsTable, Part: windowName(window + n), Name: "gone/1"}, `{"acc":3}`)
 		}
-		time.Sleep(5 * length)
-		start(t, store, b, "a")
-		time.Sleep(2 * length)
+		time.Sleep(5 * windowLength)
+		startVM(t, store, b, "a")
+		time.Sleep(2 * windowLength)
 		for n := range int64(4) {
-			if got := b.of(window + n); len(got) == 0 || got[0].Counts["acc"] != 3 {
-				t.Errorf("window %d after the first is reported as %+v", n, got)
+			if got := b.reportsOf(window + n); len(got) == 0 || got[0].Counts["acc"] != 3 {
+				t.Errorf("window %d after the first is reported as %+v, want 3 requests", n, got)
 			}
 		}
 	})
