--- a/internal/scoring/client.go
+++ b/internal/scoring/client.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// objectivesGiven is how many times its route's latency objective a call may take
-	// before it is tried anew: time for a second attempt beside the first, and not so
-	// much that an upstream that never answers holds a step up.
-	objectivesGiven = 2.5
-	// timeWithoutObjective holds for a route that names neither objective nor timeout.
-	timeWithoutObjective = 2 * time.Second
+	// timeoutObjectives is the timeout of a score call, as a multiple of its route's
+	// latency objective. The timeout leaves time for a hedge, but is short enough that an
+	// upstream that never answers does not delay a step.
+	timeoutObjectives = 2.5
+	// defaultTimeout is the timeout for routes with neither an objective nor a timeout.
+	defaultTimeout = 2 * time.Second
 )
 
-// Call is the request that scores one sample.
+// Call is the request of a score call: it asks a service for the score of one sample.
 type Call struct {
 	ID   string `json:"id"`
 	Host string `json:"host"`
@@ -31,40 +31,41 @@
 	Body []byte `json:"body,omitempty"`
 }
 
-// Client makes calls on the way of callers' idempotent requests: to another upstream
-// after a failure, and to a second one beside a slow first. Its forwarder must have a
-// meter and a retry budget of its own, since callers are neither charged for the calls
-// nor have to pay for their retries.
+// Client makes score calls through a forwarder, like callers' idempotent requests: a
+// failed attempt is retried at another upstream, and a slow one is hedged. The forwarder
+// must have its own meter and retry budget, since score calls are not charged to client
+// accounts and must not use up the retry budget of callers' requests.
 type Client struct{ Forwarder *forward.Forwarder }
 
-// Score makes a call by a route and returns the digest of the service's whole,
-// successful answer. forward.FailedAnswers tells of its failures how many upstreams
-// said that the call failed. residency limits the failure domains to which it may go.
+// Score makes a call by the given route and returns the score, which is the digest of
+// the service's complete, successful answer. residency limits the failure domains to which
+// the call may go. forward.FailedAnswers returns, for an error of Score, how many
+// upstreams answered that the call failed.
 func (c *Client) Score(ctx context.Context, call Call, by *route.Route, residency route.Residency) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeFor(by))
+	ctx, cancel := context.WithTimeout(ctx, timeoutOf(by))
 	defer cancel()
 	answer, err := c.Forwarder.Do(ctx, forward.Call{
-		ID: call.ID, Route: repeatable(by), Arrived: time.Now(),
+		ID: call.ID, Route: idempotentRoute(by), Arrived: time.Now(),
 		Method: http.MethodPost, URI: call.Path, Host: call.Host, Header: make(http.Header), Body: call.Body,
 		Residency: residency,
 	})
 	if err != nil {
 		return "", err
 	}
-	if err := whole(answer); err != nil {
+	if err := readRest(answer); err != nil {
 		return "", err
 	}
 	if answer.Status < http.StatusOK || answer.Status >= http.StatusMultipleChoices {
-		return "", noScore("status " + strconv.Itoa(answer.Status))
+		return "", noScoreError("status " + strconv.Itoa(answer.Status))
 	}
 	if answer.Digest == "" {
-		return "", noScore("no digest")
+		return "", noScoreError("no digest")
 	}
 	return answer.Digest, nil
 }
 
-// whole reads the rest of a long answer: one that breaks off gives no score.
-func whole(answer *forward.Answer) error {
+// readRest reads an answer up to its end, since a truncated answer gives no score.
+func readRest(answer *forward.Answer) error {
 	if answer.Rest == nil {
 		return nil
 	}
@@ -75,26 +76,26 @@
 	return nil
 }
 
-func noScore(reason string) error {
+func noScoreError(reason string) error {
 	return errors.WithStack(&fault.UpstreamFailed{Reason: "no score: " + reason})
 }
 
-// repeatable returns the route for calls, which may run more than once whatever the
-// route says of callers' requests.
-func repeatable(by *route.Route) *route.Route {
+// idempotentRoute returns a copy of the route for score calls, which may be executed more
+// than once whatever kind the route sets for callers' requests.
+func idempotentRoute(by *route.Route) *route.Route {
 	r := *by
 	r.Kind = route.Idempotent
 	return &r
 }
 
-// timeFor returns how long a call of a route may take.
-func timeFor(by *route.Route) time.Duration {
-	limit := time.Duration(float64(by.Objective) * objectivesGiven)
+// timeoutOf returns the timeout of a score call by the given route.
+func timeoutOf(by *route.Route) time.Duration {
+	limit := time.Duration(float64(by.Objective) * timeoutObjectives)
 	if limit <= 0 || by.Timeout > 0 && by.Timeout < limit {
 		limit = by.Timeout
 	}
 	if limit <= 0 {
-		return timeWithoutObjective
+		return defaultTimeout
 	}
 	return limit
 }
--- a/internal/scoring/limiter.go
+++ b/internal/scoring/limiter.go
@@ -7,27 +7,27 @@
 	"dogwoodpond/internal/target"
 )
 
-// reservedShare is the part of a service's slots that calls leave to callers' own
+// reservedShare is the share of a service's slots that score calls leave to callers'
 // requests.
 const reservedShare = 0.25
 
-// Lanes bounds the calls that a VM has open at each service. The load is a burst of
-// calls whenever the samples of a step end together, beside a few callers' requests a
-// second. Sent at once, the burst would stand in the upstreams' queues, which are first
-// in, first out, and every caller's request would wait behind it. The bound follows
-// what the upstreams report of their load, so that the calls of other VMs count as
-// well. One call may always be open, so that callers can't starve the steps either.
-// It is safe for concurrent use.
+// Lanes limits the score calls that a VM has open at each service. The samples of a step
+// often end together and cause a burst of score calls, while callers send a few requests
+// per second. If the burst were sent at once, it would fill the upstreams' queues, which
+// are first in, first out, and delay every caller's request. The limit depends on the load
+// that the upstreams report, so that it takes the calls of other VMs into account. One
+// call may always be open, so that callers' requests can't starve the steps.
+// Lanes is safe for concurrent use.
 type Lanes struct {
 	mu   sync.Mutex
 	open map[string]int
 }
 
-// NewLanes returns lanes without open calls.
+// NewLanes returns a limiter without open calls.
 func NewLanes() *Lanes { return &Lanes{open: make(map[string]int)} }
 
-// Room returns how many more calls may go to a service whose usable upstreams are
-// given.
+// Room returns how many more calls may be sent to a service, given the upstreams of the
+// service that may get requests.
 func (l *Lanes) Room(service string, upstreams []*target.Entry, now time.Time) int {
 	if len(upstreams) == 0 {
 		return 0
@@ -37,21 +37,22 @@
 		slots += e.Slots()
 		free += max(e.Free(now), 0)
 	}
-	room := free - int(float64(slots)*reservedShare+1)
+	available := free - int(float64(slots)*reservedShare+1)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[service] == 0 {
-		return max(room, 1)
+		return max(available, 1)
 	}
-	return max(room, 0)
+	return max(available, 0)
 }
 
-// Begin counts a call to a service; End takes it back.
+// Begin counts an open call to a service.
 func (l *Lanes) Begin(service string) { l.add(service, 1) }
 
-// End ends a call that Begin counted.
+// End removes a call that Begin counted.
 func (l *Lanes) End(service string) { l.add(service, -1) }
 
+// add changes the number of open calls to a service by n.
 func (l *Lanes) add(service string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scoring/retry.go
+++ b/internal/scoring/retry.go
@@ -1,6 +1,6 @@
-// Package scoring scores finished samples by calls to plain services. Such a call is
-// idempotent, lies outside usage, and is made only once the text of its sample is
-// whole.
+// Package scoring scores the samples of steps by calls to services that are not engines.
+// A score call is idempotent, is not charged to a client account, and is made only after
+// the text of its sample is complete.
 package scoring
 
 import (
@@ -9,30 +9,31 @@
 	"dogwoodpond/internal/forward"
 )
 
-// Pauses bound the pause between two tries; it doubles from First to Longest.
+// Pauses has the limits of the backoff between two tries to score a sample. The backoff
+// doubles from First up to Longest.
 type Pauses struct{ First, Longest time.Duration }
 
-// Tries is what is known of the tries to score one sample, and decides how the
-// scoring goes on. The zero value of its counts is a sample that was never tried.
+// Tries counts the failed tries to score one sample. A try is one score call, which may
+// make several attempts at upstreams. The counts of a sample without a failed try are 0.
 type Tries struct {
 	Pauses
-	// Failures counts the answers by which services said that the call failed. Calls
-	// that were refused unrun, broken off or late tell nothing about the call itself
-	// and don't count: a service that is away must not cost any sample its score.
+	// Failures counts the answers that say that the call failed. Attempts that were
+	// refused without execution, interrupted or timed out are no evidence against the
+	// sample and don't count: an outage of a service must not cost a sample its score.
 	Failures int
 
-	unscored int
+	failedTries int
 }
 
-// Failed counts a failed try and returns the pause until the next.
+// Failed records that a try failed with err, and returns the backoff until the next try.
 func (t *Tries) Failed(err error) time.Duration {
 	t.Failures += forward.FailedAnswers(err)
-	const mostDoublings = 16
-	pause := min(t.First<<min(t.unscored, mostDoublings), t.Longest)
-	t.unscored++
-	return pause
+	const maxDoublings = 16
+	backoff := min(t.First<<min(t.failedTries, maxDoublings), t.Longest)
+	t.failedTries++
+	return backoff
 }
 
-// Hopeless reports whether so many answers said that the call failed that the sample
-// is given up. A limit of 0 never gives up.
+// Hopeless reports whether the sample is to be abandoned, because at least limit answers
+// said that the call failed. With a limit of 0, it returns false.
 func (t *Tries) Hopeless(limit int) bool { return limit > 0 && t.Failures >= limit }
--- a/internal/scoring/scoring_test.go
+++ b/internal/scoring/scoring_test.go
@@ -21,9 +21,10 @@
 	"dogwoodpond/internal/target"
 )
 
-// judges answer calls for scores. It implements target.Caller.
-type judges struct {
-	// answer answers a request at an upstream; nil never answers.
+// fakeScorer is a fake scoring service. It implements target.Caller.
+type fakeScorer struct {
+	// answer returns the response of an upstream. If it is nil, the upstream never
+	// answers.
 	answer func(upstream string) *target.Response
 
 	mu      sync.Mutex
@@ -31,28 +32,28 @@
 	last    target.Request
 }
 
-func (j *judges) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
+func (f *fakeScorer) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
 	id := e.Info().ID
-	j.mu.Lock()
-	j.reached = append(j.reached, id)
-	j.last = *request
-	j.mu.Unlock()
-	if response := j.answer(id); response != nil {
+	f.mu.Lock()
+	f.reached = append(f.reached, id)
+	f.last = *request
+	f.mu.Unlock()
+	if response := f.answer(id); response != nil {
 		return response, nil
 	}
 	<-ctx.Done()
 	return nil, fault.WithExecution(errors.WithStack(&fault.UpstreamFailed{Upstream: id}), fault.Unknown)
 }
 
-func scored(digest, body string) *target.Response {
+func scoredResponse(digest, body string) *target.Response {
 	return &target.Response{Status: http.StatusOK, Digest: digest, Length: -1, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-func failed() *target.Response {
+func failedResponse() *target.Response {
 	return &target.Response{Status: http.StatusInternalServerError, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-func newClient(j *judges) *Client {
+func newClient(f *fakeScorer) *Client {
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
 	var list []target.Instance
@@ -60,10 +61,10 @@
 		list = append(list, target.Instance{ID: id, Service: "judge", Address: id, FailureDomain: "x", Slots: 4})
 	}
 	roster.Replace(list)
-	return &Client{Forwarder: &forward.Forwarder{Roster: roster, Caller: j, Meter: forward.Unmetered{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}}
+	return &Client{Forwarder: &forward.Forwarder{Roster: roster, Caller: f, Meter: forward.Unmetered{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}}
 }
 
-func judgeRoute(attempts int) *route.Route {
+func scoreRoute(attempts int) *route.Route {
 	return &route.Route{Kind: route.AtMostOnce, Attempts: attempts, Objective: 400 * time.Millisecond, Timeout: 2 * time.Second, Split: []route.Share{{Service: "judge", Weight: 1}}}
 }
 
@@ -71,84 +72,86 @@
 
 func TestScoreIsTheDigestOfTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := &judges{answer: func(string) *target.Response { return scored("d1", "text") }}
-		score, err := newClient(j).Score(t.Context(), call, judgeRoute(2), route.Residency{})
+		f := &fakeScorer{answer: func(string) *target.Response { return scoredResponse("d1", "text") }}
+		score, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
 		if err != nil || score != "d1" {
 			t.Errorf("Score = %q, %v", score, err)
 		}
-		if j.last.Account != "" || j.last.Left <= 0 || j.last.Left > 2*time.Second {
-			t.Errorf("the call carried the account %q and a time of %s", j.last.Account, j.last.Left)
+		if f.last.Account != "" || f.last.Left <= 0 || f.last.Left > 2*time.Second {
+			t.Errorf("the call has account %q and %s left, want no account and at most 2s", f.last.Account, f.last.Left)
 		}
 	})
 }
 
-// An upstream of the scoring service went dark without a word. The step would wait for
-// the call's whole time, although another upstream scores within some milliseconds.
-func TestDarkUpstreamDoesNotHoldACallUp(t *testing.T) {
+// Guards against a step that waits for the timeout of a score call because one upstream
+// of the scoring service is unresponsive, although another one answers within
+// milliseconds.
+func TestUnresponsiveUpstreamDoesNotDelayCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// The first upstream that the call reaches is the dark one.
-		j := &judges{}
-		j.answer = func(id string) *target.Response {
-			j.mu.Lock()
-			defer j.mu.Unlock()
-			if id == j.reached[0] {
+		// The first upstream that the call reaches is the unresponsive one.
+		f := &fakeScorer{}
+		f.answer = func(id string) *target.Response {
+			f.mu.Lock()
+			defer f.mu.Unlock()
+			if id == f.reached[0] {
 				return nil
 			}
-			return scored("d2", "")
+			return scoredResponse("d2", "")
 		}
 		started := time.Now()
-		score, err := newClient(j).Score(t.Context(), call, judgeRoute(2), route.Residency{})
+		score, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
 		if err != nil || score != "d2" || time.Since(started) > 400*time.Millisecond {
 			t.Errorf("Score = %q, %v after %s", score, err, time.Since(started))
 		}
 	})
 }
 
-// Every upstream answers that the call failed. Only such answers may cost the sample
-// its place; how many there were must be known.
+// Guards against samples that are never abandoned although every upstream answers that the
+// call failed, and against samples abandoned too early. Only such answers count against a
+// sample, so Score must report how many there were.
 func TestFailedAnswersAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		j := &judges{answer: func(string) *target.Response { return failed() }}
-		_, err := newClient(j).Score(t.Context(), call, judgeRoute(2), route.Residency{})
+		f := &fakeScorer{answer: func(string) *target.Response { return failedResponse() }}
+		_, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
 		if n := forward.FailedAnswers(err); n != 2 {
 			t.Errorf("%d failed answers, want 2: %v", n, err)
 		}
 		tries := Tries{Pauses: Pauses{First: time.Millisecond, Longest: time.Second}}
 		tries.Failed(err)
 		if !tries.Hopeless(2) || tries.Hopeless(3) {
-			t.Errorf("hopeless at 2: %t, at 3: %t", tries.Hopeless(2), tries.Hopeless(3))
+			t.Errorf("hopeless with limit 2: %t, with limit 3: %t", tries.Hopeless(2), tries.Hopeless(3))
 		}
 	})
 }
 
-// Answers that break off, that lack the digest, or that refuse the call, say nothing
-// about the sample. They give no score and don't count against it.
+// Guards against samples abandoned for faults of the service. An answer that is truncated,
+// has no digest or refuses the call gives no score and doesn't count against the sample.
 func TestAnswersWithoutAScore(t *testing.T) {
 	for name, response := range map[string]func() *target.Response{
-		"no digest": func() *target.Response { return scored("", "text") },
+		"no digest": func() *target.Response { return scoredResponse("", "text") },
 		"not found": func() *target.Response {
 			return &target.Response{Status: http.StatusNotFound, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(""))}
 		},
-		"broken off": func() *target.Response {
-			r := scored("d", "")
-			r.Body = io.NopCloser(io.MultiReader(strings.NewReader("half"), broken{}))
+		"truncated body": func() *target.Response {
+			r := scoredResponse("d", "")
+			r.Body = io.NopCloser(io.MultiReader(strings.NewReader("half"), truncatedBody{}))
 			return r
 		},
-		"broken off late": func() *target.Response {
-			r := scored("d", "")
-			r.Body = io.NopCloser(io.MultiReader(strings.NewReader(strings.Repeat("x", 70<<10)), broken{}))
+		"truncated long body": func() *target.Response {
+			r := scoredResponse("d", "")
+			r.Body = io.NopCloser(io.MultiReader(strings.NewReader(strings.Repeat("x", 70<<10)), truncatedBody{}))
 			return r
 		},
 		"refused": func() *target.Response {
-			r := failed()
+			r := failedResponse()
 			r.Status, r.NotRun = http.StatusServiceUnavailable, true
 			return r
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				j := &judges{answer: func(string) *target.Response { return response() }}
-				score, err := newClient(j).Score(t.Context(), call, judgeRoute(2), route.Residency{})
+				f := &fakeScorer{answer: func(string) *target.Response { return response() }}
+				score, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
 				if err == nil || score != "" || forward.FailedAnswers(err) != 0 {
 					t.Errorf("Score = %q, %v", score, err)
 				}
@@ -157,66 +160,66 @@
 	}
 }
 
-// broken is a body that breaks off.
-type broken struct{}
+// truncatedBody is the end of a response body whose connection was interrupted.
+type truncatedBody struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (truncatedBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func TestPausesGrowAndEnd(t *testing.T) {
+func TestBackoffGrowsUpToLimit(t *testing.T) {
 	tries := Tries{Pauses: Pauses{First: 40 * time.Millisecond, Longest: 640 * time.Millisecond}}
 	if first, second := tries.Failed(nil), tries.Failed(nil); second != 2*first {
-		t.Errorf("pauses of %s and %s", first, second)
+		t.Errorf("backoffs of %s and %s, want the second doubled", first, second)
 	}
 	for range 100 {
-		if pause := tries.Failed(nil); pause <= 0 || pause > 640*time.Millisecond {
-			t.Fatalf("a pause of %s", pause)
+		if backoff := tries.Failed(nil); backoff <= 0 || backoff > 640*time.Millisecond {
+			t.Fatalf("backoff of %s, want at most 640ms", backoff)
 		}
 	}
 	if tries.Hopeless(1) || tries.Hopeless(0) {
-		t.Error("failures that no upstream answered make a sample hopeless")
+		t.Error("the sample is hopeless although no upstream answered that the call failed")
 	}
 }
 
-// A step's samples end together and all want a score at once. If their calls took all
-// slots of the service, each caller's request would wait behind them.
-func TestLanesLeaveSlotsToCallers(t *testing.T) {
+// Guards against callers' requests that are queued after a burst of score calls. The
+// samples of a step end together, and their calls could take all slots of the service.
+func TestScoreCallsLeaveSlotsToCallers(t *testing.T) {
 	now := time.Now()
-	c := newClient(&judges{})
+	c := newClient(&fakeScorer{})
 	list := c.Forwarder.Roster.Usable("judge", now)
-	lanes := NewLanes()
-	if room := lanes.Room("judge", list, now); room != 8 {
-		t.Errorf("room for %d calls at 12 idle slots, want 8", room)
+	limiter := NewLanes()
+	if n := limiter.Room("judge", list, now); n != 8 {
+		t.Errorf("%d calls may be sent with 12 free slots, want 8", n)
 	}
 	for _, e := range list {
 		for range 3 {
 			e.Begin()
 		}
 	}
-	lanes.Begin("judge")
-	if room := lanes.Room("judge", list, now); room != 0 {
-		t.Errorf("room for %d calls at 3 idle slots", room)
+	limiter.Begin("judge")
+	if n := limiter.Room("judge", list, now); n != 0 {
+		t.Errorf("%d calls may be sent with 3 free slots, want 0", n)
 	}
-	lanes.End("judge")
-	if room := lanes.Room("judge", list, now); room != 1 {
-		t.Errorf("room for %d calls when none is open; one may always be", room)
+	limiter.End("judge")
+	if n := limiter.Room("judge", list, now); n != 1 {
+		t.Errorf("%d calls may be sent while none is open, want 1", n)
 	}
-	if room := lanes.Room("judge", nil, now); room != 0 {
-		t.Errorf("room for %d calls without upstreams", room)
+	if n := limiter.Room("judge", nil, now); n != 0 {
+		t.Errorf("%d calls may be sent without upstreams, want 0", n)
 	}
 }
 
-// Other VMs fill the service with their own calls. This VM only learns of it from the
-// load that answers report.
-func TestLanesFollowReportedLoad(t *testing.T) {
+// Guards against calls to a service whose slots are taken by calls of other VMs. This VM
+// knows of them only from the load that the upstreams report in their answers.
+func TestScoreCallsFollowReportedLoad(t *testing.T) {
 	now := time.Now()
-	c := newClient(&judges{})
+	c := newClient(&fakeScorer{})
 	list := c.Forwarder.Roster.Usable("judge", now)
-	lanes := NewLanes()
-	lanes.Begin("judge")
+	limiter := NewLanes()
+	limiter.Begin("judge")
 	for _, e := range list {
 		e.NoteLoad(target.Load{Running: 4, Waiting: 2, Slots: 4}, now)
 	}
-	if room := lanes.Room("judge", list, now); room != 0 {
-		t.Errorf("room for %d calls at a full service", room)
+	if n := limiter.Room("judge", list, now); n != 0 {
+		t.Errorf("%d calls may be sent to a service without free slots, want 0", n)
 	}
 }
