--- a/internal/pools/mover.go
+++ b/internal/pools/mover.go
@@ -10,28 +10,30 @@
 	"dogwoodpond/internal/fence"
 )
 
-// Orders gives orders to engines.
+// Orders sends orders to engines.
 type Orders interface {
-	// Order gives an order; a repeat with the same ID is harmless.
+	// Order sends an order to the engine at an address. A repeated order with the same ID
+	// has no effect.
 	Order(ctx context.Context, address string, order engine.Order) error
 }
 
-// Mover carries out the moves of one holder of a lease.
+// Mover moves engines between pools for the holder of a failure domain's lease. It is not
+// safe for concurrent use.
 type Mover struct {
-	planner *Planner
-	orders  Orders
-	events  *event.Recorder
-	count   int
+	planner    *Planner
+	orders     Orders
+	events     *event.Recorder
+	orderCount int
 }
 
-// NewMover returns a mover.
+// NewMover returns a mover that sends its orders by orders.
 func NewMover(orders Orders, events *event.Recorder) *Mover {
 	return &Mover{planner: NewPlanner(), orders: orders, events: events}
 }
 
-// Tick plans and orders at most one move. An order without an answer is not
-// repeated: the next reports show what the engine serves, and the next plan
-// goes on from there.
+// Tick plans at most one move and sends its order to the engine. queued is the number of
+// queued requests by pool. An order without an answer is not repeated: the engine's next
+// report shows which pool it serves, and the next plan is based on that report.
 func (m *Mover) Tick(ctx context.Context, guard fence.Guard, engines []Engine, queued map[Pool]int) error {
 	move, ok := m.planner.Next(engines, queued)
 	if !ok {
@@ -40,9 +42,9 @@
 	if err := guard.Check(); err != nil {
 		return err
 	}
-	m.count++
+	m.orderCount++
 	order := engine.Order{
-		ID:      fmt.Sprintf("pool/%s/%d/%d", move.Engine.ID, guard.Epoch(), m.count),
+		ID:      fmt.Sprintf("pool/%s/%d/%d", move.Engine.ID, guard.Epoch(), m.orderCount),
 		Epoch:   guard.Epoch(),
 		Kind:    engine.OrderSetPool,
 		Model:   move.To.Model,
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -1,7 +1,8 @@
-// Package pools moves engines between pools as work moves. A pool is a model
-// and an adapter. An engine changes its pool by an order under its failure
-// domain's lease; what it serves is read from its own report, so that a failed
-// or unanswered order leaves no engine with requests for another pool.
+// Package pools moves engines between pools to follow the load. A pool is the set of
+// engines that serve the same model and adapter. The holder of a failure domain's lease
+// orders an engine of the domain to change its pool. Which pool an engine serves is known
+// from its own reports only, so that no engine gets requests for another pool after an
+// order that failed or was not answered.
 package pools
 
 import (
@@ -9,86 +10,90 @@
 	"slices"
 )
 
-// Pool names a set of interchangeable engines.
+// Pool identifies a set of interchangeable engines.
 type Pool struct {
 	Model   string
 	Adapter string
 }
 
-// Engine is what is known of an engine from its own report.
+// Engine is the state of an engine by its last report.
 type Engine struct {
 	ID      string
 	Address string
 	Pool    Pool
-	// Adaptable engines may be moved; the others keep the pool that the operator
-	// gave them.
-	Adaptable   bool
+	// Adaptable reports whether the engine may be moved. Other engines stay in the pool
+	// that the operator configured.
+	Adaptable bool
+	// Busy is the number of requests that run or are queued at the engine.
 	Busy, Slots int
 }
 
-// Move says that an engine is to serve another pool.
+// Move is a planned change of an engine's pool.
 type Move struct {
 	Engine Engine
 	To     Pool
 }
 
-// Planner decides on moves. It keeps how long each pool has been short, so that
-// a short peak moves nothing.
+// Planner plans moves. It counts for how many ticks in a row each pool has had queued
+// requests, starting again after each move to the pool, so that a brief peak causes no
+// move.
 type Planner struct {
-	short map[Pool]int
+	// queuedTicks has an entry for each pool with queued requests.
+	queuedTicks map[Pool]int
 }
 
-// NewPlanner returns a planner without history.
-func NewPlanner() *Planner { return &Planner{short: make(map[Pool]int)} }
+// NewPlanner returns a planner that has not seen any queued requests.
+func NewPlanner() *Planner { return &Planner{queuedTicks: make(map[Pool]int)} }
 
 const (
-	// moveAfter is how many ticks in a row requests must wait before an engine is
-	// moved: a move costs its prefix cache and a load.
-	moveAfter = 5
-	// idlePart is the largest part of a pool's slots, as a divisor, that may be
-	// busy once an engine has left it.
-	idlePart = 2
+	// minQueuedTicks is how many ticks in a row a pool must have queued requests before an
+	// engine is moved to it. A move costs the engine its prefix cache and a load.
+	minQueuedTicks = 5
+	// spareDivisor limits how busy a pool may be without the engine that leaves it: at most
+	// one in spareDivisor of its remaining slots.
+	spareDivisor = 2
 )
 
-// Next returns at most one move, so that the effect of each is seen before the
-// next. queued holds how many requests wait for each pool.
+// Next is called once per tick and returns at most one move, so that the effect of each
+// move can be observed before the next. queued is the number of queued requests by pool.
 func (p *Planner) Next(engines []Engine, queued map[Pool]int) (Move, bool) {
-	p.count(queued)
-	to, ok := p.shortest()
+	p.countTicks(queued)
+	to, ok := p.longestQueued()
 	if !ok {
 		return Move{}, false
 	}
-	from, ok := donor(engines, to, queued)
+	from, ok := findDonor(engines, to, queued)
 	if !ok {
 		return Move{}, false
 	}
-	p.short[to] = 0
+	p.queuedTicks[to] = 0
 	return Move{Engine: from, To: to}, true
 }
 
-func (p *Planner) count(queued map[Pool]int) {
-	for pool := range p.short {
+// countTicks counts one tick for each pool with queued requests and resets the others.
+func (p *Planner) countTicks(queued map[Pool]int) {
+	for pool := range p.queuedTicks {
 		if queued[pool] == 0 {
-			delete(p.short, pool)
+			delete(p.queuedTicks, pool)
 		}
 	}
 	for pool, n := range queued {
 		if n > 0 {
-			p.short[pool]++
+			p.queuedTicks[pool]++
 		}
 	}
 }
 
-// shortest returns the pool that has been short for the longest time, if long
-// enough.
-func (p *Planner) shortest() (Pool, bool) {
+// longestQueued returns the pool that has had queued requests for the longest time, if
+// that time is at least minQueuedTicks.
+func (p *Planner) longestQueued() (Pool, bool) {
 	var best Pool
 	found := false
-	for pool, ticks := range p.short {
-		if ticks < moveAfter {
+	for pool, ticks := range p.queuedTicks {
+		if ticks < minQueuedTicks {
 			continue
 		}
-		if !found || ticks > p.short[best] || ticks == p.short[best] && less(pool, best) {
+		if !found || ticks > p.queuedTicks[best] || ticks == p.queuedTicks[best] && less(pool, best) {
 			best, found = pool, true
 		}
 	}
@@ -99,26 +104,28 @@
 	return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Adapter, b.Adapter)) < 0
 }
 
-// donor returns the idlest engine of another pool that can do without it. The
-// last engine of a pool stays.
-func donor(engines []Engine, to Pool, queued map[Pool]int) (Engine, bool) {
-	var free []Engine
+// findDonor returns the least busy engine that can be moved to the pool: one of another
+// pool that has no queued requests and can spare it. The last engine of a pool is never
+// moved.
+func findDonor(engines []Engine, to Pool, queued map[Pool]int) (Engine, bool) {
+	var spare []Engine
 	for _, e := range engines {
-		if e.Adaptable && e.Pool != to && queued[e.Pool] == 0 && spares(engines, e) {
-			free = append(free, e)
+		if e.Adaptable && e.Pool != to && queued[e.Pool] == 0 && canSpare(engines, e) {
+			spare = append(spare, e)
 		}
 	}
-	if len(free) == 0 {
+	if len(spare) == 0 {
 		return Engine{}, false
 	}
-	slices.SortFunc(free, func(a, b Engine) int {
+	slices.SortFunc(spare, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.Busy, b.Busy), cmp.Compare(a.ID, b.ID))
 	})
-	return free[0], true
+	return spare[0], true
 }
 
-// spares reports whether the engine's pool stays at most half busy without it.
-func spares(engines []Engine, leaving Engine) bool {
+// canSpare reports whether at most half of the slots in the engine's pool would be busy
+// without the engine, counting its own requests too.
+func canSpare(engines []Engine, leaving Engine) bool {
 	busy, slots := 0, 0
 	for _, e := range engines {
 		if e.Pool != leaving.Pool {
@@ -129,5 +136,5 @@
 			slots += e.Slots
 		}
 	}
-	return slots > 0 && busy*idlePart <= slots
+	return slots > 0 && busy*spareDivisor <= slots
 }
--- a/internal/pools/pools_test.go
+++ b/internal/pools/pools_test.go
@@ -33,8 +33,8 @@
 	return list
 }
 
-// next ticks with a constant queue until a move is planned.
-func next(p *Planner, engines []Engine, queued map[Pool]int, ticks int) (Move, bool) {
+// nextMove calls p.Next with a constant queue until it returns a move, at most ticks times.
+func nextMove(p *Planner, engines []Engine, queued map[Pool]int, ticks int) (Move, bool) {
 	for range ticks {
 		if move, ok := p.Next(engines, queued); ok {
 			return move, true
@@ -43,15 +43,15 @@
 	return Move{}, false
 }
 
-func TestEngineOfAnIdlePoolMovesToAShortOne(t *testing.T) {
+func TestEngineOfIdlePoolMovesToPoolWithQueue(t *testing.T) {
 	engines := append(enginesOf(replies, 2, 8), enginesOf(rotas, 3, 1)...)
-	move, ok := next(NewPlanner(), engines, map[Pool]int{replies: 5}, moveAfter)
+	move, ok := nextMove(NewPlanner(), engines, map[Pool]int{replies: 5}, minQueuedTicks)
 	if !ok || move.To != replies || move.Engine.Pool != rotas {
 		t.Errorf("got %+v (%v), want an engine of rotas to move to replies", move, ok)
 	}
 }
 
-func TestNothingMovesForAShortPeakOrFromABusyPool(t *testing.T) {
+func TestNoMoveForBriefPeakOrFromBusyPool(t *testing.T) {
 	idle := append(enginesOf(replies, 2, 8), enginesOf(rotas, 3, 1)...)
 	busy := append(enginesOf(replies, 2, 8), enginesOf(rotas, 3, 6)...)
 	last := append(enginesOf(replies, 2, 8), enginesOf(rotas, 1, 0)...)
@@ -61,44 +61,45 @@
 		queued  map[Pool]int
 		ticks   int
 	}{
-		{name: "short peak", engines: idle, queued: map[Pool]int{replies: 5}, ticks: moveAfter - 1},
+		{name: "brief peak", engines: idle, queued: map[Pool]int{replies: 5}, ticks: minQueuedTicks - 1},
 		{name: "busy donor", engines: busy, queued: map[Pool]int{replies: 5}, ticks: 20},
 		{name: "last engine", engines: last, queued: map[Pool]int{replies: 5}, ticks: 20},
-		{name: "donor waits too", engines: idle, queued: map[Pool]int{replies: 5, rotas: 1}, ticks: 20},
+		{name: "donor has a queue too", engines: idle, queued: map[Pool]int{replies: 5, rotas: 1}, ticks: 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			if move, ok := next(NewPlanner(), c.engines, c.queued, c.ticks); ok {
+			if move, ok := nextMove(NewPlanner(), c.engines, c.queued, c.ticks); ok {
 				t.Errorf("moved %+v", move)
 			}
 		})
 	}
 }
 
-type held struct{}
+// fakeGuard is the guard of a lease that is always held.
+type fakeGuard struct{}
 
-func (held) Check() error        { return nil }
-func (held) Epoch() uint64       { return 3 }
-func (held) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (fakeGuard) Check() error        { return nil }
+func (fakeGuard) Epoch() uint64       { return 3 }
+func (fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-// recorder answers no order and keeps the IDs.
-type recorder struct{ ids []string }
+// failingOrders fails every order as unanswered and records its ID.
+type failingOrders struct{ ids []string }
 
-func (r *recorder) Order(_ context.Context, address string, order engine.Order) error {
-	r.ids = append(r.ids, order.ID)
+func (o *failingOrders) Order(_ context.Context, address string, order engine.Order) error {
+	o.ids = append(o.ids, order.ID)
 	return errors.WithStack(&fault.UpstreamFailed{Upstream: address, Reason: "no answer"})
 }
 
-// An order to move has no answer, and the engine stays where it was. A later
-// order with the same ID would be taken for a repeat and ignored, should the
-// first one have taken effect and been undone since.
-func TestEachMoveHasAnIDOfItsOwn(t *testing.T) {
-	orders := &recorder{}
+// Guards against a move that an engine ignores as a repeated order. An earlier order that
+// was not answered may have taken effect and been undone since; a later order with the same
+// ID would then have no effect.
+func TestEachMoveHasItsOwnOrderID(t *testing.T) {
+	orders := &failingOrders{}
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	m := NewMover(orders, events)
 	engines := append(enginesOf(replies, 2, 8), enginesOf(rotas, 3, 1)...)
-	for range 3 * moveAfter {
-		_ = m.Tick(t.Context(), held{}, engines, map[Pool]int{replies: 5})
+	for range 3 * minQueuedTicks {
+		_ = m.Tick(t.Context(), fakeGuard{}, engines, map[Pool]int{replies: 5})
 	}
 	seen := make(map[string]bool)
 	for _, id := range orders.ids {
