--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -2,7 +2,7 @@
 // VMs of a fleet. Every loop that calls the store periodically asks it for the interval
 // between calls. A fleet may grow while the capacity of the store stays the same, so the
 // interval is computed from the rates of the store, the number of VMs and the share of
-// the loop's purpose. It becomes longer while the store refuses calls.
+// the loop's use. The intervals of some reads become longer while the store refuses calls.
 package budget
 
 import (
@@ -32,14 +32,14 @@
 	Totals
 	// Members are the reads of other VMs' heartbeats.
 	Members
-	// Configuration are the calls for changes of the configuration and of the announced
-	// weight versions.
+	// Configuration are the long polls for changes of the configuration and of the
+	// announced weight versions.
 	Configuration
-	// Upstreams are the calls for changes of the list of upstreams.
+	// Upstreams are the long polls for changes of the list of upstreams.
 	Upstreams
-	// Steps are the calls for changes of the states of steps.
+	// Steps are the long polls for changes of the states of steps.
 	Steps
-	// Loads are the calls for changes of the engines' weight loads.
+	// Loads are the long polls for changes of the engines' weight loads.
 	Loads
 	// Probes are the reads that check during an outage whether the store is available
 	// again. The other loops wait during an outage, so Probes may use their shares.
--- a/internal/carry/carry.go
+++ b/internal/carry/carry.go
@@ -47,8 +47,8 @@
 	Body   []byte
 }
 
-// Direct is a function that makes a call to the store without another relay. If it fails, sent
-// is true if the call may have reached the store.
+// Direct is a function that makes a call to the store itself, not through a peer. If it fails,
+// sent is true if the call may have reached the store.
 type Direct func(ctx context.Context, call Call) (answer Answer, sent bool, err error)
 
 // Serve relays the calls that peers make on a listener, by callStore, until ctx ends.
--- a/internal/carry/selector.go
+++ b/internal/carry/selector.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// failedPeerBackoff is how long a peer that failed to relay a call sorts behind all
-	// others.
+	// failedPeerBackoff is how long a peer that failed to relay a call comes last in
+	// the order.
 	failedPeerBackoff = time.Second
 	// minRelayBackoff is how long no peer is asked after all peers that were asked failed
 	// to relay a call: the store is then unavailable, or refuses calls above the fleet's
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -118,8 +118,8 @@
 	execution fault.Execution
 }
 
-// openAttempt is an attempt that has not ended.
-type openAttempt struct {
+// pendingAttempt is an attempt whose result has not been received.
+type pendingAttempt struct {
 	cancel    context.CancelFunc
 	startedAt time.Time
 }
@@ -130,8 +130,8 @@
 	call    Call
 	service string
 	results chan attemptResult
-	// open holds the attempts whose result has not been received.
-	open map[*target.Entry]openAttempt
+	// pending holds the attempts whose result has not been received.
+	pending map[*target.Entry]pendingAttempt
 
 	// tried holds the upstreams to which the request was sent.
 	tried []*target.Entry
@@ -139,8 +139,8 @@
 	ranAttempts int
 	// notRunAttempts counts the failed attempts that did not run.
 	notRunAttempts int
-	// pending counts the attempts whose result has not been received.
-	pending int
+	// pendingCount is the number of pending attempts.
+	pendingCount int
 	// failedAnswers counts the answers that say that the request itself failed.
 	failedAnswers int
 	lastErr       error
@@ -158,7 +158,7 @@
 		call:      call,
 		service:   call.Route.Service(call.ID),
 		results:   make(chan attemptResult, call.Route.Attempts+maxNotRunRetries+1),
-		open:      make(map[*target.Entry]openAttempt),
+		pending:   make(map[*target.Entry]pendingAttempt),
 		execution: fault.NotRun,
 	}
 	if !r.startAttempt(ctx) {
@@ -176,7 +176,7 @@
 				r.startAttempt(ctx)
 			}
 		case a := <-r.results:
-			r.pending--
+			r.pendingCount--
 			if a.err == nil {
 				r.recordSuccess(a.entry)
 				return a.answer, nil
@@ -185,7 +185,7 @@
 			if ctx.Err() == nil && r.allowRetry(a) && r.startAttempt(ctx) {
 				continue
 			}
-			if r.pending == 0 {
+			if r.pendingCount == 0 {
 				r.cancelAll()
 				return nil, r.withFailedAnswers(r.finalError(ctx))
 			}
@@ -200,8 +200,8 @@
 // allowHedge reports whether a second attempt may run concurrently with the first. If
 // so, it has taken a retry from the budget.
 func (r *inflightRequest) allowHedge() bool {
-	return r.call.Route.Kind == route.Idempotent && r.pending == 1 &&
-		r.ranAttempts+r.pending < r.call.Route.Attempts && r.Budget.Take()
+	return r.call.Route.Kind == route.Idempotent && r.pendingCount == 1 &&
+		r.ranAttempts+r.pendingCount < r.call.Route.Attempts && r.Budget.Take()
 }
 
 // allowRetry reports whether the request may be sent again after a failed attempt. An
@@ -212,7 +212,7 @@
 		r.notRunAttempts++
 		return r.notRunAttempts <= maxNotRunRetries
 	}
-	if !r.call.Route.Repeatable() || r.ranAttempts+r.pending >= r.call.Route.Attempts {
+	if !r.call.Route.Repeatable() || r.ranAttempts+r.pendingCount >= r.call.Route.Attempts {
 		return false
 	}
 	return r.Budget.Take()
@@ -226,9 +226,9 @@
 		return false
 	}
 	r.tried = append(r.tried, entry)
-	r.pending++
+	r.pendingCount++
 	attemptCtx, cancel := context.WithCancel(ctx)
-	r.open[entry] = openAttempt{cancel: cancel, startedAt: time.Now()}
+	r.pending[entry] = pendingAttempt{cancel: cancel, startedAt: time.Now()}
 	r.Events.Emit(event.RequestDispatched, event.Subject{Request: r.call.ID, Account: r.call.Account, Upstream: entry.Info().ID, Attempt: len(r.tried)})
 	go func() {
 		defer entry.End()
@@ -328,8 +328,8 @@
 // caller canceled the request, in the entry of the upstream, which is then avoided for a
 // backoff.
 func (r *inflightRequest) recordFailure(a attemptResult) {
-	r.open[a.entry].cancel()
-	delete(r.open, a.entry)
+	r.pending[a.entry].cancel()
+	delete(r.pending, a.entry)
 	r.lastErr = a.err
 	r.execution = r.execution.Or(a.execution)
 	if a.execution != fault.NotRun {
@@ -357,7 +357,7 @@
 	winner.Succeeded()
 	r.Budget.Success()
 	now := time.Now()
-	for entry, other := range r.open {
+	for entry, other := range r.pending {
 		if entry != winner {
 			entry.NoteSpeed(now.Sub(other.startedAt), now)
 			other.cancel()
@@ -366,7 +366,7 @@
 }
 
 func (r *inflightRequest) cancelAll() {
-	for _, attempt := range r.open {
+	for _, attempt := range r.pending {
 		attempt.cancel()
 	}
 }
@@ -391,7 +391,7 @@
 // may have run.
 func (r *inflightRequest) contextError(ctx context.Context) error {
 	execution := r.execution
-	if r.pending > 0 {
+	if r.pendingCount > 0 {
 		execution = execution.Or(fault.Unknown)
 	}
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// Guards against a wrong "not run": one upstream may have run the request before it
-// failed, and the next ones refuse it.
+// Guards against an error that wrongly says that the request has not run: one upstream
+// may have run it before it failed, and the next ones refuse it.
 func TestRefusalAfterPossibleRunDoesNotReportNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {execution: fault.Unknown}}, fallback: fakeAnswer{status: 503, notRun: true}}
@@ -272,7 +272,7 @@
 func (truncatedReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 // Guards against a truncated answer that the caller takes for a complete one.
-func TestTruncatedAnswerIsNotPassedOn(t *testing.T) {
+func TestTruncatedAnswerIsNotDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &fakeUpstreams{byID: map[string]fakeAnswer{"a": {status: 200, body: truncatedBody("half")}}, fallback: okAnswer}
 		got, err := do(t, u, newCall(route.Idempotent, 2))
@@ -303,7 +303,7 @@
 
 // All upstreams answer with a server error. The caller must get such an answer, not an
 // error of the forwarder.
-func TestServerErrorIsPassedOn(t *testing.T) {
+func TestServerErrorIsDelivered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &fakeUpstreams{fallback: fakeAnswer{status: 500}}
 		_, err := do(t, u, newCall(route.Idempotent, 2))
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -19,16 +19,16 @@
 // long compared to the time between events.
 const stallTimeout = 900 * time.Millisecond
 
-// Sink passes a stream on to its caller.
+// Sink delivers a stream to its caller.
 type Sink interface {
-	// Start passes on the status and header of the first answer.
+	// Start delivers the status and header of the first answer.
 	Start(answer *Answer) error
-	// Event passes on the bytes of one complete event.
+	// Event delivers the bytes of one complete event.
 	Event(raw []byte) error
 }
 
 // Stream forwards a request whose answer is a stream, and passes its events to sink as
-// they arrive. Only complete events are passed on, so that an interrupted stream can be
+// they arrive. Only complete events are delivered, so that an interrupted stream can be
 // resumed at another upstream after its last event. err is nil if the stream is complete.
 // started reports whether sink.Start was called, even if err is not nil.
 func (f *Forwarder) Stream(ctx context.Context, call Call, sink Sink) (started bool, err error) {
@@ -39,7 +39,7 @@
 			return s.started, s.exhaustedError()
 		}
 		s.tried = append(s.tried, entry)
-		err := s.attempt(ctx, entry)
+		err := s.runAttempt(ctx, entry)
 		if err == nil || !s.allowRetry(ctx, err) {
 			return s.started, s.finalError(ctx, err)
 		}
@@ -65,8 +65,8 @@
 	execution   fault.Execution
 }
 
-// attempt runs the stream at a reserved upstream until it is complete or interrupted.
-func (s *inflightStream) attempt(ctx context.Context, entry *target.Entry) error {
+// runAttempt runs the stream at a reserved upstream until it is complete or interrupted.
+func (s *inflightStream) runAttempt(ctx context.Context, entry *target.Entry) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer entry.End()
--- a/internal/kept/store.go
+++ b/internal/kept/store.go
@@ -27,8 +27,9 @@
 type Row struct {
 	Key
 	Value []byte
-	// Version comes from one counter over the whole store; no number is used twice.
-	// 0 means that the row is absent.
+	// Version is the number of the transaction that wrote the row. It comes from one
+	// counter over the whole store, which never repeats a number. 0 means that the row
+	// is absent.
 	Version int64
 	// Deleted marks a deleted row in a page of changes.
 	Deleted bool
@@ -55,7 +56,7 @@
 	Removes  []Key
 }
 
-// Page is the result of a read or of a call for changes.
+// Page is the result of Store.Read or Store.Changes.
 type Page struct {
 	Rows []Row
 	// More is true if a limit of the store cut the page short.
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -29,8 +29,9 @@
 	return orderTimeout + orderTimeout/marginDivisor
 }
 
-// Settle waits for SettleTime. It then fails with *fault.LeaseLost if the lease was
-// lost in the meantime. It fails with the cause of ctx when ctx ends first.
+// Settle waits for the duration that SettleTime returns. It then fails with
+// *fault.LeaseLost if the lease was lost in the meantime. It fails with the cause of ctx
+// when ctx ends first.
 func Settle(ctx context.Context, g Guard, orderTimeout time.Duration) error {
 	timer := time.NewTimer(SettleTime(orderTimeout))
 	defer timer.Stop()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -90,7 +90,7 @@
 
 // Wait returns how much longer the row must stay unchanged before the contender may
 // take the lease; 0 or less means that it may take it now. extra is added to the wait,
-// also for a free lease: candidates pass 0, standby VMs more.
+// also for a free lease: candidates pass 0, standby VMs (see maxCandidates) more.
 //
 // A record with the contender's own identity was written by a commit whose reply was
 // lost. No order was sent under that record, so there is no holder to wait for.
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -268,8 +268,8 @@
 	return false
 }
 
-// release frees the lease, so that a successor need not wait for the end of the term.
-// If the release fails, the successor waits for it.
+// release frees the lease, so that the next holder need not wait for the end of the
+// term. If the release fails, the next holder waits for it.
 func (c *campaign) release(ctx context.Context, hold *Hold) {
 	hold.End()
 	next, version := hold.Release()
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -60,7 +60,7 @@
 	var newest uint64
 	for _, accepted := range u.accepted {
 		if accepted.epoch < newest {
-			t.Errorf("%s gave an order of epoch %d after epoch %d", accepted.sender, accepted.epoch, newest)
+			t.Errorf("%s sent an order of epoch %d after epoch %d", accepted.sender, accepted.epoch, newest)
 		}
 		newest = accepted.epoch
 		if other, ok := senders[accepted.epoch]; ok && other != accepted.sender {
@@ -72,8 +72,8 @@
 
 const orderInterval = 200 * time.Millisecond
 
-// giveOrders sends an order at each interval while the lease is held.
-func giveOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
+// sendOrders sends an order at each interval while the lease is held.
+func sendOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
 		for sleep(ctx, orderInterval) == nil {
 			if g.Check() != nil {
@@ -102,16 +102,16 @@
 		p := w.Start(context.Background(), name)
 		processes = append(processes, p)
 		group.Go(func() {
-			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", giveOrders(p, u))
+			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", sendOrders(p, u))
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
 	return processes
 }
 
-// The holder is killed. Without a successor no VM gives orders to upstreams any more;
-// with a successor that is too early, two VMs do.
-func TestSuccessorTakesOverAfterAKill(t *testing.T) {
+// The holder is killed. If no other VM takes the lease, no VM sends orders to upstreams
+// any more; if another VM takes it too early, two VMs do.
+func TestOtherVMTakesTheLeaseAfterAKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
@@ -130,8 +130,8 @@
 }
 
 // The holder is paused for longer than its term, for example by SIGSTOP, and another VM
-// takes the lease. When the first one resumes it must not give orders.
-func TestPausedHolderGivesNoOrders(t *testing.T) {
+// takes the lease. When the first one resumes it must not send orders.
+func TestPausedHolderSendsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
@@ -151,7 +151,7 @@
 	})
 }
 
-// A VM drains and releases the lease, so that the successor need not wait for the end
+// A VM drains and releases the lease, so that the next holder need not wait for the end
 // of the term. Otherwise each planned stop would leave the lease without a holder for a
 // term.
 func TestDrainReleasesTheLease(t *testing.T) {
@@ -200,7 +200,7 @@
 	})
 }
 
-// An outage of the store lasts for several terms. Every VM stops giving orders; after
+// An outage of the store lasts for several terms. Every VM stops sending orders; after
 // the outage one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -234,7 +234,7 @@
 		standby := w.Start(context.Background(), "vm-9")
 		standbyRank := func(string) int { return maxCandidates }
 		group.Go(func() {
-			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", giveOrders(standby, u))
+			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", sendOrders(standby, u))
 		})
 		processes := startCampaigns(w, u, &group, "vm-1")
 		time.Sleep(20 * testTerm)
--- a/internal/lease/matrix_test.go
+++ b/internal/lease/matrix_test.go
@@ -60,7 +60,7 @@
 }
 
 // checkRowEpoch reads the row directly from the store: a process whose guard passes
-// must not have a successor yet.
+// must still be the holder in the row.
 func (u *upstreamPair) checkRowEpoch(epoch uint64) {
 	row, _ := u.rows.Get(context.Background(), keyPrefix+"upstreams/a")
 	var record Record
@@ -72,23 +72,23 @@
 	}
 }
 
-// issueOrders sends orders to both upstreams while the lease is held.
-func (u *upstreamPair) issueOrders(p *platformtest.Process, sender string) func(context.Context, Guard) (bool, error) {
+// sendOrders sends orders to both upstreams while the lease is held.
+func (u *upstreamPair) sendOrders(p *platformtest.Process, sender string) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
 		started := time.Now()
 		for sleep(ctx, time.Second) == nil {
-			u.order(ctx, p, g, sender, true)
+			u.sendOrder(ctx, p, g, sender, true)
 			if time.Since(started) >= SettleTime(orderTimeout) {
-				u.order(ctx, p, g, sender, false)
+				u.sendOrder(ctx, p, g, sender, false)
 			}
 		}
 		return false, nil
 	}
 }
 
-// order checks the guard and then sends an order. Nothing is written after the end of
+// sendOrder checks the guard and then sends an order. Nothing is written after the end of
 // the term, but what was written before can take effect until orderTimeout has passed.
-func (u *upstreamPair) order(ctx context.Context, p *platformtest.Process, g Guard, sender string, checksEpoch bool) {
+func (u *upstreamPair) sendOrder(ctx context.Context, p *platformtest.Process, g Guard, sender string, checksEpoch bool) {
 	subject := "ignoring"
 	if checksEpoch {
 		subject = "checking"
@@ -126,7 +126,7 @@
 			for _, name := range []string{"vm-1", "vm-2"} {
 				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
 					m := newTestManager(p)
-					_ = m.Campaign(p.Context, "upstreams/a", u.issueOrders(p, name))
+					_ = m.Campaign(p.Context, "upstreams/a", u.sendOrders(p, name))
 				})
 				time.Sleep(time.Millisecond)
 			}
@@ -139,7 +139,7 @@
 				return errors.Newf("%s", u.violation)
 			}
 			if since > 3*testTerm {
-				return errors.Newf("no VM gave an order for %v", since)
+				return errors.Newf("no VM sent an order for %v", since)
 			}
 			return nil
 		},
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -17,7 +17,8 @@
 	budgetCapacity = 64 * retryCost
 )
 
-// Budget limits the retries of one pool. When every upstream fails, unlimited
+// Budget limits the retries of one pool, which is a group of interchangeable
+// upstreams: a service, or the engines of a model. When every upstream fails, unlimited
 // retries multiply the load by the number of attempts and prevent an overloaded
 // pool from recovering. With a budget, the pool gets only the original load once
 // the balance is used up. It is safe for concurrent use.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -121,7 +121,7 @@
 
 // Guards against canceled requests that take a working upstream out of rotation:
 // attempts that end because their caller left must not count as failures.
-func TestAbandonedAttemptsDoNotOpenCircuit(t *testing.T) {
+func TestCanceledAttemptsDoNotOpenCircuit(t *testing.T) {
 	p := newTestPolicy()
 	for range 10 * tripThreshold {
 		done, allowed := p.Allow("e1")
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -122,11 +122,14 @@
 // Scale limits the upstreams that are ordered in each failure domain.
 type Scale struct {
 	Minimum, Maximum int
-	Boot             time.Duration
+	// Boot is how long an ordered upstream takes to boot.
+	Boot time.Duration
 	// ReclaimablePrice is the price of a reclaimable upstream relative to that of
 	// another one; 0 means that reclaimable upstreams can't be ordered.
 	ReclaimablePrice float64
-	Prices           map[string]float64
+	// Prices holds the price of an upstream in each failure domain in which upstreams can
+	// be ordered.
+	Prices map[string]float64
 }
 
 // Limits holds the limits for requests of callers.
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -48,8 +48,8 @@
 	VersionField string
 }
 
-// Caller sends attempts to upstreams. Call fails with *fault.UpstreamFailed, whose
-// mark says whether the request may have run. A response that belongs to another
+// Caller sends attempts to upstreams. Call fails with *fault.UpstreamFailed;
+// fault.ExecutionOf says whether the request may have run. A response that belongs to another
 // request, or that reports success without the upstream's digest, is a failure.
 type Caller interface {
 	Call(ctx context.Context, e *Entry, request *Request) (*Response, error)
--- a/internal/target/choose.go
+++ b/internal/target/choose.go
@@ -14,8 +14,10 @@
 // an upstream in another domain.
 const (
 	otherDomainCost = 0.35
-	slowThreshold   = 2.0
-	slowCost        = 0.8
+	// slowThreshold is no cost: an upstream is slow when its unit time is more than this
+	// multiple of the median.
+	slowThreshold = 2.0
+	slowCost      = 0.8
 	// coldCost makes a warming upstream a choice only when the others are full.
 	coldCost = 1.0
 )
--- a/internal/target/evacuation.go
+++ b/internal/target/evacuation.go
@@ -10,7 +10,7 @@
 func (r *Roster) Evacuated(domain string) bool { return (*r.evacuated.Load())[domain] }
 
 // Evacuate stops new requests to the upstreams of a failure domain. Requests in flight are
-// not cancelled.
+// not canceled.
 func (r *Roster) Evacuate(domain string) { r.setEvacuated(domain, true) }
 
 // Restore ends the evacuation of a failure domain.
@@ -37,13 +37,13 @@
 	if before[domain] == evacuated {
 		return
 	}
-	now, number := maps.Clone(before), event.DomainRestored
+	after, number := maps.Clone(before), event.DomainRestored
 	if evacuated {
-		now[domain], number = true, event.DomainEvacuated
+		after[domain], number = true, event.DomainEvacuated
 	} else {
-		delete(now, domain)
+		delete(after, domain)
 	}
-	r.evacuated.Store(&now)
+	r.evacuated.Store(&after)
 	r.events.Emit(number, event.Subject{Detail: domain, Count: int64(r.countUpstreams(domain))})
 }
 
--- a/internal/target/instance.go
+++ b/internal/target/instance.go
@@ -67,8 +67,9 @@
 	// evicted is true when no list holds the entry any more. The roster's mu guards it.
 	evicted bool
 
-	mu         sync.Mutex
-	load       Load
+	mu   sync.Mutex
+	load Load
+	// ownAtLoad is the value of inFlight when load was reported.
 	ownAtLoad  int32
 	loadAt     time.Time
 	unitTime   float64
@@ -137,7 +138,7 @@
 func (e *Entry) Succeeded() {
 	now := time.Now()
 	e.mu.Lock()
-	e.admission.noteAnswer(now)
+	e.admission.noteAnswered(now)
 	e.mu.Unlock()
 	e.failures.Store(0)
 	e.suspectUntil.Store(0)
@@ -154,7 +155,7 @@
 func (e *Entry) NoteLoad(load Load, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.admission.noteAnswer(now)
+	e.admission.noteAnswered(now)
 	e.load, e.ownAtLoad, e.loadAt = load, e.inFlight.Load(), now
 }
 
@@ -178,8 +179,8 @@
 	if !e.loadKnownLocked(now) {
 		return 0
 	}
-	foreign := e.load.Running + e.load.Waiting - int(e.ownAtLoad)
-	return max(0, foreign)
+	others := e.load.Running + e.load.Waiting - int(e.ownAtLoad)
+	return max(0, others)
 }
 
 // Slots returns the number of requests that the upstream runs at once, at least 1.
--- a/internal/target/roster.go
+++ b/internal/target/roster.go
@@ -28,8 +28,8 @@
 	// slowStarts holds the bounds of the services whose upstreams warm up.
 	slowStarts map[string]SlowStart
 
-	// completeAt is when the list was last known to be complete, in Unix nanoseconds.
-	completeAt atomic.Int64
+	// listReadAt is when the platform's list was last read, in Unix nanoseconds.
+	listReadAt atomic.Int64
 	// coldSender reports whether this VM may send requests to a cold upstream.
 	coldSender atomic.Pointer[func(*Entry) bool]
 	// evacuated holds the failure domains whose upstreams get no requests.
@@ -58,11 +58,11 @@
 }
 
 // Reached records that the platform's list was read and the roster is up to date.
-func (r *Roster) Reached() { r.completeAt.Store(time.Now().UnixNano()) }
+func (r *Roster) Reached() { r.listReadAt.Store(time.Now().UnixNano()) }
 
 // stale reports whether the list was last read more than staleAfter ago.
 func (r *Roster) stale(now time.Time) bool {
-	return now.UnixNano()-r.completeAt.Load() > int64(staleAfter)
+	return now.UnixNano()-r.listReadAt.Load() > int64(staleAfter)
 }
 
 // TakeTurns sets the function that reports whether this VM may send requests to a cold
--- a/internal/target/slowstart.go
+++ b/internal/target/slowstart.go
@@ -29,11 +29,12 @@
 	// the one second of the bound because requests reach an upstream with varying delays.
 	admissionWindow = 1200 * time.Millisecond
 	// coldDivisor is the number of equal shares into which the bound of a cold upstream is
-	// divided. One VM at a time uses one share. The others cover VMs that were allowed to
-	// send before it and have not learnt yet that they no longer are.
+	// divided. The cold sender, one VM at a time, uses one share. The others cover earlier
+	// cold senders that have not learnt yet that they no longer are.
 	coldDivisor = 3
 	// uncertainDivisor and staleListDivisor are the same for upstreams in those states.
-	// Every VM that runs a copy of a step may use them, and decides by its own view.
+	// Every VM that runs a copy of a step may use such an upstream, by its own view of the
+	// state.
 	uncertainDivisor = 6
 	staleListDivisor = 4
 	// warmReserveDivisor sets the part of the bound, 1/warmReserveDivisor, that is not used
@@ -86,9 +87,9 @@
 	return !a.unansweredSince.IsZero() && (a.warmBy.IsZero() || now.Before(a.warmBy))
 }
 
-// noteAnswer records an answer. After an unanswered attempt, the upstream may have
+// noteAnswered records an answer. After an unanswered attempt, the upstream may have
 // restarted just before it.
-func (a *admission) noteAnswer(now time.Time) {
+func (a *admission) noteAnswered(now time.Time) {
 	if !a.unansweredSince.IsZero() && a.warmBy.IsZero() {
 		a.warmBy = now.Add(a.bound.Warmup)
 	}
--- a/internal/target/slowstart_test.go
+++ b/internal/target/slowstart_test.go
@@ -71,12 +71,12 @@
 // Guards against overload after a restart with the same ID that the list doesn't show yet.
 // The VM's connections broke, and it would send the restarted upstream the load of a warm
 // one.
-func TestUnresponsiveUpstreamCountsAsCold(t *testing.T) {
+func TestUnansweredAttemptMakesUpstreamUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, e := newSlowStartUpstream(0)
 		e.NoAnswer()
 		if n := sendUntilRefused(e); n > testBound/uncertainDivisor {
-			t.Errorf("%d requests to an unresponsive upstream were admitted", n)
+			t.Errorf("%d requests to an uncertain upstream were admitted", n)
 		}
 		time.Sleep(admissionWindow)
 		e.Succeeded()
@@ -93,7 +93,7 @@
 
 // Guards against overload by a VM that can't read the list and relies on its old view: an
 // upstream may have restarted since.
-func TestStaleListCountsAsCold(t *testing.T) {
+func TestStaleListLimitsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, e := newSlowStartUpstream(0)
 		time.Sleep(staleAfter + time.Millisecond)
@@ -243,9 +243,9 @@
 	}
 }
 
-// Guards against an upstream that is limited as cold because it refuses or fails requests.
+// Guards against an upstream that becomes uncertain because it refuses or fails requests.
 // An upstream that answers has not restarted.
-func TestFailingUpstreamIsNotCold(t *testing.T) {
+func TestFailingUpstreamIsNotUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, e := newSlowStartUpstream(0)
 		e.NoteLoad(Load{Running: 4, Slots: 4}, time.Now())
@@ -256,9 +256,9 @@
 	})
 }
 
-// Guards against an upstream that is limited as cold because single answers are lost,
-// garbled or hang, while its other streams continue.
-func TestUpstreamWithRunningStreamsIsNotCold(t *testing.T) {
+// Guards against an upstream that stays uncertain because single answers are lost, garbled
+// or hang, while its other streams continue.
+func TestUpstreamWithRunningStreamsIsNotUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, e := newSlowStartUpstream(0)
 		began := time.Now()
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestChooseWeighsDomainLoadAndSuspicion(t *testing.T) {
+func TestChooseWeighsDomainLoadAndFailures(t *testing.T) {
 	now := time.Now()
 	r := newTestRoster(newInstance("near", "x"), newInstance("far", "y"))
 	near, far := r.Service("desk")[1], r.Service("desk")[0]
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestForeignLoadExpires(t *testing.T) {
+func TestLoadOfOtherVMsExpires(t *testing.T) {
 	r := newTestRoster(newInstance("a", "x"))
 	e, now := r.Service("desk")[0], time.Now()
 	e.Begin()
