--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -96,10 +96,10 @@
 }
 
 // startCampaigns starts the processes, which all campaign for one lease.
-func startCampaigns(w *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
+func startCampaigns(cluster *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
 	var processes []*platformtest.Process
 	for _, name := range names {
-		p := w.Start(context.Background(), name)
+		p := cluster.Start(context.Background(), name)
 		processes = append(processes, p)
 		group.Go(func() {
 			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", sendOrders(p, u))
@@ -113,10 +113,10 @@
 // any more; if another VM takes it too early, two VMs do.
 func TestOtherVMTakesTheLeaseAfterAKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(2 * testTerm)
 		processes[0].Kill()
 		time.Sleep(3 * testTerm)
@@ -133,10 +133,10 @@
 // takes the lease. When the first one resumes it must not send orders.
 func TestPausedHolderSendsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Pause(4 * testTerm)
 		time.Sleep(5 * testTerm)
@@ -156,10 +156,10 @@
 // term.
 func TestDrainReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Stop()
 		time.Sleep(testTerm / 2)
@@ -177,7 +177,7 @@
 // another VM's.
 func TestLostRepliesDontEndTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+		cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 			if s.Call == "commit" && s.Index%2 == 1 {
 				return platformtest.Fault{Kind: platformtest.LoseReply}
 			}
@@ -185,7 +185,7 @@
 		})
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1")
+		processes := startCampaigns(cluster, u, &group, "vm-1")
 		time.Sleep(10 * testTerm)
 		processes[0].Stop()
 		group.Wait()
@@ -204,12 +204,12 @@
 // the outage one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2", "vm-3")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2", "vm-3")
 		time.Sleep(2 * testTerm)
-		w.TakeDown(5 * testTerm)
+		cluster.TakeDown(5 * testTerm)
 		time.Sleep(8 * testTerm)
 		for _, p := range processes {
 			p.Stop()
@@ -228,15 +228,15 @@
 // all three are dead.
 func TestOnlyCandidatesContendUntilTheyAreDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		standby := w.Start(context.Background(), "vm-9")
+		standby := cluster.Start(context.Background(), "vm-9")
 		standbyRank := func(string) int { return maxCandidates }
 		group.Go(func() {
 			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", sendOrders(standby, u))
 		})
-		processes := startCampaigns(w, u, &group, "vm-1")
+		processes := startCampaigns(cluster, u, &group, "vm-1")
 		time.Sleep(20 * testTerm)
 		if got := u.senders(); !slices.Equal(got, []string{"vm-1"}) {
 			t.Errorf("holders %v while a candidate is alive", got)
@@ -255,15 +255,15 @@
 // run returns true the second time, so the campaign ends and the lease is free.
 func TestCampaignEndsWhenDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		p := w.Start(context.Background(), "vm-1")
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		p := cluster.Start(context.Background(), "vm-1")
 		defer p.Stop()
 		calls := 0
 		err := newTestManager(p).Campaign(p.Context, "step/a", func(context.Context, Guard) (bool, error) {
 			calls++
 			return calls == 2, nil
 		})
-		row, _ := w.Rows.Get(context.Background(), keyPrefix+"step/a")
+		row, _ := cluster.Rows.Get(context.Background(), keyPrefix+"step/a")
 		if want := `{"holder":"","epoch":2,"renewals":0}`; err != nil || string(row.Value) != want {
 			t.Errorf("err %v, row %s, want %s", err, row.Value, want)
 		}
@@ -274,12 +274,12 @@
 // cause. The guard refuses from then on, even if the holder ignores the context.
 func TestLostLeaseEndsTheContextWithTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		p := w.Start(context.Background(), "vm-1")
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		p := cluster.Start(context.Background(), "vm-1")
 		var cause string
 		_ = newTestManager(p).Campaign(p.Context, "a", func(ctx context.Context, g Guard) (bool, error) {
 			deadline := g.Deadline()
-			w.TakeDown(2 * testTerm)
+			cluster.TakeDown(2 * testTerm)
 			<-ctx.Done()
 			cause = fmt.Sprint(context.Cause(ctx), " late by ", time.Since(deadline), " guard refuses ", g.Check() != nil)
 			return true, nil
--- a/internal/lease/matrix_test.go
+++ b/internal/lease/matrix_test.go
@@ -119,12 +119,12 @@
 			platformtest.StoreDown:   2 * testTerm,
 			platformtest.CutOff:      2 * testTerm,
 		},
-		Run: func(w *platformtest.World) error {
+		Run: func(cluster *platformtest.World) error {
 			ctx, stop := context.WithCancel(context.Background())
-			u := &upstreamPair{rows: w.Rows, senders: map[uint64]string{}}
+			u := &upstreamPair{rows: cluster.Rows, senders: map[uint64]string{}}
 			var group sync.WaitGroup
 			for _, name := range []string{"vm-1", "vm-2"} {
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+				cluster.Supervise(ctx, &group, name, func(p *platformtest.Process) {
 					m := newTestManager(p)
 					_ = m.Campaign(p.Context, "upstreams/a", u.sendOrders(p, name))
 				})
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -49,8 +49,9 @@
 }
 
 // Caller sends attempts to upstreams. Call fails with *fault.UpstreamFailed;
-// fault.ExecutionOf says whether the request may have run. A response that belongs to another
-// request, or that reports success without the upstream's digest, is a failure.
+// fault.ExecutionOf says whether the request may have run. A response that belongs
+// to another request, or that reports success without the upstream's digest, is a
+// failure.
 type Caller interface {
 	Call(ctx context.Context, e *Entry, request *Request) (*Response, error)
 }
