--- a/internal/step/accept.go
+++ b/internal/step/accept.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// submitTime is the timeout of a submission. During an outage of the store another
+	// submitTimeout is the timeout of a submission. During an outage of the store another
 	// VM could not accept the step either, so the trainer waits here.
-	submitTime = 8 * time.Second
-	// earlyStart is how long a submission may remain uncommitted before its items start
+	submitTimeout = 8 * time.Second
+	// earlyStartDelay is how long a submission may remain uncommitted before its items start
 	// anyway. During an outage of the store results are generated but not committed, so
 	// that a step accepted after the outage completes shortly afterwards.
-	earlyStart = 250 * time.Millisecond
-	// refusedWait is the Retry-After value when a step can't be stored now.
-	refusedWait = 300 * time.Millisecond
+	earlyStartDelay = 250 * time.Millisecond
+	// submitRetryAfter is the Retry-After value when a step can't be stored now.
+	submitRetryAfter = 300 * time.Millisecond
 )
 
 // Submit accepts a step. When it returns nil, the step is stored and survives the
@@ -34,23 +34,23 @@
 	}
 	now, ok := m.Clock.StoreNow()
 	if !ok {
-		return notKept(&fault.StoreUnavailable{Operation: "submit"})
+		return notStored(&fault.StoreUnavailable{Operation: "submit"})
 	}
-	ctx, cancel := context.WithTimeout(ctx, submitTime)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	spec.SubmittedAt = now
 	state := State{Spec: spec, Total: len(items), Epoch: 1, Nonce: uuid.NewString()}
-	state.Work, state.Behind = work(items), m.behind(spec)
+	state.Work, state.Behind = expectedTokens(items), m.versionLag(spec)
 	state.Owner, state.OwnerLife = m.ownerFor(spec)
-	txn, state, err := creation(ctx, m.Store, state, items)
+	txn, state, err := creationTxn(ctx, m.Store, state, items)
 	if err != nil {
-		return notKept(err)
+		return notStored(err)
 	}
 	early := &earlyRun{manager: m, state: state, items: items}
-	timer := time.AfterFunc(earlyStart, early.start)
+	timer := time.AfterFunc(earlyStartDelay, early.start)
 	version, err := kept.CommitSurely(ctx, m.Store, txn)
 	timer.Stop()
-	err = m.submitted(record{State: state, version: version}, items, early, err)
+	err = m.handleSubmitOutcome(stateRecord{State: state, version: version}, items, early, err)
 	if early.close() {
 		// Items have run, so the error must not claim that nothing was executed.
 		return fault.WithExecution(err, fault.Unknown)
@@ -72,8 +72,8 @@
 	return m.VM, m.Life
 }
 
-// work returns the expected number of output tokens of all items.
-func work(items []Item) float64 {
+// expectedTokens returns the expected number of output tokens of all items.
+func expectedTokens(items []Item) float64 {
 	total := 0.0
 	for _, item := range items {
 		total += item.Expected
@@ -81,9 +81,9 @@
 	return total
 }
 
-// behind returns the number of versions between a step's oldest allowed version and the one
+// versionLag returns the number of versions between a step's oldest allowed version and the one
 // that the trainer announced last.
-func (m *Manager) behind(spec Spec) int64 {
+func (m *Manager) versionLag(spec Spec) int64 {
 	announced, ok := m.Named(spec.Model)
 	if !ok {
 		announced = 1
@@ -91,43 +91,43 @@
 	return max(announced-spec.MinVersion, 0)
 }
 
-// submitted handles the outcome of the commit that creates a step.
-func (m *Manager) submitted(r record, items []Item, early *earlyRun, err error) error {
+// handleSubmitOutcome handles the outcome of the commit that creates a step.
+func (m *Manager) handleSubmitOutcome(r stateRecord, items []Item, early *earlyRun, err error) error {
 	var conflict *kept.Conflict
 	if errors.As(err, &conflict) {
 		accepted, decodeErr := decodeState(conflict.Row(stateKey(r.ID)))
 		if decodeErr != nil {
 			return decodeErr
 		}
-		m.learn(accepted)
-		early.decide(accepted)
+		m.observeState(accepted)
+		early.claimOrStop(accepted)
 		if !slices.Equal(accepted.Objects, r.Objects) {
-			m.loops.Go(func() { m.dropUnused(r.Objects) })
+			m.tasks.Go(func() { m.deleteUnusedObjects(r.Objects) })
 		}
 		return sameAccount(accepted, r.Spec)
 	}
 	var unavailable *fault.StoreUnavailable
 	if errors.As(err, &unavailable) && !unavailable.EffectUnknown {
-		return notKept(err)
+		return notStored(err)
 	}
 	if err != nil {
 		return fault.WithExecution(err, fault.Unknown)
 	}
 	m.Events.Emit(event.StepOpened, event.Subject{Step: r.ID, Account: r.Account, Count: int64(r.Total)})
-	m.note(r)
+	m.recordState(r)
 	switch {
 	case r.Owner != m.VM:
 	case early.accept(r):
-		m.owned(r, 0)
+		m.emitOwned(r, 0)
 	default:
 		m.start(r, items, nil, nil)
 	}
 	return nil
 }
 
-// dropUnused removes the objects of a copy of a step that was not accepted. An object that
+// deleteUnusedObjects removes the objects of a copy of a step that was not accepted. An object that
 // can't be removed stays in the store and is reported by an event.
-func (m *Manager) dropUnused(objects []string) {
+func (m *Manager) deleteUnusedObjects(objects []string) {
 	for _, name := range objects {
 		if err := m.Store.DropObject(m.ctx, name); err != nil {
 			m.Events.Emit(event.DependencyLost, event.Subject{Detail: "removal of the object " + name + ": " + err.Error()})
@@ -135,22 +135,22 @@
 	}
 }
 
-func notKept(err error) error {
-	return fault.WithExecution(&refusal{cause: err}, fault.NotRun)
+func notStored(err error) error {
+	return fault.WithExecution(&retryAfterError{cause: err}, fault.NotRun)
 }
 
-// refusal is an error with a Retry-After time.
-type refusal struct{ cause error }
+// retryAfterError is an error with a Retry-After time.
+type retryAfterError struct{ cause error }
 
-func (r *refusal) Error() string { return r.cause.Error() }
+func (r *retryAfterError) Error() string { return r.cause.Error() }
 
 // Unwrap returns the cause, for errors.Is and errors.As.
-func (r *refusal) Unwrap() error { return r.cause }
+func (r *retryAfterError) Unwrap() error { return r.cause }
 
 // RetryAfter implements fault.RetryAfterer.
-func (*refusal) RetryAfter() time.Duration { return refusedWait }
+func (*retryAfterError) RetryAfter() time.Duration { return submitRetryAfter }
 
-func sameAccount(r record, spec Spec) error {
+func sameAccount(r stateRecord, spec Spec) error {
 	if r.Account != spec.Account {
 		return errors.WithStack(&fault.StepMismatch{Step: spec.ID})
 	}
--- a/internal/step/world_test.go
+++ b/internal/step/cluster_test.go
@@ -25,17 +25,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// world holds the VMs of a test, which share a fake store, fake engines and a fake scorer.
-type world struct {
-	t       *testing.T
-	store   *memory.Store
-	engines *engines
-	judge   *judgeService
-	list    []target.Instance
+// cluster holds the VMs of a test, which share a fake store, fake engines and a fake scorer.
+type cluster struct {
+	t         *testing.T
+	store     *memory.Store
+	engines   *fakeEngines
+	scorer    *fakeScorer
+	instances []target.Instance
 
 	mu   sync.Mutex
 	dead map[string]bool
-	vms  map[string]*vm
+	vms  map[string]*testVM
 	// preferred, if set, is the VM that becomes the owner of all new steps.
 	preferred string
 	// domains maps VMs that are not in failure domain "x" to their domains. configuration
@@ -44,37 +44,37 @@
 	configuration *route.Snapshot
 }
 
-func (w *world) prefer(string, route.Residency) (Process, bool) {
+func (w *cluster) prefer(string, route.Residency) (Process, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return Process{VM: w.preferred, Life: w.preferred + "-1"}, w.preferred != ""
 }
 
-// vm is the manager of one VM, and the function that kills it.
-type vm struct {
+// testVM is the manager of one VM, and the function that kills it.
+type testVM struct {
 	*Manager
 	kill context.CancelFunc
 }
 
-// newWorld returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
-func newWorld(t *testing.T, engineIDs ...string) *world {
-	w := &world{t: t, store: memory.New(), engines: &engines{behave: map[string]behaviour{}, runs: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*vm{}, domains: map[string]string{}, configuration: configuration(1, true)}
-	w.judge = &judgeService{engines: w.engines, calls: map[string]int{}}
-	w.list = append(w.list, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
+// newCluster returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
+func newCluster(t *testing.T, engineIDs ...string) *cluster {
+	w := &cluster{t: t, store: memory.New(), engines: &fakeEngines{behave: map[string]behaviour{}, attempts: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*testVM{}, domains: map[string]string{}, configuration: configuration(1, true)}
+	w.scorer = &fakeScorer{engines: w.engines, calls: map[string]int{}}
+	w.instances = append(w.instances, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
 	for _, id := range engineIDs {
-		w.list = append(w.list, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
+		w.instances = append(w.instances, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
 	return w
 }
 
 // start starts the first incarnation of a VM.
-func (w *world) start(name string) *vm { return w.startLife(name, name+"-1") }
+func (w *cluster) start(name string) *testVM { return w.startIncarnation(name, name+"-1") }
 
-// startLife starts an incarnation of a VM.
-func (w *world) startLife(name, life string) *vm {
+// startIncarnation starts an incarnation of a VM.
+func (w *cluster) startIncarnation(name, life string) *testVM {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
-	roster.Replace(w.list)
+	roster.Replace(w.instances)
 	view := route.NewView()
 	view.Offer(w.configuration)
 	domain := "x"
@@ -82,10 +82,10 @@
 		domain = other
 	}
 	ctx, kill := context.WithCancel(w.t.Context())
-	v := &vm{kill: kill, Manager: NewManager(Config{
+	v := &testVM{kill: kill, Manager: NewManager(Config{
 		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: life, Domain: domain, Store: w.store, Clock: w.store, Members: members{w, name, life},
-		View: view, Roster: roster, Caller: w.engines, Scorer: w.judge, Events: events, Keep: time.Minute,
+		VM:    name, Life: life, Domain: domain, Store: w.store, Clock: w.store, Members: fakeMembers{w, name, life},
+		View: view, Roster: roster, Caller: w.engines, Scorer: w.scorer, Events: events, Keep: time.Minute,
 		Named:     func(string) (int64, bool) { return 1, true },
 		Prefer:    w.prefer,
 		StoreWell: func() bool { return true },
@@ -99,33 +99,33 @@
 }
 
 // crash kills a VM without handing its steps over.
-func (w *world) crash(v *vm) {
+func (w *cluster) crash(v *testVM) {
 	w.mu.Lock()
 	w.dead[v.VM] = true
 	w.mu.Unlock()
 	v.kill()
 }
 
-// members is a fake member list, as seen by one VM.
-type members struct {
-	w          *world
-	self, life string
+// fakeMembers is a fake member list, as seen by one VM.
+type fakeMembers struct {
+	w                 *cluster
+	self, incarnation string
 }
 
-func (m members) Ready() bool { return true }
+func (m fakeMembers) Ready() bool { return true }
 
-func (m members) Alive(id, life string) bool {
+func (m fakeMembers) Alive(id, life string) bool {
 	if id == m.self {
-		return life == m.life
+		return life == m.incarnation
 	}
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	return !m.w.dead[id]
 }
 
-func (m members) Rank(work string) int { return m.RankWithin(work, route.Residency{}) }
+func (m fakeMembers) Rank(work string) int { return m.RankWithin(work, route.Residency{}) }
 
-func (m members) RankWithin(_ string, residency route.Residency) int {
+func (m fakeMembers) RankWithin(_ string, residency route.Residency) int {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	rank := 0
@@ -158,23 +158,23 @@
 	changeAt int
 }
 
-var good = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
+var goodReply = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
 
-// paced returns the behaviour of an engine that completes each attempt, with a fixed time
+// pacedBehaviour returns the behaviour of an engine that completes each attempt, with a fixed time
 // between events.
-func paced(events int, gap time.Duration) behaviour {
-	r := good
+func pacedBehaviour(events int, gap time.Duration) behaviour {
+	r := goodReply
 	r.events, r.gap = events, gap
 	return func(string, int) reply { return r }
 }
 
-// engines simulates the upstreams of a test. It implements target.Caller.
-type engines struct {
+// fakeEngines simulates the upstreams of a test. It implements target.Caller.
+type fakeEngines struct {
 	mu sync.Mutex
 	// behave holds the behaviour of each engine; that of the empty name is the default.
 	behave map[string]behaviour
-	// runs holds, for each item, the engines that received it, in order.
-	runs map[string][]string
+	// attempts holds, for each item, the engines that received it, in order.
+	attempts map[string][]string
 	// resumed holds the attempts that resumed a partial text.
 	resumed []string
 	// active is the number of responses that are being written.
@@ -183,11 +183,11 @@
 	finished map[string]int
 }
 
-func (e *engines) Call(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
+func (e *fakeEngines) Call(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
 	id := entry.Info().ID
 	e.mu.Lock()
-	e.runs[request.ID] = append(e.runs[request.ID], id)
-	n := len(e.runs[request.ID])
+	e.attempts[request.ID] = append(e.attempts[request.ID], id)
+	n := len(e.attempts[request.ID])
 	if request.ResumeAfter != "" {
 		e.resumed = append(e.resumed, request.ID+" after "+request.ResumeAfter)
 	}
@@ -196,7 +196,7 @@
 		behave = e.behave[""]
 	}
 	e.mu.Unlock()
-	r := good
+	r := goodReply
 	if behave != nil {
 		r = behave(request.ID, n)
 	}
@@ -208,7 +208,7 @@
 	return &target.Response{Status: r.status, NotRun: r.notRun, Version: r.version, VersionField: "v", Body: body}, nil
 }
 
-func (e *engines) write(ctx context.Context, out *io.PipeWriter, request *target.Request, r reply) {
+func (e *fakeEngines) write(ctx context.Context, out *io.PipeWriter, request *target.Request, r reply) {
 	e.mu.Lock()
 	e.active++
 	e.mu.Unlock()
@@ -260,19 +260,19 @@
 	return route.NewSnapshot(version, routes, nil, route.Limits{}, nil, false)
 }
 
-// judgeService is a fake scoring service. It implements Scorer.
-type judgeService struct {
-	engines *engines
+// fakeScorer is a fake scoring service. It implements Scorer.
+type fakeScorer struct {
+	engines *fakeEngines
 	// behave is called for the n-th call of an item, counted from 1; nil scores immediately.
 	behave func(ctx context.Context, item string, n int) error
 
 	mu    sync.Mutex
 	calls map[string]int
-	// early holds the items whose scoring call came before their text was complete.
-	early []string
+	// earlyCalls holds the items whose scoring call came before their text was complete.
+	earlyCalls []string
 }
 
-func (j *judgeService) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
+func (j *fakeScorer) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
 	item := string(call.Body)
 	j.engines.mu.Lock()
 	finished := j.engines.finished[item]
@@ -281,7 +281,7 @@
 	j.calls[item]++
 	n := j.calls[item]
 	if finished == 0 {
-		j.early = append(j.early, item)
+		j.earlyCalls = append(j.earlyCalls, item)
 	}
 	behave := j.behave
 	j.mu.Unlock()
@@ -293,7 +293,7 @@
 	return "score of " + call.ID, nil
 }
 
-func (j *judgeService) count(item string) int {
+func (j *fakeScorer) count(item string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.calls[item]
@@ -310,24 +310,24 @@
 
 // checkScores checks that each item has its own score, and that no scoring call was made
 // before the text was complete.
-func (w *world) checkScores(results []Result) {
+func (w *cluster) checkScores(results []Result) {
 	w.t.Helper()
 	for _, r := range results {
 		if r.Score != "score of call-"+r.Item {
 			w.t.Errorf("item %s has the score %q", r.Item, r.Score)
 		}
 	}
-	w.judge.mu.Lock()
-	defer w.judge.mu.Unlock()
-	if len(w.judge.early) > 0 {
-		w.t.Errorf("scoring calls were made before the texts of %v were complete", w.judge.early)
+	w.scorer.mu.Lock()
+	defer w.scorer.mu.Unlock()
+	if len(w.scorer.earlyCalls) > 0 {
+		w.t.Errorf("scoring calls were made before the texts of %v were complete", w.scorer.earlyCalls)
 	}
 }
 
-func (e *engines) count(item string) int {
+func (e *fakeEngines) count(item string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.runs[item])
+	return len(e.attempts[item])
 }
 
 // spec returns a step of account acc.
@@ -344,8 +344,8 @@
 	return out
 }
 
-// readWhole reads a step from a VM until all its results are committed.
-func readWhole(t *testing.T, v *vm, id string) []Result {
+// readUntilComplete reads a step from a VM until all its results are committed.
+func readUntilComplete(t *testing.T, v *testVM, id string) []Result {
 	t.Helper()
 	var all []Result
 	for range 400 {
@@ -384,7 +384,7 @@
 // bubble runs f in a synctest bubble.
 func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// noClock is the clock of a store that has not answered yet.
-type noClock struct{}
+// unsetClock is the clock of a store that has not answered yet.
+type unsetClock struct{}
 
-func (noClock) StoreNow() (int64, bool) { return 0, false }
+func (unsetClock) StoreNow() (int64, bool) { return 0, false }
--- a/internal/step/list.go
+++ b/internal/step/commit.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// groupTime is how long finished results are collected before they are committed
+	// commitDelay is how long finished results are collected before they are committed
 	// together. It is short compared with the interval of a trainer's reads, and long
 	// enough that one step does not exhaust the commit rate of its partition.
-	groupTime = 60 * time.Millisecond
-	// groupBytes is the size of collected texts from which on a commit doesn't wait for
-	// groupTime.
-	groupBytes = 200 << 10
+	commitDelay = 60 * time.Millisecond
+	// commitBatchBytes is the size of collected texts from which on a commit doesn't wait for
+	// commitDelay.
+	commitBatchBytes = 200 << 10
 )
 
 // commitLoop commits finished results in batches, from the acceptance of the step until
@@ -27,89 +27,89 @@
 	select {
 	case <-r.ctx.Done():
 		return
-	case <-r.isAccepted:
+	case <-r.acceptedCh:
 	}
 	for {
 		select {
 		case <-r.ctx.Done():
 			return
-		case <-r.more:
+		case <-r.uncommittedCh:
 		}
-		if !r.full() {
-			wait.For(r.ctx, groupTime)
+		if !r.isBatchFull() {
+			wait.For(r.ctx, commitDelay)
 		}
-		if r.listOnce(r.ctx) {
+		if r.commitBatch(r.ctx) {
 			r.signalMore()
 		}
 	}
 }
 
-// listOnce commits one batch of finished results and reports whether more are queued.
+// commitBatch commits one batch of finished results and reports whether more are queued.
 // Results that finish during the commit are left for the next batch, since committing each
 // as soon as the store answers would cost one transaction per result.
-func (r *run) listOnce(ctx context.Context) (more bool) {
-	r.commit.Lock()
-	defer r.commit.Unlock()
-	batch, position := r.take()
-	if len(batch) == 0 || !r.list(ctx, batch, position) {
+func (r *run) commitBatch(ctx context.Context) (more bool) {
+	r.commitMu.Lock()
+	defer r.commitMu.Unlock()
+	batch, position := r.nextBatch()
+	if len(batch) == 0 || !r.commitResults(ctx, batch, position) {
 		return false
 	}
-	return r.waiting() > 0
+	return r.uncommittedCount() > 0
 }
 
-// waiting returns the number of results that are finished but not committed.
-func (r *run) waiting() int {
+// uncommittedCount returns the number of results that are finished but not committed.
+func (r *run) uncommittedCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.queue)
+	return len(r.uncommitted)
 }
 
 // signalMore notifies commitLoop of finished results.
 func (r *run) signalMore() {
 	select {
-	case r.more <- struct{}{}:
+	case r.uncommittedCh <- struct{}{}:
 	default:
 	}
 }
 
-// full reports whether the queued results are worth a commit before groupTime has passed.
-func (r *run) full() bool {
+// isBatchFull reports whether the queued results are worth a commit before commitDelay has passed.
+func (r *run) isBatchFull() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.queued >= groupBytes
+	return r.uncommittedBytes >= commitBatchBytes
 }
 
 // flush commits all finished results, until a commit fails or ctx ends.
 func (r *run) flush(ctx context.Context) {
 	more := true
 	for more && ctx.Err() == nil {
-		more = r.listOnce(ctx)
+		more = r.commitBatch(ctx)
 	}
 }
 
-// take returns the next results to commit and the position of the first. They stay in the
+// nextBatch returns the next results to commit and the position of the first. They stay in the
 // queue until they are committed.
-func (r *run) take() ([]Result, int) {
+func (r *run) nextBatch() ([]Result, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	const atOnce = 60
 	n, size := 0, 0
-	for n < len(r.queue) && n < atOnce && (n == 0 || size < groupBytes) {
-		size += len(r.queue[n].Text)
+	for n < len(r.uncommitted) && n < atOnce && (n == 0 || size < commitBatchBytes) {
+		size += len(r.uncommitted[n].Text)
 		n++
 	}
-	return append([]Result(nil), r.queue[:n]...), len(r.listed)
+	return append([]Result(nil), r.uncommitted[:n]...), len(r.committed)
 }
 
-// list commits results at a position and reports whether another batch may follow: after a
-// commit, or, once loadPause has passed, after a failure to store a text that is too large
+// commitResults commits results at a position and reports whether another batch may follow: after a
+// commit, or, once loadBackoff has passed, after a failure to store a text that is too large
 // for a row.
-func (r *run) list(ctx context.Context, batch []Result, position int) bool {
+func (r *run) commitResults(ctx context.Context, batch []Result, position int) bool {
 	rec := r.current()
-	puts, err := listing(ctx, r.m.Store, rec.ID, position, batch)
+	puts, err := resultPuts(ctx, r.m.Store, rec.ID, position, batch)
 	if err != nil {
 		r.m.Events.Emit(event.DependencyLost, event.Subject{Step: rec.ID, Detail: "results: " + err.Error()})
-		return wait.For(ctx, loadPause)
+		return wait.For(ctx, loadBackoff)
 	}
 	txn := kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
 	for _, put := range puts {
@@ -119,13 +119,13 @@
 	_, err = kept.CommitSurely(ctx, r.m.Store, txn)
 	var conflict *kept.Conflict
 	if errors.As(err, &conflict) {
-		r.overtaken(conflict)
+		r.handleConflict(conflict)
 		return false
 	}
 	if err != nil {
 		return false
 	}
-	r.noteListed(batch)
+	r.markCommitted(batch)
 	r.m.Events.Emit(event.SamplesCommitted, event.Subject{
 		Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch), Count: int64(len(batch)),
 		Detail: time.Since(started).Round(time.Millisecond).String(),
@@ -133,30 +133,30 @@
 	return true
 }
 
-// overtaken stops the run after the store rejected its results because the state row has
+// handleConflict stops the run after the store rejected its results because the state row has
 // changed: another VM owns the step now, or the step has ended.
-func (r *run) overtaken(conflict *kept.Conflict) {
+func (r *run) handleConflict(conflict *kept.Conflict) {
 	rec := r.current()
 	r.m.Events.Emit(event.StepLost, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
 	if now, err := decodeState(conflict.Row(stateKey(rec.ID))); err == nil {
-		r.m.learn(now)
+		r.m.observeState(now)
 	}
 	r.m.stop(r)
 }
 
-// noteListed moves committed results from queue to listed and notifies readers.
-func (r *run) noteListed(batch []Result) {
+// markCommitted moves committed results from queue to listed and notifies readers.
+func (r *run) markCommitted(batch []Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, result := range batch {
-		r.queued -= len(result.Text)
+		r.uncommittedBytes -= len(result.Text)
 	}
-	r.queue = r.queue[len(batch):]
-	r.listed = append(r.listed, batch...)
-	close(r.changed)
-	r.changed = make(chan struct{})
-	if len(r.listed) == len(r.items) {
-		r.m.Events.Emit(event.StepCompleted, event.Subject{Step: r.rec.ID, Account: r.rec.Account, Count: int64(len(r.listed))})
+	r.uncommitted = r.uncommitted[len(batch):]
+	r.committed = append(r.committed, batch...)
+	close(r.committedCh)
+	r.committedCh = make(chan struct{})
+	if len(r.committed) == len(r.items) {
+		r.m.Events.Emit(event.StepCompleted, event.Subject{Step: r.rec.ID, Account: r.rec.Account, Count: int64(len(r.committed))})
 	}
 }
 
@@ -165,8 +165,8 @@
 func (r *run) resultsFrom(position int) ([]Result, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if position >= len(r.listed) {
-		return nil, r.changed
+	if position >= len(r.committed) {
+		return nil, r.committedCh
 	}
-	return within(readLimit, r.listed[position:]), r.changed
+	return truncateResults(readLimit, r.committed[position:]), r.committedCh
 }
--- a/internal/step/use.go
+++ b/internal/step/demand.go
@@ -19,9 +19,9 @@
 func (m *Manager) Uses() map[string]Use {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	latest := make(map[string]record)
+	latest := make(map[string]stateRecord)
 	uses := make(map[string]Use)
-	for _, r := range m.known {
+	for _, r := range m.states {
 		if r.Model == "" {
 			continue
 		}
--- a/internal/step/dispatch.go
+++ b/internal/step/dispatch.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// dispatchEvery is the interval at which the dispatcher checks for free engines
+	// dispatchInterval is the interval at which the dispatcher checks for free engines
 	// without being signaled. Usually the end of an attempt signals it.
-	dispatchEvery = 40 * time.Millisecond
-	// dispatchPause delays a pass after a signal, so that one pass serves all attempts
+	dispatchInterval = 40 * time.Millisecond
+	// dispatchBatchDelay delays a pass after a signal, so that one pass serves all attempts
 	// that end together.
-	dispatchPause = 2 * time.Millisecond
+	dispatchBatchDelay = 2 * time.Millisecond
 )
 
 // dispatchLoop starts items and score calls whenever engines and scoring services have
 // free slots.
 func (m *Manager) dispatchLoop(ctx context.Context) {
-	timer := time.NewTicker(dispatchEvery)
+	timer := time.NewTicker(dispatchInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.wake:
-			wait.For(ctx, dispatchPause)
+		case <-m.dispatchSignal:
+			wait.For(ctx, dispatchBatchDelay)
 		case <-timer.C:
 		}
-		for _, r := range m.byUrgency() {
+		for _, r := range m.runsByDueTime() {
 			m.dispatchScores(r)
 			m.dispatch(r)
 		}
 	}
 }
 
-// byUrgency returns the runs, earliest due time first.
-func (m *Manager) byUrgency() []*run {
+// runsByDueTime returns the runs, earliest due time first.
+func (m *Manager) runsByDueTime() []*run {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var runs []*run
@@ -54,52 +54,52 @@
 // abandons those whose time has passed or whose route was removed.
 func (m *Manager) dispatch(r *run) {
 	now := time.Now()
-	rankings := make(map[kind]*ranking)
+	rankings := make(map[needKey]*ranking)
 	m.chooseOrder(r, rankings, now)
-	for pos, ok := r.next(waiting, 0, now); ok; pos, ok = r.next(waiting, pos+1, now) {
+	for pos, ok := r.nextInPhase(phasePending, 0, now); ok; pos, ok = r.nextInPhase(phasePending, pos+1, now) {
 		i := r.order[pos]
 		n, routed := r.needOf(i)
-		if !routed || m.tooLate(r) {
-			r.giveUp(i, waiting, routed)
+		if !routed || m.canAbandon(r) {
+			r.abandonFrom(i, phasePending, routed)
 			continue
 		}
-		engines, known := rankings[n.kind()]
+		engines, known := rankings[n.key()]
 		if !known {
 			engines = newRanking(m.pool(n.service, now), n, now)
-			rankings[n.kind()] = engines
+			rankings[n.key()] = engines
 		}
-		if entry := engines.best(); entry != nil && r.begin(i, waiting, running) {
+		if entry := engines.best(); entry != nil && r.changePhase(i, phasePending, phaseRunning) {
 			entry.Begin()
-			m.loops.Go(func() { r.runItem(i, n, entry) })
+			m.tasks.Go(func() { r.runAttempt(i, n, entry) })
 		}
 	}
 }
 
 // chooseOrder selects the item order that suits the slots of the engines that can serve
 // the run now, and stores their ranking in rankings for the rest of the pass.
-func (m *Manager) chooseOrder(r *run, rankings map[kind]*ranking, now time.Time) {
-	pos, ok := r.next(waiting, 0, now)
+func (m *Manager) chooseOrder(r *run, rankings map[needKey]*ranking, now time.Time) {
+	pos, ok := r.nextInPhase(phasePending, 0, now)
 	if !ok {
 		return
 	}
 	if n, routed := r.needOf(r.order[pos]); routed {
 		engines := newRanking(m.pool(n.service, now), n, now)
-		rankings[n.kind()] = engines
-		r.order = r.orders.with(slotsFor(engines.pool.engines, n, now))
+		rankings[n.key()] = engines
+		r.order = r.startOrders.forSlots(slotsFor(engines.pool.engines, n, now))
 	}
 }
 
-// tooLate reports whether the time after which the items of a step may be abandoned has
+// canAbandon reports whether the time after which the items of a step may be abandoned has
 // passed on the store's clock. It is false while the clock is unknown.
-func (m *Manager) tooLate(r *run) bool {
+func (m *Manager) canAbandon(r *run) bool {
 	now, ok := m.Clock.StoreNow()
 	return ok && r.rec.GiveUp > 0 && now > r.rec.SubmittedAt+r.rec.GiveUp.Milliseconds()
 }
 
-// giveUp abandons an item if it is in the phase from. routed is false when no route leads
+// abandonFrom abandons an item if it is in the phase from. routed is false when no route leads
 // to a service for the item any more.
-func (r *run) giveUp(i int, from phase, routed bool) {
-	if !r.begin(i, from, running) {
+func (r *run) abandonFrom(i int, from phase, routed bool) {
+	if !r.changePhase(i, from, phaseRunning) {
 		return
 	}
 	reason := "out of time"
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// claimLead is how much earlier than the accepted copy a step must have been submitted
+	// claimMinLead is how much earlier than the accepted copy a step must have been submitted
 	// here for its early run to replace the run of the accepted copy.
-	claimLead = 500 * time.Millisecond
-	// claimSpread is the longest delay before an early run claims the step. An early run
+	claimMinLead = 500 * time.Millisecond
+	// claimMaxDelay is the longest delay before an early run claims the step. An early run
 	// waits for this time multiplied by the share of its texts that is not generated yet,
 	// so that those that have progressed further claim the step first.
-	claimSpread = 200 * time.Millisecond
-	// claimGain limits claims from another early run: the share of the texts that is not
-	// generated here must be at most claimGain times the share that was missing there.
-	claimGain = 0.7
-	// claimTime is the timeout of a change of owner to an early run.
-	claimTime = 2 * time.Second
+	claimMaxDelay = 200 * time.Millisecond
+	// claimMaxRemainingRatio limits claims from another early run: the share of the texts that is not
+	// generated here must be at most claimMaxRemainingRatio times the share that was missing there.
+	claimMaxRemainingRatio = 0.7
+	// claimTimeout is the timeout of a change of owner to an early run.
+	claimTimeout = 2 * time.Second
 )
 
 // earlyRun runs a step's items before the step is accepted, because the store does not
@@ -53,7 +53,7 @@
 	if e.closed || e.state.Owner != m.VM {
 		return
 	}
-	e.run = m.startRun(record{State: e.state}, e.items, nil, nil, e)
+	e.run = m.startRun(stateRecord{State: e.state}, e.items, nil, nil, e)
 	if e.run != nil {
 		m.Events.Emit(event.StepStartedEarly, event.Subject{Step: e.state.ID, Account: e.state.Account, Count: int64(len(e.items))})
 	}
@@ -61,7 +61,7 @@
 
 // accept makes the early run the run of the accepted step r. It reports whether there is
 // an early run that is still active.
-func (e *earlyRun) accept(r record) bool {
+func (e *earlyRun) accept(r stateRecord) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
@@ -85,9 +85,9 @@
 	return true
 }
 
-// decide claims the step for this run after another copy of the step was accepted, or
+// claimOrStop claims the step for this run after another copy of the step was accepted, or
 // stops the run. Concurrent calls return once the first one has decided.
-func (e *earlyRun) decide(accepted record) {
+func (e *earlyRun) claimOrStop(accepted stateRecord) {
 	e.mu.Lock()
 	run, decided := e.run, e.decided
 	if decided == nil {
@@ -98,15 +98,15 @@
 	switch {
 	case decided != nil:
 		<-decided
-	case run != nil && !e.claimNewest(run, accepted):
+	case run != nil && !e.claimWithRetry(run, accepted):
 		e.manager.stop(run)
 	}
 }
 
-// claimNewest tries to claim the step for as long as the run is entitled to it, also from
+// claimWithRetry tries to claim the step for as long as the run is entitled to it, also from
 // another early run that claimed the step first. It reports whether the claim succeeded.
-func (e *earlyRun) claimNewest(run *run, accepted record) bool {
-	for e.mayClaim(run, accepted) {
+func (e *earlyRun) claimWithRetry(run *run, accepted stateRecord) bool {
+	for e.canClaim(run, accepted) {
 		if e.claim(run, accepted) {
 			return true
 		}
@@ -119,40 +119,40 @@
 	return false
 }
 
-// mayClaim reports whether the run may claim the step: this copy was submitted early
+// canClaim reports whether the run may claim the step: this copy was submitted early
 // enough before the accepted one. Only the first owner is replaced, or another early run that
 // claimed the step with far less progress: that one may merely have learned of the acceptance
 // earlier.
-func (e *earlyRun) mayClaim(run *run, accepted record) bool {
+func (e *earlyRun) canClaim(run *run, accepted stateRecord) bool {
 	lead := time.Duration(accepted.SubmittedAt-e.state.SubmittedAt) * time.Millisecond
-	if accepted.Ended || lead < claimLead {
+	if accepted.Ended || lead < claimMinLead {
 		return false
 	}
-	return accepted.Epoch == 1 || accepted.Made > 0 && run.undone() <= claimGain*(1-accepted.Made)
+	return accepted.Epoch == 1 || accepted.Made > 0 && run.remaining() <= claimMaxRemainingRatio*(1-accepted.Made)
 }
 
 // claim takes over the accepted step and reports whether it succeeded. The results that
 // the previous owner has committed are read after the change of owner, when that owner can
 // no longer commit any.
-func (e *earlyRun) claim(run *run, accepted record) bool {
+func (e *earlyRun) claim(run *run, accepted stateRecord) bool {
 	m := e.manager
-	if !wait.For(run.ctx, time.Duration(run.undone()*float64(claimSpread))) {
+	if !wait.For(run.ctx, time.Duration(run.remaining()*float64(claimMaxDelay))) {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(run.ctx, claimTime)
+	ctx, cancel := context.WithTimeout(run.ctx, claimTimeout)
 	defer cancel()
 	accepted.SubmittedAt = e.state.SubmittedAt
-	owned, ok := m.becomeOwner(ctx, accepted, 1-run.undone())
+	owned, ok := m.becomeOwner(ctx, accepted, 1-run.remaining())
 	if !ok {
 		return false
 	}
-	listed, err := run.adopt(ctx, m)
+	listed, err := run.adoptCommitted(ctx, m)
 	if err != nil {
-		m.notTaken(owned.State, err)
+		m.emitTakeoverFailed(owned.State, err)
 	}
 	if err != nil || !e.accept(owned) {
 		return false
 	}
-	m.owned(owned, listed)
+	m.emitOwned(owned, listed)
 	return true
 }
--- a/internal/step/turn_test.go
+++ b/internal/step/firstsender_test.go
@@ -10,27 +10,27 @@
 	"dogwoodpond/internal/target"
 )
 
-// opened returns the state row of an open step of model m.
-func opened(step, owner string, version int64) record {
-	return record{State: State{Spec: Spec{ID: step, Model: "m"}, Owner: owner}, version: version}
+// openStepRecord returns the state row of an open step of model m.
+func openStepRecord(step, owner string, version int64) stateRecord {
+	return stateRecord{State: State{Spec: Spec{ID: step, Model: "m"}, Owner: owner}, version: version}
 }
 
 // Guards against several VMs that each consider themselves the first sender of a cold
 // engine, because none of them can read the owners of the open steps.
 func TestNoFirstSenderWithoutStepStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.engines.behave[""] = paced(1000, 50*time.Millisecond)
+		w := newCluster(t, "e1")
+		w.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
 		a := w.start("a")
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
-		time.Sleep(ownersSettle)
+		time.Sleep(ownerGracePeriod)
 		e := a.Roster.Service("lm")[0]
 		if first, ok := a.FirstSender(e); !first || !ok {
 			t.Fatal("the only owner is not the first sender")
 		}
 		w.store.SetDown(true)
-		time.Sleep(statesFresh + time.Second)
+		time.Sleep(firstSenderStatesMaxAge + time.Second)
 		if first, ok := a.FirstSender(e); first || !ok {
 			t.Error("a VM that can't read the states is the first sender")
 		}
@@ -47,8 +47,8 @@
 // unreadable for a short time and each owner knows only itself.
 func TestAtMostOneFirstSenderDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3")
-		var owners []*vm
+		w := newCluster(t, "e1", "e2", "e3")
+		var owners []*testVM
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
 			owners = append(owners, w.start(name))
 		}
@@ -56,7 +56,7 @@
 		w.store.SetDown(true)
 		time.Sleep(300 * time.Millisecond)
 		for i, v := range owners {
-			v.note(opened(fmt.Sprint("s", i), v.VM, int64(i+1)))
+			v.recordState(openStepRecord(fmt.Sprint("s", i), v.VM, int64(i+1)))
 		}
 		for range 40 {
 			for _, e := range owners[0].Roster.Service("lm") {
@@ -79,16 +79,16 @@
 // the previous first sender learns late of an owner that ranks before it.
 func TestFirstSenderStopsBeforeNextStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3", "e4")
+		w := newCluster(t, "e1", "e2", "e3", "e4")
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
-		b.note(opened("s1", "b", 1))
-		a.note(opened("s1", "b", 1))
+		b.recordState(openStepRecord("s1", "b", 1))
+		a.recordState(openStepRecord("s1", "b", 1))
 		time.Sleep(2 * time.Second)
-		a.note(opened("s2", "a", 2))
-		const learnedAfter = statesFresh - 100*time.Millisecond
+		a.recordState(openStepRecord("s2", "a", 2))
+		const learnedAfter = firstSenderStatesMaxAge - 100*time.Millisecond
 		time.Sleep(learnedAfter)
-		b.note(opened("s2", "a", 2))
+		b.recordState(openStepRecord("s2", "a", 2))
 		for range 30 {
 			for _, e := range a.Roster.Service("lm") {
 				one, _ := a.FirstSender(e)
@@ -106,12 +106,12 @@
 // its watch calls must return often enough to keep the states fresh.
 func TestOwnerStaysFirstSenderWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.engines.behave[""] = paced(1000, 50*time.Millisecond)
+		w := newCluster(t, "e1")
+		w.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
 		a := w.start("a")
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
-		time.Sleep(ownersSettle + watchWait)
+		time.Sleep(ownerGracePeriod + watchTimeout)
 		for range 40 {
 			if first, _ := a.FirstSender(a.Roster.Service("lm")[0]); !first {
 				t.Fatal("the only owner is no longer the first sender")
@@ -126,34 +126,34 @@
 // each other.
 func TestColdEngineHasOneFirstSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3", "e4")
+		w := newCluster(t, "e1", "e2", "e3", "e4")
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
-		steps := []record{
-			opened("s1", "a", 1),
-			opened("s2", "b", 2),
+		steps := []stateRecord{
+			openStepRecord("s1", "a", 1),
+			openStepRecord("s2", "b", 2),
 			{State: State{Spec: Spec{ID: "s3", Model: "m", MinVersion: 9}, Owner: "c"}, version: 3},
 			{State: State{Spec: Spec{ID: "s4", Model: "m"}, Owner: "d", Ended: true}, version: 4},
 		}
-		a.note(steps[0])
-		b.note(steps[1])
+		a.recordState(steps[0])
+		b.recordState(steps[1])
 		for _, e := range a.Roster.Service("lm") {
-			for _, vm := range []*vm{a, b} {
+			for _, vm := range []*testVM{a, b} {
 				if first, _ := vm.FirstSender(e); first {
 					t.Errorf("%s, which knows only its own new step, is the first sender of %s", vm.VM, e.Info().ID)
 				}
 			}
 		}
-		for _, vm := range []*vm{a, b} {
+		for _, vm := range []*testVM{a, b} {
 			for _, s := range steps {
-				vm.note(s)
+				vm.recordState(s)
 			}
 		}
 		// The pending watch call ends only by its timeout, since no row was written.
-		time.Sleep(ownersSettle + watchWait)
+		time.Sleep(ownerGracePeriod + watchTimeout)
 		for _, e := range a.Roster.Service("lm") {
 			firsts := 0
-			for _, vm := range []*vm{a, b} {
+			for _, vm := range []*testVM{a, b} {
 				if first, ok := vm.FirstSender(e); first && ok {
 					firsts++
 				}
@@ -168,9 +168,9 @@
 // Guards against a cold engine that no VM may use because no step is open: the caller has
 // to learn that there are no owners to choose from.
 func TestNoFirstSenderWithoutOpenSteps(t *testing.T) {
-	w := newWorld(t, "e1")
+	w := newCluster(t, "e1")
 	a := w.start("a")
-	a.statesRead.Store(time.Now().UnixNano())
+	a.statesReadAt.Store(time.Now().UnixNano())
 	e := a.Roster.Service("lm")[0]
 	if first, ok := a.FirstSender(e); first || ok {
 		t.Error("an engine has a first sender though no step is open")
@@ -181,9 +181,9 @@
 // waits for that domain. Items that run there already are not interrupted.
 func TestStepCompletesOutsideEvacuatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
-		w.list[2].FailureDomain = "y"
-		w.engines.behave[""] = paced(20, 50*time.Millisecond)
+		w := newCluster(t, "e1", "e2")
+		w.instances[2].FailureDomain = "y"
+		w.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
 		a := w.start("a")
 		if err := a.Submit(t.Context(), spec("s"), items(40)); err != nil {
 			t.Fatal(err)
@@ -191,15 +191,15 @@
 		time.Sleep(500 * time.Millisecond)
 		a.Roster.Evacuate("y")
 		w.engines.mu.Lock()
-		started := len(w.engines.runs)
+		started := len(w.engines.attempts)
 		w.engines.mu.Unlock()
-		if results := readWhole(t, a, "s"); len(results) != 40 {
+		if results := readUntilComplete(t, a, "s"); len(results) != 40 {
 			t.Fatalf("%d results", len(results))
 		}
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
 		inEvacuated := 0
-		for _, runs := range w.engines.runs {
+		for _, runs := range w.engines.attempts {
 			if len(runs) != 1 {
 				t.Errorf("an item ran at %v", runs)
 			}
@@ -217,11 +217,11 @@
 // started, and against a step that is late because it waits for engines to warm up.
 func TestStepStartsOnColdEnginesWithinSlowStartRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3")
-		for i := range w.list {
-			w.list[i].ColdFor = 3 * time.Second
+		w := newCluster(t, "e1", "e2", "e3")
+		for i := range w.instances {
+			w.instances[i].ColdFor = 3 * time.Second
 		}
-		w.engines.behave[""] = paced(5, 20*time.Millisecond)
+		w.engines.behave[""] = pacedBehaviour(5, 20*time.Millisecond)
 		a := w.start("a")
 		const bound = 19
 		a.Roster.SetSlowStarts(map[string]target.SlowStart{"lm": {PerSecond: bound, Warmup: 3 * time.Second}})
@@ -232,7 +232,7 @@
 		time.Sleep(1100 * time.Millisecond)
 		w.engines.mu.Lock()
 		counts := map[string]int{}
-		for _, runs := range w.engines.runs {
+		for _, runs := range w.engines.attempts {
 			counts[runs[0]]++
 		}
 		w.engines.mu.Unlock()
@@ -242,7 +242,7 @@
 				t.Errorf("%s got %d items in its first second; one VM may send a third of %d", id, n, bound)
 			}
 		}
-		if results := readWhole(t, a, "s"); len(results) != 60 {
+		if results := readUntilComplete(t, a, "s"); len(results) != 60 {
 			t.Fatalf("%d results", len(results))
 		}
 		if took := time.Since(began); took > 7*time.Second {
@@ -255,11 +255,11 @@
 // steps filled the same engines at the same moment, while other engines had free slots.
 func TestOwnersDontFillTheSameEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
-		for i := range w.list {
-			w.list[i].Versions = map[string]int64{"m": 1, "n": 1}
+		w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
+		for i := range w.instances {
+			w.instances[i].Versions = map[string]int64{"m": 1, "n": 1}
 		}
-		w.engines.behave[""] = paced(20, 50*time.Millisecond)
+		w.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
 		a, b := w.start("a"), w.start("b")
 		withModel := func(id, model string) Spec {
 			s := spec(id)
@@ -275,7 +275,7 @@
 		time.Sleep(100 * time.Millisecond)
 		w.engines.mu.Lock()
 		at := map[string]int{}
-		for item, runs := range w.engines.runs {
+		for item, runs := range w.engines.attempts {
 			if item != "i0" {
 				at[runs[len(runs)-1]]++
 			}
@@ -283,12 +283,12 @@
 		w.engines.mu.Unlock()
 		const slots = 4
 		for id, n := range at {
-			if n > slots+othersUnseen {
+			if n > slots+unknownLoadMaxItems {
 				t.Errorf("%s with %d slots got %d items at once", id, slots, n)
 			}
 		}
 		for _, s := range []string{"s2", "s3"} {
-			if results := readWhole(t, a, s); len(results) != 24 {
+			if results := readUntilComplete(t, a, s); len(results) != 24 {
 				t.Errorf("%d results of %s", len(results), s)
 			}
 		}
@@ -313,7 +313,7 @@
 		b.Run(fmt.Sprintf("%d engines, %d open steps", size.engines, size.steps), func(b *testing.B) {
 			m := NewManager(Config{VM: "vm-0", View: route.NewView(), Roster: engineRoster(size.engines, 8)})
 			for i := range size.steps {
-				m.note(opened(fmt.Sprint("s", i), fmt.Sprint("vm-", i/2), int64(i+1)))
+				m.recordState(openStepRecord(fmt.Sprint("s", i), fmt.Sprint("vm-", i/2), int64(i+1)))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	// watchWait is the timeout of one watch call on the state rows. It also limits how
+	// watchTimeout is the timeout of one watch call on the state rows. It also limits how
 	// long an unresponsive watch remains undetected, and how long the items of an ended
 	// step continue to run.
-	watchWait = time.Second
-	// watchPace is the minimum interval between two such calls in a small fleet.
-	watchPace = 20 * time.Millisecond
-	// considerEvery is the interval at which the manager looks for steps without a live
+	watchTimeout = time.Second
+	// minWatchInterval is the minimum interval between two such calls in a small fleet.
+	minWatchInterval = 20 * time.Millisecond
+	// takeoverCheckInterval is the interval at which the manager looks for steps without a live
 	// owner.
-	considerEvery = 200 * time.Millisecond
-	// takeoverStep is how much longer a VM waits before it takes over a step than the
+	takeoverCheckInterval = 200 * time.Millisecond
+	// takeoverRankDelay is how much longer a VM waits before it takes over a step than the
 	// VM that ranks just before it, which needs two calls to the store for a takeover.
-	takeoverStep = 600 * time.Millisecond
-	// loadPause is the backoff between attempts to read a step that is taken over, and
+	takeoverRankDelay = 600 * time.Millisecond
+	// loadBackoff is the backoff between attempts to read a step that is taken over, and
 	// between attempts to store the objects of large results.
-	loadPause = 100 * time.Millisecond
+	loadBackoff = 100 * time.Millisecond
 )
 
 // Members is the list of the VMs of the fleet.
@@ -79,24 +79,24 @@
 // Manager accepts, owns, runs and reads steps. It is safe for concurrent use.
 type Manager struct {
 	Config
-	wake  chan struct{}
-	lanes *scoring.Lanes
-	// look notifies the takeover loop, without waiting for its next tick.
-	look chan struct{}
-	// statesRead is when the state rows were last read, in Unix nanoseconds.
-	statesRead atomic.Int64
+	dispatchSignal chan struct{}
+	lanes          *scoring.Lanes
+	// takeoverSignal notifies the takeover loop, without waiting for its next tick.
+	takeoverSignal chan struct{}
+	// statesReadAt is when the state rows were last read, in Unix nanoseconds.
+	statesReadAt atomic.Int64
 
-	mu      sync.Mutex
-	known   map[string]record
-	runs    map[string]*run
-	loading map[string]bool
-	orphan  map[string]time.Time
-	carried *carried
-	leaving bool
-	// over is true once Run waits for the remaining runs to end.
-	over bool
+	mu           sync.Mutex
+	states       map[string]stateRecord
+	runs         map[string]*run
+	loading      map[string]bool
+	unownedSince map[string]time.Time
+	retained     *retainedTexts
+	leaving      bool
+	// noNewRuns is true once Run waits for the remaining runs to end.
+	noNewRuns bool
 
-	loops sync.WaitGroup
+	tasks sync.WaitGroup
 	// ctx is the parent context of the runs. It is created with the manager rather than
 	// by Run: a step may be accepted before Run starts, and its run must end with the
 	// others.
@@ -108,17 +108,17 @@
 func NewManager(c Config) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Manager{
-		Config:  c,
-		wake:    make(chan struct{}, 1),
-		lanes:   scoring.NewLanes(),
-		look:    make(chan struct{}, 1),
-		known:   make(map[string]record),
-		runs:    make(map[string]*run),
-		loading: make(map[string]bool),
-		orphan:  make(map[string]time.Time),
-		carried: newCarried(),
-		ctx:     ctx,
-		cancel:  cancel,
+		Config:         c,
+		dispatchSignal: make(chan struct{}, 1),
+		lanes:          scoring.NewLanes(),
+		takeoverSignal: make(chan struct{}, 1),
+		states:         make(map[string]stateRecord),
+		runs:           make(map[string]*run),
+		loading:        make(map[string]bool),
+		unownedSince:   make(map[string]time.Time),
+		retained:       newRetainedTexts(),
+		ctx:            ctx,
+		cancel:         cancel,
 	}
 }
 
@@ -127,30 +127,30 @@
 func (m *Manager) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, m.cancel)()
 	watcher := kept.Watcher{
-		Store: m.Store, Table: stateTable, AllParts: true, Wait: watchWait, WaitNow: m.stateWait,
-		Pace:    m.statePace,
-		Retry:   func() time.Duration { return m.Calls.Retry(budget.Steps, watchPace) },
+		Store: m.Store, Table: stateTable, AllParts: true, Wait: watchTimeout, WaitNow: m.stateWatchTimeout,
+		Pace:    m.stateWatchInterval,
+		Retry:   func() time.Duration { return m.Calls.Retry(budget.Steps, minWatchInterval) },
 		Replace: func(rows []kept.Row) { m.replace(rows) },
 		Apply:   func(rows []kept.Row) { m.apply(rows) },
-		Reached: func() { m.statesRead.Store(time.Now().UnixNano()) },
+		Reached: func() { m.statesReadAt.Store(time.Now().UnixNano()) },
 		Lost:    m.Events.Lost("states of steps"), Regained: m.Events.Regained("states of steps"),
 	}
 	var loops sync.WaitGroup
 	loops.Go(func() { watcher.Run(ctx) })
-	loops.Go(func() { m.considerLoop(ctx) })
+	loops.Go(func() { m.takeoverLoop(ctx) })
 	loops.Go(func() { m.dispatchLoop(ctx) })
 	loops.Wait()
 	// A step that is submitted from here on must not start a run, because the
 	// group of the runs must not grow while Run waits for it.
 	m.mu.Lock()
-	m.over = true
+	m.noNewRuns = true
 	m.mu.Unlock()
-	m.loops.Wait()
+	m.tasks.Wait()
 }
 
 // End ends a step. It has no effect on a step that has ended already.
 func (m *Manager) End(ctx context.Context, id, account string) error {
-	r, err := m.find(ctx, id, account)
+	r, err := m.findState(ctx, id, account)
 	for err == nil && !r.Ended {
 		next := r.State
 		next.Ended, next.Nonce = true, uuid.NewString()
@@ -168,8 +168,8 @@
 
 // replaceState replaces the state r of a step by next. replaced is false when another
 // writer has changed the state row since; current is then the state in the store.
-func (m *Manager) replaceState(ctx context.Context, r record, next State) (current record, replaced bool, err error) {
-	value, err := encode(next)
+func (m *Manager) replaceState(ctx context.Context, r stateRecord, next State) (current stateRecord, replaced bool, err error) {
+	value, err := encodeRow(next)
 	if err != nil {
 		return r, false, err
 	}
@@ -185,40 +185,40 @@
 		}
 		current, err = decodeState(row)
 		if err == nil {
-			m.learn(current)
+			m.observeState(current)
 		}
 		return current, false, err
 	}
 	if err != nil {
 		return r, false, err
 	}
-	current = record{State: next, version: version}
-	m.learn(current)
+	current = stateRecord{State: next, version: version}
+	m.observeState(current)
 	return current, true, nil
 }
 
-// find returns a step's state, and reads it from the store when this VM does not know
+// findState returns a step's state, and reads it from the store when this VM does not know
 // it. It fails with *fault.StepUnknown only when the store has no such step or the step
 // belongs to another account.
-func (m *Manager) find(ctx context.Context, id, account string) (record, error) {
+func (m *Manager) findState(ctx context.Context, id, account string) (stateRecord, error) {
 	r, ok := m.lookUp(id)
 	if !ok {
 		var err error
 		if r, err = readState(ctx, m.Store, id); err != nil {
 			return r, err
 		}
-		m.learn(r)
+		m.observeState(r)
 	}
 	if r.Account != account {
-		return record{}, errors.WithStack(&fault.StepUnknown{Step: id})
+		return stateRecord{}, errors.WithStack(&fault.StepUnknown{Step: id})
 	}
 	return r, nil
 }
 
-func (m *Manager) lookUp(id string) (record, bool) {
+func (m *Manager) lookUp(id string) (stateRecord, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r, ok := m.known[id]
+	r, ok := m.states[id]
 	return r, ok
 }
 
@@ -244,9 +244,9 @@
 	m.apply(rows)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for id, r := range m.known {
+	for id, r := range m.states {
 		if !present[id] && r.Ended {
-			delete(m.known, id)
+			delete(m.states, id)
 		}
 	}
 }
@@ -255,7 +255,7 @@
 func (m *Manager) apply(rows []kept.Row) {
 	for _, row := range rows {
 		if row.Deleted {
-			m.forget(row.Part)
+			m.removeState(row.Part)
 			continue
 		}
 		r, err := decodeState(row)
@@ -263,42 +263,42 @@
 			m.Events.Emit(event.RowUnreadable, event.Subject{Step: row.Part, Detail: err.Error()})
 			continue
 		}
-		m.learn(r)
+		m.observeState(r)
 	}
 	select {
-	case m.look <- struct{}{}:
+	case m.takeoverSignal <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Manager) forget(id string) {
+func (m *Manager) removeState(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.known, id)
+	delete(m.states, id)
 }
 
-// note records a state unless the same or a newer version is known, and reports whether it
+// recordState records a state unless the same or a newer version is known, and reports whether it
 // did.
-func (m *Manager) note(r record) bool {
+func (m *Manager) recordState(r stateRecord) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	known, ok := m.known[r.ID]
+	known, ok := m.states[r.ID]
 	if ok && known.version >= r.version {
 		return false
 	}
-	r.ownedSince = time.Now()
+	r.ownerKnownSince = time.Now()
 	if ok && known.Owner == r.Owner {
-		r.ownedSince = known.ownedSince
+		r.ownerKnownSince = known.ownerKnownSince
 	}
-	m.known[r.ID] = r
-	delete(m.orphan, r.ID)
+	m.states[r.ID] = r
+	delete(m.unownedSince, r.ID)
 	return true
 }
 
-// learn records a state. If the step has ended or has another owner now, it stops the
+// observeState records a state. If the step has ended or has another owner now, it stops the
 // step's run on this VM. An early run that was not accepted may claim the step first.
-func (m *Manager) learn(r record) {
-	if !m.note(r) {
+func (m *Manager) observeState(r stateRecord) {
+	if !m.recordState(r) {
 		return
 	}
 	current := m.runOf(r.ID)
@@ -306,7 +306,7 @@
 		return
 	}
 	if current.early != nil && !current.accepted() {
-		go current.early.decide(r)
+		go current.early.claimOrStop(r)
 		return
 	}
 	m.stop(current)
@@ -318,58 +318,58 @@
 	m.mu.Lock()
 	if m.runs[r.rec.ID] == r {
 		delete(m.runs, r.rec.ID)
-		m.carried.put(r.rec.Account, r.unfinished(), time.Now())
+		m.retained.add(r.rec.Account, r.incompleteTexts(), time.Now())
 	}
 	m.mu.Unlock()
 	r.cancel()
 }
 
 // start runs a step that this VM owns.
-func (m *Manager) start(rec record, items []Item, committed []Result, texts map[string]savedText) {
+func (m *Manager) start(rec stateRecord, items []Item, committed []Result, texts map[string]savedText) {
 	r := m.startRun(rec, items, committed, texts, nil)
 	if r == nil {
 		return
 	}
 	r.accept(rec)
-	m.owned(rec, len(committed))
+	m.emitOwned(rec, len(committed))
 }
 
-// owned emits the event that this VM owns a step; committed is the number of results that
+// emitOwned emits the event that this VM owns a step; committed is the number of results that
 // are committed already.
-func (m *Manager) owned(r record, committed int) {
+func (m *Manager) emitOwned(r stateRecord, committed int) {
 	m.Events.Emit(event.StepOwned, event.Subject{Step: r.ID, Account: r.Account, Epoch: uint64(r.Epoch), Count: int64(committed)})
 }
 
 // startRun starts a step's items. Their results are committed once the run is accepted;
 // early is set if that is not yet decided. It returns nil when the step runs already or has
 // ended, when a newer state of it is known, or when the manager is shutting down.
-func (m *Manager) startRun(rec record, items []Item, committed []Result, texts map[string]savedText, early *earlyRun) *run {
+func (m *Manager) startRun(rec stateRecord, items []Item, committed []Result, texts map[string]savedText, early *earlyRun) *run {
 	m.mu.Lock()
-	known, ok := m.known[rec.ID]
+	known, ok := m.states[rec.ID]
 	superseded := ok && known.version > rec.version
-	if superseded || m.runs[rec.ID] != nil || m.leaving || m.over || rec.Ended {
+	if superseded || m.runs[rec.ID] != nil || m.leaving || m.noNewRuns || rec.Ended {
 		m.mu.Unlock()
 		return nil
 	}
 	r := newRun(m, rec, items, committed)
 	r.early = early
-	r.resume(m.carried.of(rec.Account, items))
-	r.resume(texts)
+	r.restoreTexts(m.retained.forItems(rec.Account, items))
+	r.restoreTexts(texts)
 	m.runs[rec.ID] = r
-	m.loops.Go(r.commitLoop)
-	m.loops.Go(r.saveLoop)
+	m.tasks.Go(r.commitLoop)
+	m.tasks.Go(r.saveLoop)
 	m.mu.Unlock()
-	m.poke()
+	m.notifyDispatcher()
 	return r
 }
 
 // Poke notifies the dispatcher that engines or their versions have changed.
-func (m *Manager) Poke() { m.poke() }
+func (m *Manager) Poke() { m.notifyDispatcher() }
 
-// poke notifies the dispatcher, without waiting for its next tick.
-func (m *Manager) poke() {
+// notifyDispatcher notifies the dispatcher, without waiting for its next tick.
+func (m *Manager) notifyDispatcher() {
 	select {
-	case m.wake <- struct{}{}:
+	case m.dispatchSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -27,28 +27,28 @@
 const (
 	// matrixItems is the number of submitted items.
 	matrixItems = 6
-	// matrixLate is the delay of a late effect.
-	matrixLate = 5 * time.Second
-	// matrixFault is the duration of other faults: longer than it takes until an
+	// lateEffectDelay is the delay of a late effect.
+	lateEffectDelay = 5 * time.Second
+	// faultDuration is the duration of other faults: longer than it takes until an
 	// unresponsive VM is no longer considered alive.
-	matrixFault = 4 * time.Second
-	// matrixTime is the timeout of each phase of a case with two faults.
-	matrixTime = 60 * time.Second
+	faultDuration = 4 * time.Second
+	// phaseTimeout is the timeout of each phase of a case with two faults.
+	phaseTimeout = 60 * time.Second
 )
 
-// episode is one case of the fault matrix: a trainer, one step, and VMs with injected
+// matrixCase is one case of the fault matrix: a trainer, one step, and VMs with injected
 // faults.
-type episode struct {
+type matrixCase struct {
 	rows    *memory.Store
-	engines *engines
-	judge   *judgeService
+	engines *fakeEngines
+	scorer  *fakeScorer
 
 	mu  sync.Mutex
 	vms map[string]*Manager
 }
 
-// matrixVM returns the manager of a new incarnation of a VM and starts its member list.
-func (e *episode) matrixVM(ctx context.Context, name, life string, store interface {
+// newVM returns the manager of a new incarnation of a VM and starts its member list.
+func (e *matrixCase) newVM(ctx context.Context, name, life string, store interface {
 	kept.Store
 	kept.Clock
 }) *Manager {
@@ -65,7 +65,7 @@
 	m := NewManager(Config{
 		Calls: budget.New(budget.Rates{}),
 		VM:    name, Life: life, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
-		Caller: e.engines, Scorer: e.judge, Events: events, Keep: time.Hour,
+		Caller: e.engines, Scorer: e.scorer, Events: events, Keep: time.Hour,
 		Named:     func(string) (int64, bool) { return 1, true },
 		Prefer:    func(string, route.Residency) (Process, bool) { return Process{}, false },
 		StoreWell: func() bool { return true },
@@ -77,15 +77,15 @@
 	return m
 }
 
-func (e *episode) vm(name string) *Manager {
+func (e *matrixCase) vm(name string) *Manager {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.vms[name]
 }
 
 // submit submits the step to one VM after the other until one accepts it.
-func (e *episode) submit() error {
-	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
+func (e *matrixCase) submit() error {
+	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		for _, name := range []string{"vm-a", "vm-b", "vm-c"} {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			err := e.vm(name).Submit(ctx, spec("s"), scoredItems(matrixItems))
@@ -102,17 +102,17 @@
 }
 
 // state returns the step's state row from the store, bypassing the faults.
-func (e *episode) state() (record, bool) {
+func (e *matrixCase) state() (stateRecord, bool) {
 	r, err := readState(context.Background(), e.rows, "s")
 	return r, err == nil
 }
 
-// pull reads the step from the VMs in rotation until it is complete. A result that one VM
+// readUntilComplete reads the step from the VMs in rotation until it is complete. A result that one VM
 // has returned at a position must be the same at every VM.
-func (e *episode) pull() ([]Result, error) {
+func (e *matrixCase) readUntilComplete() ([]Result, error) {
 	var read []Result
 	rotation := []string{"vm-b", "vm-a", "vm-c"}
-	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		rotation = append(rotation[1:], rotation[0])
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		results, total, err := e.vm(rotation[0]).Results(ctx, "s", "acc", 0, 0)
@@ -135,12 +135,12 @@
 			return read, nil
 		}
 	}
-	return nil, errors.Newf("got %d of %d results in %s", len(read), matrixItems, matrixTime)
+	return nil, errors.Newf("got %d of %d results in %s", len(read), matrixItems, phaseTimeout)
 }
 
-// checkWhole checks that each item is committed at most once, with its complete text and
+// checkComplete checks that each item is committed at most once, with its complete text and
 // its own score.
-func checkWhole(results []Result) error {
+func checkComplete(results []Result) error {
 	seen := map[string]bool{}
 	for _, r := range results {
 		want := strings.Join([]string{r.Item + "-1", r.Item + "-2", r.Item + "-3"}, "\n")
@@ -153,15 +153,15 @@
 }
 
 // end ends the step and checks that none of its items runs some time later.
-func (e *episode) end() error {
-	for deadline := time.Now().Add(matrixTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+func (e *matrixCase) end() error {
+	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		err := e.vm("vm-b").End(ctx, "s", "acc")
 		cancel()
 		if err != nil {
 			continue
 		}
-		time.Sleep(2 * matrixFault)
+		time.Sleep(2 * faultDuration)
 		e.engines.mu.Lock()
 		defer e.engines.mu.Unlock()
 		if e.engines.active > 0 {
@@ -172,10 +172,10 @@
 	return errors.New("no attempt to end the step succeeded")
 }
 
-// uneven gives each attempt a different duration, so that two owners of a step commit its
+// unevenReply gives each attempt a different duration, so that two owners of a step commit its
 // results in different groups.
-func uneven(item string, n int) reply {
-	r := good
+func unevenReply(item string, n int) reply {
+	r := goodReply
 	r.gap = time.Duration(100+70*((int(item[1])+3*n)%5)) * time.Millisecond
 	return r
 }
@@ -194,38 +194,38 @@
 	return nil
 }
 
-// play runs one case to its end. Faults are injected at vm-a and vm-b, but not at vm-c.
-func play(w *platformtest.World) error {
-	e := &episode{rows: memory.New(), vms: map[string]*Manager{}, engines: &engines{
-		behave: map[string]behaviour{"": uneven}, runs: map[string][]string{}, finished: map[string]int{},
+// runMatrixCase runs one case to its end. Faults are injected at vm-a and vm-b, but not at vm-c.
+func runMatrixCase(w *platformtest.World) error {
+	e := &matrixCase{rows: memory.New(), vms: map[string]*Manager{}, engines: &fakeEngines{
+		behave: map[string]behaviour{"": unevenReply}, attempts: map[string][]string{}, finished: map[string]int{},
 	}}
-	e.judge = &judgeService{engines: e.engines, calls: map[string]int{}, behave: unevenScore}
+	e.scorer = &fakeScorer{engines: e.engines, calls: map[string]int{}, behave: unevenScore}
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for _, name := range []string{"vm-a", "vm-b"} {
 		incarnations := 0
 		w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
 			incarnations++
-			e.matrixVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(e.rows)).Run(p.Context)
+			e.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(e.rows)).Run(p.Context)
 		})
 	}
-	group.Go(func() { e.matrixVM(ctx, "vm-c", "vm-c/1", e.rows).Run(ctx) })
+	group.Go(func() { e.newVM(ctx, "vm-c", "vm-c/1", e.rows).Run(ctx) })
 	defer func() {
 		stop()
 		group.Wait()
 		// Late effects must have happened before the synctest bubble ends.
-		time.Sleep(2 * matrixLate)
+		time.Sleep(2 * lateEffectDelay)
 	}()
 	time.Sleep(2 * time.Second)
 	if err := e.submit(); err != nil {
 		return err
 	}
-	results, err := e.pull()
+	results, err := e.readUntilComplete()
 	if err == nil {
-		err = checkWhole(results)
+		err = checkComplete(results)
 	}
-	if err == nil && len(e.judge.early) > 0 {
-		err = errors.Newf("scoring calls were made before the texts of %v were complete", e.judge.early)
+	if err == nil && len(e.scorer.earlyCalls) > 0 {
+		err = errors.Newf("scoring calls were made before the texts of %v were complete", e.scorer.earlyCalls)
 	}
 	if err == nil {
 		err = e.end()
@@ -240,10 +240,10 @@
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name: "steps on the partitioned store",
 		Lasts: map[platformtest.Kind]time.Duration{
-			platformtest.Late:        matrixLate,
-			platformtest.PauseBefore: matrixFault, platformtest.PauseAfter: matrixFault,
-			platformtest.StoreDown: matrixFault, platformtest.CutOff: matrixFault,
+			platformtest.Late:        lateEffectDelay,
+			platformtest.PauseBefore: faultDuration, platformtest.PauseAfter: faultDuration,
+			platformtest.StoreDown: faultDuration, platformtest.CutOff: faultDuration,
 		},
-		Run: play,
+		Run: runMatrixCase,
 	})
 }
--- a/internal/step/order.go
+++ b/internal/step/order.go
@@ -6,10 +6,10 @@
 	"sort"
 )
 
-// orders holds the two orders in which the items of a step may start. Both start with the
+// startOrders holds the two orders in which the items of a step may start. Both start with the
 // groups that have restored texts, usually because an earlier step left them incomplete and
 // the trainer submitted them again. It needs these however many other groups are complete.
-type orders struct {
+type startOrders struct {
 	// byLength starts the longest items first. A step takes as long as its longest needed
 	// item, and most groups are needed. A long item that is queued behind short items of
 	// other groups delays the step by its time in the queue.
@@ -22,9 +22,9 @@
 	work, longest float64
 }
 
-// newOrders returns the orders of items; first names the groups that come first in both.
-func newOrders(items []Item, first map[string]bool) orders {
-	o := orders{byGroup: order(items, first), work: work(items)}
+// newStartOrders returns the orders of items; first names the groups that come first in both.
+func newStartOrders(items []Item, first map[string]bool) startOrders {
+	o := startOrders{byGroup: orderByGroup(items, first), work: expectedTokens(items)}
 	for _, item := range items {
 		o.longest = max(o.longest, item.Expected)
 	}
@@ -32,35 +32,35 @@
 	slices.SortStableFunc(o.byLength, func(i, j int) int {
 		a, b := items[i], items[j]
 		if first[a.Group] != first[b.Group] {
-			return carriedFirst(first[a.Group])
+			return compareRestored(first[a.Group])
 		}
 		return cmp.Compare(b.Expected, a.Expected)
 	})
 	return o
 }
 
-// carriedFirst compares two items of which exactly one is in a group that comes first;
+// compareRestored compares two items of which exactly one is in a group that comes first;
 // isFirst says whether it is the first of the two.
-func carriedFirst(isFirst bool) int {
+func compareRestored(isFirst bool) int {
 	if isFirst {
 		return -1
 	}
 	return 1
 }
 
-// with returns the order for a number of slots. If the slots can finish all items in the
+// forSlots returns the order for a number of slots. If the slots can finish all items in the
 // time of the longest one, only the longest items can delay the step, and byLength is
 // best. With fewer slots the step is not complete in time, and complete groups count.
-func (o *orders) with(slots int) []int {
+func (o *startOrders) forSlots(slots int) []int {
 	if o.work <= o.longest*float64(slots) {
 		return o.byLength
 	}
 	return o.byGroup
 }
 
-// order returns the indexes of the items group after group. Groups in first come first;
+// orderByGroup returns the indexes of the items group after group. Groups in first come first;
 // within both parts the groups are sorted by their longest expected item, longest first.
-func order(items []Item, first map[string]bool) []int {
+func orderByGroup(items []Item, first map[string]bool) []int {
 	groups := groupsOf(items)
 	sort.SliceStable(groups, func(i, j int) bool {
 		a, b := groups[i], groups[j]
--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -21,13 +21,13 @@
 	route *route.Route
 }
 
-// kind identifies a need among the needs of one step, which differ in nothing else.
-type kind struct {
+// needKey identifies a need among the needs of one step, which differ in nothing else.
+type needKey struct {
 	service string
 	route   *route.Route
 }
 
-func (n need) kind() kind { return kind{n.service, n.route} }
+func (n need) key() needKey { return needKey{n.service, n.route} }
 
 // Placement costs, as fractions of an engine's slots. Items arrive in bursts that fill most
 // slots at once, and each occupied slot slows the others of its engine a little. Items
@@ -35,12 +35,12 @@
 // that, and a step is complete when its longest items are, which start first. They go to
 // the fastest engines; slow engines get the items for which no other engine has a slot.
 const (
-	// placePaceCost is the cost of an engine that takes twice as long per event as the
+	// slowdownCost is the cost of an engine that takes twice as long per event as the
 	// median engine.
-	placePaceCost = 5.0
-	// mostSlow is the largest slowdown relative to the median that counts. An engine whose
+	slowdownCost = 5.0
+	// maxSlowdown is the largest slowdown relative to the median that counts. An engine whose
 	// last known speed is very low must still be tried when the others are full.
-	mostSlow = 1.0
+	maxSlowdown = 1.0
 	// otherDomainCost prefers engines in this VM's failure domain among equals: results are
 	// most of the traffic between failure domains.
 	otherDomainCost = 0.04
@@ -50,12 +50,12 @@
 	// coldCost equals the load of a full engine: engines that are warming up come after
 	// all warm ones with a free slot, and still before slow ones.
 	coldCost = 1.0
-	// othersCost keeps items away from engines that the owner of another step is filling
+	// otherOwnerCost keeps items away from engines that the owner of another step is filling
 	// at the same time, as long as an engine for which this VM ranks first has a free slot.
-	othersCost = 2.0
-	// othersUnseen is the largest number of this VM's items at such an engine while its
+	otherOwnerCost = 2.0
+	// unknownLoadMaxItems is the largest number of this VM's items at such an engine while its
 	// load is unknown. The engine reports its load with its answer to them.
-	othersUnseen = 1
+	unknownLoadMaxItems = 1
 )
 
 // place returns the engine for one item, other than avoid, or nil when none has a free
@@ -79,21 +79,21 @@
 // cost returns the cost of placing an item at an engine of the pool; ok is false when the
 // engine can't serve the item or has no free slot for it.
 func (p pool) cost(e *target.Entry, n need, median time.Duration, now time.Time) (cost float64, ok bool) {
-	if !serves(e, n, now) || e.Free(now) <= 0 || !e.Admits(now) {
+	if !canServe(e, n, now) || e.Free(now) <= 0 || !e.Admits(now) {
 		return 0, false
 	}
-	if !p.others[e] {
+	if !p.otherFirstSender[e] {
 		return placeCost(e, n, median, now), true
 	}
-	if !e.LoadKnown(now) && e.InFlight() >= othersUnseen {
+	if !e.LoadKnown(now) && e.InFlight() >= unknownLoadMaxItems {
 		return 0, false
 	}
-	return placeCost(e, n, median, now) + othersCost, true
+	return placeCost(e, n, median, now) + otherOwnerCost, true
 }
 
-// serves reports whether an engine may run items with this need now: its failure domain is
+// canServe reports whether an engine may run items with this need now: its failure domain is
 // allowed, its weight version is not too old, and it is not loading another one.
-func serves(e *target.Entry, n need, now time.Time) bool {
+func canServe(e *target.Entry, n need, now time.Time) bool {
 	if !n.residency.Allows(e.Info().FailureDomain) {
 		return false
 	}
@@ -110,7 +110,7 @@
 		cost += otherDomainCost
 	}
 	if p := e.Pace(now); median > 0 && p > 0 {
-		cost += placePaceCost * min(float64(p)/float64(median)-1, mostSlow)
+		cost += slowdownCost * min(float64(p)/float64(median)-1, maxSlowdown)
 	}
 	if e.Suspect(now) {
 		cost += suspectCost
@@ -125,7 +125,7 @@
 func slotsFor(engines []*target.Entry, n need, now time.Time) int {
 	slots := 0
 	for _, e := range engines {
-		if serves(e, n, now) && !e.Suspect(now) {
+		if canServe(e, n, now) && !e.Suspect(now) {
 			slots += min(e.Slots(), e.Admissible(now)+e.InFlight())
 		}
 	}
--- a/internal/step/place_test.go
+++ b/internal/step/place_test.go
@@ -20,7 +20,7 @@
 		{Group: "short", Expected: 3}, {Group: "long", Expected: 4}, {Group: "carried", Expected: 1},
 		{Group: "long", Expected: 90}, {Group: "short", Expected: 5},
 	}
-	if got := order(list, map[string]bool{"carried": true}); !slices.Equal(got, []int{2, 1, 3, 0, 4}) {
+	if got := orderByGroup(list, map[string]bool{"carried": true}); !slices.Equal(got, []int{2, 1, 3, 0, 4}) {
 		t.Errorf("the order is %v", got)
 	}
 }
@@ -32,11 +32,11 @@
 		{Group: "a", Expected: 90}, {Group: "a", Expected: 3}, {Group: "b", Expected: 4}, {Group: "b", Expected: 80},
 		{Group: "carried", Expected: 1},
 	}
-	o := newOrders(list, map[string]bool{"carried": true})
-	if got := o.with(2); !slices.Equal(got, []int{4, 0, 3, 2, 1}) {
+	o := newStartOrders(list, map[string]bool{"carried": true})
+	if got := o.forSlots(2); !slices.Equal(got, []int{4, 0, 3, 2, 1}) {
 		t.Errorf("with enough slots the order is %v", got)
 	}
-	if got := o.with(1); !slices.Equal(got, []int{4, 0, 1, 2, 3}) {
+	if got := o.forSlots(1); !slices.Equal(got, []int{4, 0, 1, 2, 3}) {
 		t.Errorf("with too few slots the order is %v", got)
 	}
 }
@@ -132,7 +132,7 @@
 	for range 200 {
 		now := time.Now()
 		ranked, plain := engineList(12, 4), engineList(12, 4)
-		a, b := pool{engines: ranked, others: map[*target.Entry]bool{}}, pool{engines: plain, others: map[*target.Entry]bool{}}
+		a, b := pool{engines: ranked, otherFirstSender: map[*target.Entry]bool{}}, pool{engines: plain, otherFirstSender: map[*target.Entry]bool{}}
 		for i := range ranked {
 			speed, begun, other, failed := time.Duration(30+random.IntN(60))*time.Millisecond, random.IntN(5), random.IntN(3) == 0, random.IntN(6) == 0
 			for _, p := range []pool{a, b} {
@@ -142,7 +142,7 @@
 					e.Begin()
 				}
 				if other {
-					p.others[e] = true
+					p.otherFirstSender[e] = true
 				}
 				if failed {
 					e.Failed(now)
--- a/internal/step/ranking.go
+++ b/internal/step/ranking.go
@@ -11,11 +11,11 @@
 // time of one pass over the items. Hundreds of items of a step start at the same moment;
 // with the ranking each placement considers one or two engines instead of all.
 type ranking struct {
-	pool   pool
-	need   need
-	now    time.Time
-	median time.Duration
-	order  byCost
+	pool       pool
+	need       need
+	now        time.Time
+	median     time.Duration
+	candidates candidateHeap
 }
 
 // newRanking returns the ranking of the pool's engines that have a free slot at now.
@@ -23,10 +23,10 @@
 	r := &ranking{pool: p, need: n, now: now, median: target.MedianPace(p.engines, now)}
 	for i, e := range p.engines {
 		if cost, ok := p.cost(e, n, r.median, now); ok {
-			r.order = append(r.order, candidate{entry: e, cost: cost, at: i})
+			r.candidates = append(r.candidates, candidate{entry: e, cost: cost, index: i})
 		}
 	}
-	heap.Init(&r.order)
+	heap.Init(&r.candidates)
 	return r
 }
 
@@ -34,15 +34,15 @@
 // cost of the first engine is computed again: attempts that began since the last call can
 // have raised costs, but not lowered any.
 func (r *ranking) best() *target.Entry {
-	for len(r.order) > 0 {
-		first := &r.order[0]
+	for len(r.candidates) > 0 {
+		first := &r.candidates[0]
 		cost, ok := r.pool.cost(first.entry, r.need, r.median, r.now)
 		switch {
 		case !ok:
-			heap.Pop(&r.order)
+			heap.Pop(&r.candidates)
 		case cost > first.cost:
 			first.cost = cost
-			heap.Fix(&r.order, 0)
+			heap.Fix(&r.candidates, 0)
 		default:
 			return first.entry
 		}
@@ -54,32 +54,32 @@
 type candidate struct {
 	entry *target.Entry
 	cost  float64
-	at    int
+	index int
 }
 
-// byCost is a heap of candidates with the lowest cost first; equal costs are in the order
+// candidateHeap is a heap of candidates with the lowest cost first; equal costs are in the order
 // of the pool.
-type byCost []candidate
+type candidateHeap []candidate
 
 // Len implements heap.Interface.
-func (c byCost) Len() int { return len(c) }
+func (c candidateHeap) Len() int { return len(c) }
 
 // Less implements heap.Interface.
-func (c byCost) Less(i, j int) bool {
+func (c candidateHeap) Less(i, j int) bool {
 	if c[i].cost != c[j].cost {
 		return c[i].cost < c[j].cost
 	}
-	return c[i].at < c[j].at
+	return c[i].index < c[j].index
 }
 
 // Swap implements heap.Interface.
-func (c byCost) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
+func (c candidateHeap) Swap(i, j int) { c[i], c[j] = c[j], c[i] }
 
 // Push implements heap.Interface.
-func (c *byCost) Push(x any) { *c = append(*c, x.(candidate)) }
+func (c *candidateHeap) Push(x any) { *c = append(*c, x.(candidate)) }
 
 // Pop implements heap.Interface.
-func (c *byCost) Pop() any {
+func (c *candidateHeap) Pop() any {
 	last := (*c)[len(*c)-1]
 	*c = (*c)[:len(*c)-1]
 	return last
--- a/internal/step/read.go
+++ b/internal/step/read.go
@@ -9,27 +9,27 @@
 	"dogwoodpond/internal/fault"
 )
 
-// pollEvery is the interval at which the store is polled for new results of a step
+// pollInterval is the interval at which the store is polled for new results of a step
 // that another VM owns. A poll costs one small read.
-const pollEvery = 120 * time.Millisecond
+const pollInterval = 120 * time.Millisecond
 
 // Results returns a step's committed results starting at position from, and the number
 // of the step's items. It waits at most wait for the first result. It fails with
 // *fault.StepUnknown only when the step certainly does not exist.
 func (m *Manager) Results(ctx context.Context, id, account string, from int, wait time.Duration) (results []Result, total int, err error) {
-	rec, err := m.find(ctx, id, account)
+	rec, err := m.findState(ctx, id, account)
 	if err != nil {
 		return nil, 0, err
 	}
 	deadline := time.Now().Add(wait)
 	for {
 		var changed <-chan struct{}
-		results, changed, err = m.resultsNow(ctx, id, from)
+		results, changed, err = m.committedResults(ctx, id, from)
 		if err == nil && len(results) > 0 {
-			err = moveIn(ctx, m.Store, results)
+			err = loadOffloadedTexts(ctx, m.Store, results)
 		}
 		remaining := time.Until(deadline)
-		if err != nil || len(results) > 0 || from >= rec.Total || remaining <= 0 || m.ended(id) {
+		if err != nil || len(results) > 0 || from >= rec.Total || remaining <= 0 || m.isEnded(id) {
 			return results, rec.Total, err
 		}
 		awaitChange(ctx, changed, remaining)
@@ -39,10 +39,10 @@
 	}
 }
 
-// resultsNow returns the committed results without waiting: from memory when this VM
+// committedResults returns the committed results without waiting: from memory when this VM
 // runs the step, otherwise from the store. The channel is closed when there are more
 // results; it is nil when they come from the store.
-func (m *Manager) resultsNow(ctx context.Context, id string, from int) ([]Result, <-chan struct{}, error) {
+func (m *Manager) committedResults(ctx context.Context, id string, from int) ([]Result, <-chan struct{}, error) {
 	if r := m.runOf(id); r != nil {
 		results, changed := r.resultsFrom(from)
 		return append([]Result(nil), results...), changed, nil
@@ -51,7 +51,7 @@
 	return results, nil, err
 }
 
-func (m *Manager) ended(id string) bool {
+func (m *Manager) isEnded(id string) bool {
 	r, ok := m.lookUp(id)
 	return ok && r.Ended
 }
@@ -61,7 +61,7 @@
 func awaitChange(ctx context.Context, changed <-chan struct{}, remaining time.Duration) {
 	timeout := remaining
 	if changed == nil {
-		timeout = min(remaining, pollEvery)
+		timeout = min(remaining, pollInterval)
 	}
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -75,7 +75,7 @@
 // Body returns the body of an item. It fails with *fault.StepUnknown when the step or
 // the item certainly does not exist.
 func (m *Manager) Body(ctx context.Context, id, account, item string) ([]byte, error) {
-	rec, err := m.find(ctx, id, account)
+	rec, err := m.findState(ctx, id, account)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/step/residency_test.go
+++ b/internal/step/residency_test.go
@@ -16,13 +16,13 @@
 	south = []string{"s1", "s2", "s3"}
 )
 
-// newRegions returns a cluster with one VM and one engine in each failure domain; the
+// newRegionCluster returns a cluster with one VM and one engine in each failure domain; the
 // engine has the name of its domain. Steps are restricted to the residencies of their route
 // and account.
-func newRegions(t *testing.T, byRoute, byAccount route.Residency) *world {
-	w := newWorld(t)
+func newRegionCluster(t *testing.T, byRoute, byAccount route.Residency) *cluster {
+	w := newCluster(t)
 	for _, domain := range slices.Concat(north, south) {
-		w.list = append(w.list, target.Instance{ID: domain, Service: "lm", Address: domain, FailureDomain: domain, Slots: 4, Versions: map[string]int64{"m": 1}})
+		w.instances = append(w.instances, target.Instance{ID: domain, Service: "lm", Address: domain, FailureDomain: domain, Slots: 4, Versions: map[string]int64{"m": 1}})
 		w.domains["vm-"+domain] = domain
 	}
 	routes := []*route.Route{{Name: "r", Host: "h", Prefix: "/s/", Kind: route.Steps, Split: []route.Share{{Service: "lm", Weight: 1}}, Residency: byRoute}}
@@ -33,20 +33,20 @@
 	return w
 }
 
-// ranAt returns the engines that received items.
-func (w *world) ranAt() []string {
+// usedEngines returns the engines that received items.
+func (w *cluster) usedEngines() []string {
 	w.engines.mu.Lock()
 	defer w.engines.mu.Unlock()
 	var all []string
-	for _, engines := range w.engines.runs {
+	for _, engines := range w.engines.attempts {
 		all = append(all, engines...)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// outside returns the used failure domains that are not allowed.
-func outside(used, allowed []string) []string {
+// domainsOutside returns the used failure domains that are not allowed.
+func domainsOutside(used, allowed []string) []string {
 	return slices.DeleteFunc(slices.Clone(used), func(domain string) bool { return slices.Contains(allowed, domain) })
 }
 
@@ -66,20 +66,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newRegions(t, c.byRoute, c.byAccount)
+				w := newRegionCluster(t, c.byRoute, c.byAccount)
 				w.engines.behave["s1"] = func(_ string, n int) reply {
 					if n == 1 {
 						return reply{}
 					}
-					return good
+					return goodReply
 				}
 				time.Sleep(time.Second)
 				submit(t, w.vms["vm-n1"], spec("s"), items(60))
-				checkTexts(t, readWhole(t, w.vms["vm-n2"], "s"), 3)
-				if wrong := outside(w.ranAt(), c.allowed); len(wrong) > 0 {
+				checkTexts(t, readUntilComplete(t, w.vms["vm-n2"], "s"), 3)
+				if wrong := domainsOutside(w.usedEngines(), c.allowed); len(wrong) > 0 {
 					t.Errorf("items ran in the excluded domains %v", wrong)
 				}
-				if missing := outside(c.allowed, w.ranAt()); len(missing) > 0 {
+				if missing := domainsOutside(c.allowed, w.usedEngines()); len(missing) > 0 {
 					t.Errorf("no item ran in the allowed domains %v", missing)
 				}
 			})
@@ -91,8 +91,8 @@
 // residency, which would read the items there.
 func TestTakeoverStaysInResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegions(t, route.ResideIn(south), route.Residency{})
-		w.engines.behave[""] = paced(20, 100*time.Millisecond)
+		w := newRegionCluster(t, route.ResideIn(south), route.Residency{})
+		w.engines.behave[""] = pacedBehaviour(20, 100*time.Millisecond)
 		time.Sleep(time.Second)
 		owner := w.vms["vm-s2"]
 		submit(t, owner, spec("s"), items(8))
@@ -109,7 +109,7 @@
 		if w.vms["vm-s1"].runOf("s") == nil {
 			t.Error("vm-s1 does not run the step 2 s after the loss of its owner")
 		}
-		checkTexts(t, readWhole(t, w.vms["vm-n1"], "s"), 20)
+		checkTexts(t, readUntilComplete(t, w.vms["vm-n1"], "s"), 20)
 	})
 }
 
@@ -117,11 +117,11 @@
 // it owns only steps whose residency excludes the engine.
 func TestFirstSenderRespectsResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegions(t, route.ResideIn(south), route.Residency{})
+		w := newRegionCluster(t, route.ResideIn(south), route.Residency{})
 		a := w.vms["vm-s1"]
-		a.note(record{State: State{Spec: spec("s"), Owner: a.VM}, version: 1})
+		a.recordState(stateRecord{State: State{Spec: spec("s"), Owner: a.VM}, version: 1})
 		// The pending watch call ends only by its timeout, since no row was written.
-		time.Sleep(ownersSettle + watchWait)
+		time.Sleep(ownerGracePeriod + watchTimeout)
 		for _, e := range a.Roster.Service("lm") {
 			allowed := slices.Contains(south, e.Info().FailureDomain)
 			if first, _ := a.FirstSender(e); first != allowed {
--- a/internal/step/rows.go
+++ b/internal/step/rows.go
@@ -25,18 +25,18 @@
 	readLimit = 800 << 10
 )
 
-// packed is a JSON array of consecutive values that is stored in one row or object.
-type packed struct {
+// packedChunk is a JSON array of consecutive values that is stored in one row or object.
+type packedChunk struct {
 	body  []byte
 	count int
 }
 
 // pack encodes values into JSON arrays of at most limit bytes each. A value that alone
 // exceeds the limit gets an array of its own.
-func pack[T any](values []T, limit int) ([]packed, error) {
-	var out []packed
+func pack[T any](values []T, limit int) ([]packedChunk, error) {
+	var out []packedChunk
 	for _, value := range values {
-		text, err := encode(value)
+		text, err := encodeRow(value)
 		if err != nil {
 			return nil, err
 		}
@@ -46,7 +46,7 @@
 			out[last].count++
 			continue
 		}
-		out = append(out, packed{body: append([]byte{'['}, text...), count: 1})
+		out = append(out, packedChunk{body: append([]byte{'['}, text...), count: 1})
 	}
 	for i := range out {
 		out[i].body = append(out[i].body, ']')
@@ -54,10 +54,10 @@
 	return out, nil
 }
 
-// creation returns the transaction that creates a step, and the state that it writes.
+// creationTxn returns the transaction that creates a step, and the state that it writes.
 // Items that don't fit into one transaction are stored as objects first, so that the
 // state row never refers to objects that do not exist.
-func creation(ctx context.Context, store kept.Store, state State, items []Item) (kept.Txn, State, error) {
+func creationTxn(ctx context.Context, store kept.Store, state State, items []Item) (kept.Txn, State, error) {
 	chunks, err := pack(items, rowLimit)
 	if err != nil {
 		return kept.Txn{}, state, err
@@ -70,7 +70,7 @@
 	} else if state.Objects, err = putItems(ctx, store, state.ID, items); err != nil {
 		return kept.Txn{}, state, err
 	}
-	value, err := encode(state)
+	value, err := encodeRow(state)
 	if err != nil {
 		return kept.Txn{}, state, err
 	}
@@ -80,7 +80,7 @@
 	}, state, nil
 }
 
-func fitsTransaction(chunks []packed) bool {
+func fitsTransaction(chunks []packedChunk) bool {
 	const maxRows = 90
 	total := 0
 	for _, c := range chunks {
@@ -145,13 +145,13 @@
 
 // readState reads the state row of a step. It fails with *fault.StepUnknown when the
 // store has no such row.
-func readState(ctx context.Context, store kept.Store, id string) (record, error) {
+func readState(ctx context.Context, store kept.Store, id string) (stateRecord, error) {
 	page, err := store.Read(ctx, stateTable, id, stateName, "")
 	if err != nil {
-		return record{}, err
+		return stateRecord{}, err
 	}
 	if len(page.Rows) == 0 {
-		return record{}, errors.WithStack(&fault.StepUnknown{Step: id})
+		return stateRecord{}, errors.WithStack(&fault.StepUnknown{Step: id})
 	}
 	return decodeState(page.Rows[0])
 }
@@ -174,7 +174,7 @@
 		}
 		out = append(out, results...)
 	}
-	return within(readLimit, out), nil
+	return truncateResults(readLimit, out), nil
 }
 
 // readAllResults reads all committed results of a step.
@@ -206,8 +206,8 @@
 	return results, last + 1 - len(results), nil
 }
 
-// within returns the first results up to a total of limit bytes, but at least one.
-func within(limit int, results []Result) []Result {
+// truncateResults returns the first results up to a total of limit bytes, but at least one.
+func truncateResults(limit int, results []Result) []Result {
 	size := 0
 	for i, r := range results {
 		size += len(r.Text) + len(r.Item)
@@ -218,12 +218,12 @@
 	return results
 }
 
-// listing returns the puts that store results starting at a position. Texts that are too
+// resultPuts returns the puts that store results starting at a position. Texts that are too
 // large for a row are stored as objects first.
-func listing(ctx context.Context, store kept.Store, id string, position int, results []Result) ([]kept.Put, error) {
+func resultPuts(ctx context.Context, store kept.Store, id string, position int, results []Result) ([]kept.Put, error) {
 	stored := make([]Result, len(results))
 	for i, r := range results {
-		inRow, err := moveOut(ctx, store, id, r)
+		inRow, err := offloadText(ctx, store, id, r)
 		if err != nil {
 			return nil, err
 		}
@@ -241,16 +241,16 @@
 	return puts, nil
 }
 
-// moveOut stores the text of a result as an object if it is too large for a row, and
+// offloadText stores the text of a result as an object if it is too large for a row, and
 // returns the result to store in the row.
-func moveOut(ctx context.Context, store kept.Store, id string, r Result) (Result, error) {
+func offloadText(ctx context.Context, store kept.Store, id string, r Result) (Result, error) {
 	// JSON encodes a byte in up to six bytes, so the encoded length decides, unless the text
 	// is short enough in any case.
 	const alwaysFits = rowLimit / 8
 	if len(r.Text) <= alwaysFits {
 		return r, nil
 	}
-	if text, err := encode(r); err != nil || len(text) <= rowLimit-2 {
+	if text, err := encodeRow(r); err != nil || len(text) <= rowLimit-2 {
 		return r, err
 	}
 	r.Object = "result-" + id + "-" + uuid.NewString()
@@ -261,8 +261,8 @@
 	return r, nil
 }
 
-// moveIn reads the texts that are stored as objects into the results.
-func moveIn(ctx context.Context, store kept.Store, results []Result) error {
+// loadOffloadedTexts reads the texts that are stored as objects into the results.
+func loadOffloadedTexts(ctx context.Context, store kept.Store, results []Result) error {
 	for i := range results {
 		if results[i].Object == "" || results[i].Text != "" {
 			continue
--- a/internal/step/run.go
+++ b/internal/step/run.go
@@ -15,20 +15,20 @@
 type phase int
 
 const (
-	// waiting items are pending: they need an attempt at an engine.
-	waiting phase = iota
-	// running items have an attempt in progress.
-	running
-	// unscored items have a complete text that still needs a score call.
-	unscored
-	// beingScored items have a score call in progress.
-	beingScored
-	// done items have a result, committed or queued for commit.
-	done
+	// phasePending items are pending: they need an attempt at an engine.
+	phasePending phase = iota
+	// phaseRunning items have an attempt in progress.
+	phaseRunning
+	// phaseUnscored items have a complete text that still needs a score call.
+	phaseUnscored
+	// phaseScoring items have a score call in progress.
+	phaseScoring
+	// phaseDone items have a result, committed or queued for commit.
+	phaseDone
 )
 
-// progress is the state of one item in a run.
-type progress struct {
+// itemProgress is the state of one item in a run.
+type itemProgress struct {
 	phase phase
 	// notBefore is the time before which no attempt or score call may start.
 	notBefore time.Time
@@ -39,18 +39,18 @@
 	savedFailures int
 	// moves counts the attempts that were canceled to move the item to another engine.
 	moves int
-	// breaks counts the consecutive interrupted attempts without a new event; readBefore
+	// interruptions counts the consecutive interrupted attempts without a new event; lastBeforeInterruptions
 	// is the last event before them.
-	breaks     int
-	readBefore int64
+	interruptions           int
+	lastBeforeInterruptions int64
 	// partial is the text as far as it has been read.
-	partial partial
-	// tries are the attempts to score the text, which was complete at wholeAt.
-	tries   scoring.Tries
-	wholeAt time.Time
-	// madeBy is the upstream that sent the last event of the text; empty when a previous
+	partial partialText
+	// scoreTries are the attempts to score the text, which was complete at completedAt.
+	scoreTries  scoring.Tries
+	completedAt time.Time
+	// lastUpstream is the upstream that sent the last event of the text; empty when a previous
 	// owner read that event.
-	madeBy string
+	lastUpstream string
 }
 
 // run is the execution of a step by its owner.
@@ -58,12 +58,12 @@
 	m *Manager
 	// rec is the state of the step when the run started. An early run may be accepted
 	// under another state of the same step.
-	rec   record
+	rec   stateRecord
 	items []Item
-	// orders are the possible orders in which items start; order is the current one, which
+	// startOrders are the possible orders in which items start; order is the current one, which
 	// only the dispatcher changes once the run has started.
-	orders orders
-	order  []int
+	startOrders startOrders
+	order       []int
 	// ctx ends with the run.
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -76,43 +76,43 @@
 
 	// early is set for a run that started before the step was accepted.
 	early *earlyRun
-	// acceptedAs is the state row under which results may be committed, nil until the step
-	// is in the store. isAccepted is closed when it is set.
-	acceptedAs atomic.Pointer[record]
-	isAccepted chan struct{}
+	// acceptedState is the state row under which results may be committed, nil until the step
+	// is in the store. acceptedCh is closed when it is set.
+	acceptedState atomic.Pointer[stateRecord]
+	acceptedCh    chan struct{}
 
 	// mu guards the fields down to changed.
 	mu       sync.Mutex
-	progress []progress
-	// queue holds the finished results that are not committed, queued the size of their
+	progress []itemProgress
+	// uncommitted holds the finished results that are not committed, queued the size of their
 	// texts in bytes, and listed the committed ones.
-	queue  []Result
-	queued int
-	listed []Result
-	// changed is closed and replaced when results have been committed.
-	changed chan struct{}
-	// more signals that queue may have results to commit.
-	more chan struct{}
-	// commit is held during a commit of results.
-	commit sync.Mutex
+	uncommitted      []Result
+	uncommittedBytes int
+	committed        []Result
+	// committedCh is closed and replaced when results have been committed.
+	committedCh chan struct{}
+	// uncommittedCh signals that queue may have results to commit.
+	uncommittedCh chan struct{}
+	// commitMu is held during a commit of results.
+	commitMu sync.Mutex
 }
 
 // newRun returns a run of a step; the items with a result in listed are done.
-func newRun(m *Manager, rec record, items []Item, listed []Result) *run {
+func newRun(m *Manager, rec stateRecord, items []Item, listed []Result) *run {
 	r := &run{
-		m:        m,
-		rec:      rec,
-		items:    items,
-		orders:   newOrders(items, nil),
-		due:      rec.SubmittedAt + rec.RunObjective.Milliseconds(),
-		progress: make([]progress, len(items)),
-		listed:   listed,
-		changed:  make(chan struct{}),
-		more:     make(chan struct{}, 1),
-
-		isAccepted: make(chan struct{}),
+		m:             m,
+		rec:           rec,
+		items:         items,
+		startOrders:   newStartOrders(items, nil),
+		due:           rec.SubmittedAt + rec.RunObjective.Milliseconds(),
+		progress:      make([]itemProgress, len(items)),
+		committed:     listed,
+		committedCh:   make(chan struct{}),
+		uncommittedCh: make(chan struct{}, 1),
+
+		acceptedCh: make(chan struct{}),
 	}
-	r.order = r.orders.byLength
+	r.order = r.startOrders.byLength
 	r.ctx, r.cancel = context.WithCancel(m.ctx)
 	r.itemCtx, r.stopItems = context.WithCancel(r.ctx)
 	index := make(map[string]int, len(items))
@@ -121,15 +121,15 @@
 	}
 	for _, result := range listed {
 		if i, ok := index[result.Item]; ok {
-			r.progress[i].phase = done
+			r.progress[i].phase = phaseDone
 		}
 	}
 	return r
 }
 
-// resume restores texts that this or another VM read earlier, if the step allows their
+// restoreTexts restores texts that this or another VM read earlier, if the step allows their
 // weight versions. It must be called before items start.
-func (r *run) resume(texts map[string]savedText) {
+func (r *run) restoreTexts(texts map[string]savedText) {
 	if len(texts) == 0 {
 		return
 	}
@@ -137,46 +137,46 @@
 	for i, item := range r.items {
 		saved, ok := texts[item.ID]
 		known[item.Group] = known[item.Group] || ok
-		if !ok || r.progress[i].phase == done {
+		if !ok || r.progress[i].phase == phaseDone {
 			continue
 		}
 		p := &r.progress[i]
 		p.failures = max(p.failures, saved.Failures)
-		p.tries.Failures = max(p.tries.Failures, saved.ScoreFailures)
+		p.scoreTries.Failures = max(p.scoreTries.Failures, saved.ScoreFailures)
 		p.savedFailures = saved.Failures + saved.ScoreFailures
-		if p.phase != waiting || !mayGoOn(saved.Versions, r.rec.Spec) {
+		if p.phase != phasePending || !canResume(saved.Versions, r.rec.Spec) {
 			continue
 		}
-		p.partial = saved.partial()
-		if saved.Whole {
-			r.complete(i)
+		p.partial = saved.toPartial()
+		if saved.Complete {
+			r.handleComplete(i)
 		}
 	}
-	r.orders = newOrders(r.items, known)
-	r.order = r.orders.byLength
+	r.startOrders = newStartOrders(r.items, known)
+	r.order = r.startOrders.byLength
 }
 
 // accept sets the state row under which results may be committed.
-func (r *run) accept(rec record) {
-	r.acceptedAs.Store(&rec)
-	close(r.isAccepted)
+func (r *run) accept(rec stateRecord) {
+	r.acceptedState.Store(&rec)
+	close(r.acceptedCh)
 }
 
 // accepted reports whether results may be committed.
-func (r *run) accepted() bool { return r.acceptedAs.Load() != nil }
+func (r *run) accepted() bool { return r.acceptedState.Load() != nil }
 
 // current returns the state under which the run commits results, or, until it is accepted,
 // the one it started with.
-func (r *run) current() record {
-	if rec := r.acceptedAs.Load(); rec != nil {
+func (r *run) current() stateRecord {
+	if rec := r.acceptedState.Load(); rec != nil {
 		return *rec
 	}
 	return r.rec
 }
 
-// next returns the position in the current order of the next item that is in a phase and
+// nextInPhase returns the position in the current order of the next item that is in a phase and
 // may start now, at or after the position from; ok is false when there is none.
-func (r *run) next(in phase, from int, now time.Time) (pos int, ok bool) {
+func (r *run) nextInPhase(in phase, from int, now time.Time) (pos int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for ; from < len(r.order); from++ {
@@ -188,16 +188,16 @@
 	return 0, false
 }
 
-// anyWaiting reports whether an item is pending.
-func (r *run) anyWaiting() bool {
+// hasPending reports whether an item is pending.
+func (r *run) hasPending() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.ContainsFunc(r.progress, func(p progress) bool { return p.phase == waiting })
+	return slices.ContainsFunc(r.progress, func(p itemProgress) bool { return p.phase == phasePending })
 }
 
-// begin moves an item from one phase to another. It returns false when the item is not in
+// changePhase moves an item from one phase to another. It returns false when the item is not in
 // the phase from or the run may start nothing more.
-func (r *run) begin(i int, from, to phase) bool {
+func (r *run) changePhase(i int, from, to phase) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.progress[i].phase != from || r.itemCtx.Err() != nil {
@@ -207,47 +207,47 @@
 	return true
 }
 
-// again makes an item pending again, for an attempt after a backoff.
-func (r *run) again(i int, backoff time.Duration) { r.putBack(i, waiting, backoff) }
+// requeue makes an item pending again, for an attempt after a backoff.
+func (r *run) requeue(i int, backoff time.Duration) { r.requeueIn(i, phasePending, backoff) }
 
-// putBack puts an item into a phase from which it is retried after a backoff, unless it is
+// requeueIn puts an item into a phase from which it is retried after a backoff, unless it is
 // done.
-func (r *run) putBack(i int, into phase, backoff time.Duration) {
+func (r *run) requeueIn(i int, into phase, backoff time.Duration) {
 	r.mu.Lock()
-	if p := &r.progress[i]; p.phase != done {
+	if p := &r.progress[i]; p.phase != phaseDone {
 		p.phase = into
 		p.notBefore = time.Now().Add(backoff)
 	}
 	r.mu.Unlock()
-	r.m.poke()
+	r.m.notifyDispatcher()
 }
 
-// undone estimates which part of the items' texts is still to be generated, between 0
+// remaining estimates which part of the items' texts is still to be generated, between 0
 // and 1.
-func (r *run) undone() float64 {
+func (r *run) remaining() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	left := 0.0
 	for i := range r.progress {
-		if phase := r.progress[i].phase; phase == waiting || phase == running {
-			left += unread(r.progress[i].partial.last, r.items[i].Expected)
+		if phase := r.progress[i].phase; phase == phasePending || phase == phaseRunning {
+			left += remainingShare(r.progress[i].partial.lastEvent, r.items[i].Expected)
 		}
 	}
 	return left / float64(max(len(r.items), 1))
 }
 
-// unread estimates which part of a text remains after a number of its events. When the
+// remainingShare estimates which part of a text remains after a number of its events. When the
 // expected length is unknown, the estimate only falls with each event.
-func unread(events int64, expected float64) float64 {
+func remainingShare(events int64, expected float64) float64 {
 	if expected <= 0 {
 		return 1 / (1 + float64(events))
 	}
 	return max(0, 1-float64(events)/expected)
 }
 
-// adopt reads the results that the previous owner committed, marks their items as done, and
+// adoptCommitted reads the results that the previous owner committed, marks their items as done, and
 // returns the number of those results. It must be called before the run is accepted.
-func (r *run) adopt(ctx context.Context, m *Manager) (int, error) {
+func (r *run) adoptCommitted(ctx context.Context, m *Manager) (int, error) {
 	listed, err := readAllResults(ctx, m.Store, r.rec.ID)
 	if err != nil {
 		return 0, err
@@ -258,29 +258,29 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.listed = listed
+	r.committed = listed
 	for i, item := range r.items {
 		if committed[item.ID] {
-			r.progress[i].phase = done
+			r.progress[i].phase = phaseDone
 		}
 	}
-	r.queue = slices.DeleteFunc(r.queue, func(result Result) bool { return committed[result.Item] })
-	r.queued = 0
-	for _, result := range r.queue {
-		r.queued += len(result.Text)
+	r.uncommitted = slices.DeleteFunc(r.uncommitted, func(result Result) bool { return committed[result.Item] })
+	r.uncommittedBytes = 0
+	for _, result := range r.uncommitted {
+		r.uncommittedBytes += len(result.Text)
 	}
 	return len(listed), nil
 }
 
 // text returns the text of an item as far as it has been read.
-func (r *run) text(i int) partial {
+func (r *run) text(i int) partialText {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.progress[i].partial
 }
 
-// keepText replaces the text of an item.
-func (r *run) keepText(i int, text partial) {
+// setText replaces the text of an item.
+func (r *run) setText(i int, text partialText) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.progress[i].partial = text
@@ -295,11 +295,11 @@
 	return r.progress[i].failures
 }
 
-// noteMaker records the upstream that sent the last event of an item's text.
-func (r *run) noteMaker(i int, upstream string) {
+// setLastUpstream records the upstream that sent the last event of an item's text.
+func (r *run) setLastUpstream(i int, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.progress[i].madeBy = upstream
+	r.progress[i].lastUpstream = upstream
 }
 
 // countMove counts an attempt that was canceled to move its item to another engine.
@@ -320,23 +320,23 @@
 // result.
 func (r *run) finish(i int, result Result) {
 	r.mu.Lock()
-	if r.progress[i].phase == done {
+	if r.progress[i].phase == phaseDone {
 		r.mu.Unlock()
 		return
 	}
-	r.progress[i].phase = done
-	r.progress[i].partial = partial{}
-	r.queue = append(r.queue, result)
-	r.queued += len(result.Text)
+	r.progress[i].phase = phaseDone
+	r.progress[i].partial = partialText{}
+	r.uncommitted = append(r.uncommitted, result)
+	r.uncommittedBytes += len(result.Text)
 	r.mu.Unlock()
 	r.signalMore()
-	r.m.poke()
+	r.m.notifyDispatcher()
 }
 
 // saveLoop saves the texts of long items at intervals, so that another VM can resume them
 // if this one dies.
 func (r *run) saveLoop() {
-	ticker := time.NewTicker(saveEvery)
+	ticker := time.NewTicker(saveInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -345,7 +345,7 @@
 		case <-ticker.C:
 		}
 		if r.accepted() {
-			r.saveTexts(r.ctx, saveEvents)
+			r.saveTexts(r.ctx, saveMinEvents)
 		}
 	}
 }
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -10,9 +10,9 @@
 	"dogwoodpond/internal/scoring"
 )
 
-// scorePauses bounds the backoff between attempts to score one text. By then the item
+// scoreBackoff bounds the backoff between attempts to score one text. By then the item
 // needs nothing but its score, so the first backoff is short.
-var scorePauses = scoring.Pauses{First: failedPause, Longest: longestPause}
+var scoreBackoff = scoring.Pauses{First: retryBackoff, Longest: maxRetryBackoff}
 
 // Scorer sends score calls for texts. It is safe for concurrent use.
 type Scorer interface {
@@ -25,24 +25,24 @@
 func (r *run) awaitScore(i int) {
 	r.mu.Lock()
 	p := &r.progress[i]
-	p.phase, p.notBefore = unscored, time.Time{}
-	p.partial.whole, p.wholeAt = true, time.Now()
-	p.tries.Pauses = scorePauses
+	p.phase, p.notBefore = phaseUnscored, time.Time{}
+	p.partial.complete, p.completedAt = true, time.Now()
+	p.scoreTries.Pauses = scoreBackoff
 	r.mu.Unlock()
-	r.m.poke()
+	r.m.notifyDispatcher()
 }
 
 // dispatchScores starts the score calls of a run for which the scoring services have free
 // slots, and abandons the items whose time has passed or whose routes were removed.
 func (m *Manager) dispatchScores(r *run) {
 	now := time.Now()
-	late := m.tooLate(r)
+	late := m.canAbandon(r)
 	free := make(map[string]int)
-	for pos, ok := r.next(unscored, 0, now); ok; pos, ok = r.next(unscored, pos+1, now) {
+	for pos, ok := r.nextInPhase(phaseUnscored, 0, now); ok; pos, ok = r.nextInPhase(phaseUnscored, pos+1, now) {
 		i := r.order[pos]
 		by, routed := r.scoreRoute(i)
 		if late || !routed {
-			r.giveUp(i, unscored, routed)
+			r.abandonFrom(i, phaseUnscored, routed)
 			continue
 		}
 		if by == nil {
@@ -52,12 +52,12 @@
 		if _, known := free[service]; !known {
 			free[service] = m.lanes.Room(service, m.Roster.Usable(service, now), now)
 		}
-		if free[service] <= 0 || !r.begin(i, unscored, beingScored) {
+		if free[service] <= 0 || !r.changePhase(i, phaseUnscored, phaseScoring) {
 			continue
 		}
 		free[service]--
 		m.lanes.Begin(service)
-		m.loops.Go(func() {
+		m.tasks.Go(func() {
 			defer m.lanes.End(service)
 			r.score(i, by)
 		})
@@ -91,35 +91,35 @@
 	}
 	subject := event.Subject{Step: r.rec.ID, Slot: item.ID, Account: r.rec.Account, Request: item.Score.ID}
 	if err == nil {
-		completedAt, engine := r.wholeText(i)
+		completedAt, engine := r.completedBy(i)
 		subject.Count, subject.Upstream = time.Since(completedAt).Milliseconds(), engine
 		r.m.Events.Emit(event.SampleScored, subject)
-		r.listText(i, score)
+		r.finishWithText(i, score)
 		return
 	}
-	tries, backoff := r.countTry(i, err)
+	tries, backoff := r.countScoreFailure(i, err)
 	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(tries.Failures)
 	r.m.Events.Emit(event.ScoreFailed, subject)
 	if tries.Hopeless(max(by.Attempts, 1)) {
 		r.abandon(i, "its call for a score failed at every attempt")
 		return
 	}
-	r.putBack(i, unscored, backoff)
+	r.requeueIn(i, phaseUnscored, backoff)
 }
 
-// wholeText returns when the text of an item was complete, and the upstream that sent its
+// completedBy returns when the text of an item was complete, and the upstream that sent its
 // last event.
-func (r *run) wholeText(i int) (completedAt time.Time, upstream string) {
+func (r *run) completedBy(i int) (completedAt time.Time, upstream string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.progress[i].wholeAt, r.progress[i].madeBy
+	return r.progress[i].completedAt, r.progress[i].lastUpstream
 }
 
-// countTry counts a failed score call of an item. It returns the calls so far and the
+// countScoreFailure counts a failed score call of an item. It returns the calls so far and the
 // backoff before the next one.
-func (r *run) countTry(i int, err error) (scoring.Tries, time.Duration) {
+func (r *run) countScoreFailure(i int, err error) (scoring.Tries, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	backoff := r.progress[i].tries.Failed(err)
-	return r.progress[i].tries, backoff
+	backoff := r.progress[i].scoreTries.Failed(err)
+	return r.progress[i].scoreTries, backoff
 }
--- a/internal/step/score_test.go
+++ b/internal/step/score_test.go
@@ -19,8 +19,8 @@
 	"go.uber.org/zap"
 )
 
-// errAway is the failure of a call for which no upstream is available.
-var errAway = errors.WithStack(&fault.NoUpstream{Pool: "judge"})
+// errUnavailable is the failure of a call for which no upstream is available.
+var errUnavailable = errors.WithStack(&fault.NoUpstream{Pool: "judge"})
 
 // failedAnswer returns the failure of a score call that one upstream answered with status 500.
 func failedAnswer(t *testing.T) error {
@@ -28,7 +28,7 @@
 	events := event.NewRecorder("vm", 16, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
 	roster.Replace([]target.Instance{{ID: "j1", Service: "judge", Slots: 1}})
-	failing := &engines{runs: map[string][]string{}, finished: map[string]int{}, behave: map[string]behaviour{
+	failing := &fakeEngines{attempts: map[string][]string{}, finished: map[string]int{}, behave: map[string]behaviour{
 		"": func(string, int) reply { return reply{status: http.StatusInternalServerError} },
 	}}
 	client := &scoring.Client{Forwarder: &forward.Forwarder{Roster: roster, Caller: failing, Meter: forward.Unmetered{}, Events: events, Budget: retry.NewBudget()}}
@@ -43,18 +43,18 @@
 // given before the text was complete.
 func TestResultsAreCommittedWithScores(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
-		w.judge.behave = func(_ context.Context, _ string, _ int) error {
+		w := newCluster(t, "e1", "e2")
+		w.scorer.behave = func(_ context.Context, _ string, _ int) error {
 			time.Sleep(80 * time.Millisecond)
 			return nil
 		}
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), scoredItems(30))
-		results := readWhole(t, b, "s")
+		results := readUntilComplete(t, b, "s")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
 		for _, item := range items(30) {
-			if n, calls := w.engines.count(item.ID), w.judge.count(item.ID); n != 1 || calls != 1 {
+			if n, calls := w.engines.count(item.ID), w.scorer.count(item.ID); n != 1 || calls != 1 {
 				t.Errorf("item %s had %d attempts and %d score calls, want 1 each", item.ID, n, calls)
 			}
 		}
@@ -65,21 +65,21 @@
 // kept: generating them again would take engine slots from other items.
 func TestTextsAreKeptDuringScoringOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		availableAt := time.Now().Add(5 * time.Second)
-		w.judge.behave = func(context.Context, string, int) error {
+		w.scorer.behave = func(context.Context, string, int) error {
 			if time.Now().Before(availableAt) {
-				return errAway
+				return errUnavailable
 			}
 			return nil
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), scoredItems(6))
 		time.Sleep(4900 * time.Millisecond)
-		if n := w.judge.count("i0"); n > 14 {
+		if n := w.scorer.count("i0"); n > 14 {
 			t.Errorf("a text was sent %d times to an unavailable service", n)
 		}
-		results := readWhole(t, a, "s")
+		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
 		if took := time.Since(availableAt); took > time.Second {
@@ -95,11 +95,11 @@
 // generate them again nor commit them without a score.
 func TestTakeoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		availableAt := time.Now().Add(4 * time.Second)
-		w.judge.behave = func(context.Context, string, int) error {
+		w.scorer.behave = func(context.Context, string, int) error {
 			if time.Now().Before(availableAt) {
-				return errAway
+				return errUnavailable
 			}
 			return nil
 		}
@@ -107,7 +107,7 @@
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(2 * time.Second)
 		w.crash(a)
-		results := readWhole(t, b, "s")
+		results := readUntilComplete(t, b, "s")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
 		for _, item := range items(4) {
@@ -121,11 +121,11 @@
 // A VM that leaves hands over the complete texts for which it got no score.
 func TestHandoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		away := true
-		w.judge.behave = func(context.Context, string, int) error {
+		w.scorer.behave = func(context.Context, string, int) error {
 			if away {
-				return errAway
+				return errUnavailable
 			}
 			return nil
 		}
@@ -134,7 +134,7 @@
 		time.Sleep(100 * time.Millisecond)
 		a.Leave(t.Context())
 		away = false
-		results := readWhole(t, b, "s")
+		results := readUntilComplete(t, b, "s")
 		w.checkScores(results)
 		if n := w.engines.count("i1"); n != 1 {
 			t.Errorf("the item had %d attempts, want 1", n)
@@ -147,11 +147,11 @@
 // the item were pending there, it would be generated during its score call.
 func TestResubmittedCompleteTextsAreScoredOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		first := true
-		w.judge.behave = func(_ context.Context, item string, _ int) error {
+		w.scorer.behave = func(_ context.Context, item string, _ int) error {
 			if first && item != "i0" {
-				return errAway
+				return errUnavailable
 			}
 			time.Sleep(300 * time.Millisecond)
 			return nil
@@ -164,7 +164,7 @@
 		}
 		first = false
 		submit(t, a, spec("s2"), scoredItems(4)[2:])
-		results := readWhole(t, a, "s2")
+		results := readUntilComplete(t, a, "s2")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
 		time.Sleep(2 * time.Second)
@@ -181,20 +181,20 @@
 // the shorter one would combine the state of a complete text with a part of its events.
 func TestShorterSavedTextDoesNotReplaceCompleteText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.judge.behave = func(ctx context.Context, _ string, _ int) error {
+		w := newCluster(t, "e1")
+		w.scorer.behave = func(ctx context.Context, _ string, _ int) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
 		a := w.start("a")
 		list := scoredItems(1)
-		r := newRun(a.Manager, record{State: State{Spec: spec("s")}}, list, nil)
-		r.resume(map[string]savedText{"i0": {Text: "1\n2\n3", Last: 3, Versions: []int64{1}, Whole: true}})
-		r.resume(map[string]savedText{"i0": {Text: "1", Last: 1, Versions: []int64{1}, ScoreFailures: 1}})
-		if text := r.text(0); r.progress[0].phase != unscored || joined(text.data) != "1\n2\n3" {
-			t.Errorf("the item is in phase %d with the text %q", r.progress[0].phase, joined(text.data))
+		r := newRun(a.Manager, stateRecord{State: State{Spec: spec("s")}}, list, nil)
+		r.restoreTexts(map[string]savedText{"i0": {Text: "1\n2\n3", Last: 3, Versions: []int64{1}, Complete: true}})
+		r.restoreTexts(map[string]savedText{"i0": {Text: "1", Last: 1, Versions: []int64{1}, ScoreFailures: 1}})
+		if text := r.text(0); r.progress[0].phase != phaseUnscored || joinText(text.data) != "1\n2\n3" {
+			t.Errorf("the item is in phase %d with the text %q", r.progress[0].phase, joinText(text.data))
 		}
-		if n := r.progress[0].tries.Failures; n != 1 {
+		if n := r.progress[0].scoreTries.Failures; n != 1 {
 			t.Errorf("%d failures are counted, want 1", n)
 		}
 		r.cancel()
@@ -205,9 +205,9 @@
 // attempts that the call's own route allows; otherwise their group would never complete.
 func TestItemIsAbandonedAfterFailedScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		failed := failedAnswer(t)
-		w.judge.behave = func(_ context.Context, item string, _ int) error {
+		w.scorer.behave = func(_ context.Context, item string, _ int) error {
 			if item == "i1" {
 				return failed
 			}
@@ -215,12 +215,12 @@
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), scoredItems(2))
-		for _, r := range readWhole(t, a, "s") {
+		for _, r := range readUntilComplete(t, a, "s") {
 			if want := map[string]Outcome{"i0": Completed, "i1": Abandoned}[r.Item]; r.Outcome != want {
 				t.Errorf("item %s is %s", r.Item, r.Outcome)
 			}
 		}
-		if n := w.judge.count("i1"); n != 2 {
+		if n := w.scorer.count("i1"); n != 2 {
 			t.Errorf("the call was made %d times; its route allows 2 attempts", n)
 		}
 	})
@@ -230,9 +230,9 @@
 // zero would send the call to more upstreams than its route allows.
 func TestTakeoverKeepsScoreFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		failed := failedAnswer(t)
-		w.judge.behave = func(ctx context.Context, _ string, n int) error {
+		w.scorer.behave = func(ctx context.Context, _ string, n int) error {
 			if n == 2 {
 				<-ctx.Done()
 				return ctx.Err()
@@ -243,11 +243,11 @@
 		submit(t, a, spec("s"), scoredItems(1))
 		time.Sleep(2 * time.Second)
 		w.crash(a)
-		if results := readWhole(t, b, "s"); results[0].Outcome != Abandoned {
+		if results := readUntilComplete(t, b, "s"); results[0].Outcome != Abandoned {
 			t.Errorf("the item is %s", results[0].Outcome)
 		}
 		// One failure, the call that was interrupted by the owner's death, and one more.
-		if n := w.judge.count("i0"); n != 3 {
+		if n := w.scorer.count("i0"); n != 3 {
 			t.Errorf("the call was made %d times, want 3", n)
 		}
 	})
@@ -257,16 +257,16 @@
 // meanwhile: an item may not be abandoned as long as its own route exists.
 func TestTextsAreKeptWhileScoreRouteIsMissing(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		a.View.Offer(configuration(2, false))
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(3 * time.Second)
-		if n := w.judge.count("i0"); n != 0 {
+		if n := w.scorer.count("i0"); n != 0 {
 			t.Errorf("%d calls were made without a route", n)
 		}
 		a.View.Offer(configuration(3, true))
-		results := readWhole(t, a, "s")
+		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
 		w.checkScores(results)
 	})
@@ -276,8 +276,8 @@
 // which the step allows to abandon them.
 func TestUnscoredItemsAreAbandonedAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.judge.behave = func(context.Context, string, int) error { return errAway }
+		w := newCluster(t, "e1")
+		w.scorer.behave = func(context.Context, string, int) error { return errUnavailable }
 		a := w.start("a")
 		s := spec("s")
 		s.GiveUp = 5 * time.Second
@@ -286,7 +286,7 @@
 		if results, _, _ := a.Results(t.Context(), "s", "acc", 0, 0); len(results) > 0 {
 			t.Errorf("%d items were committed before the deadline", len(results))
 		}
-		for _, r := range readWhole(t, a, "s") {
+		for _, r := range readUntilComplete(t, a, "s") {
 			if r.Outcome != Abandoned || r.Text != "" || r.Score != "" {
 				t.Errorf("item %+v is not an abandoned one without text and score", r)
 			}
@@ -297,9 +297,9 @@
 // The trainer ends a step while score calls are in progress. They must be canceled.
 func TestEndCancelsScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		canceled := make(chan struct{}, 8)
-		w.judge.behave = func(ctx context.Context, _ string, _ int) error {
+		w.scorer.behave = func(ctx context.Context, _ string, _ int) error {
 			<-ctx.Done()
 			canceled <- struct{}{}
 			return ctx.Err()
@@ -314,9 +314,9 @@
 		if len(canceled) != 4 {
 			t.Errorf("%d of 4 calls were canceled within 1 s", len(canceled))
 		}
-		before := w.judge.count("i0")
+		before := w.scorer.count("i0")
 		time.Sleep(3 * time.Second)
-		if n := w.judge.count("i0"); n != before {
+		if n := w.scorer.count("i0"); n != before {
 			t.Errorf("%d calls after the end of the step", n-before)
 		}
 	})
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -132,16 +132,16 @@
 	return kept.Key{Table: resultTable, Part: id, Name: resultName(last)}
 }
 
-// record is a step's state with the version of its state row.
-type record struct {
+// stateRecord is a step's state with the version of its state row.
+type stateRecord struct {
 	State
 	version int64
-	// ownedSince is when this VM learned that the current owner owns the step.
-	ownedSince time.Time
+	// ownerKnownSince is when this VM learned that the current owner owns the step.
+	ownerKnownSince time.Time
 }
 
-func decodeState(row kept.Row) (record, error) {
-	var r record
+func decodeState(row kept.Row) (stateRecord, error) {
+	var r stateRecord
 	if err := json.Unmarshal(row.Value, &r.State); err != nil || r.ID == "" {
 		return r, errors.WithStack(&fault.Internal{Where: "row " + row.String()})
 	}
@@ -149,7 +149,7 @@
 	return r, nil
 }
 
-func encode(value any) ([]byte, error) {
+func encodeRow(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "row of a step"})
--- a/internal/step/step_test.go
+++ b/internal/step/step_test.go
@@ -18,7 +18,7 @@
 )
 
 // submit submits a step at a VM and fails the test on an error.
-func submit(t *testing.T, v *vm, s Spec, list []Item) {
+func submit(t *testing.T, v *testVM, s Spec, list []Item) {
 	t.Helper()
 	if err := v.Submit(t.Context(), s, list); err != nil {
 		t.Fatal(err)
@@ -27,11 +27,11 @@
 
 func TestStepCompletes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), items(30))
-		checkTexts(t, readWhole(t, b, "s"), 3)
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, b, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
 
@@ -39,12 +39,12 @@
 // at another VM. A second step would generate everything twice.
 func TestRepeatedSubmitCreatesOneStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), items(8))
 		submit(t, b, spec("s"), items(8))
 		submit(t, a, spec("s"), items(8))
-		checkTexts(t, readWhole(t, b, "s"), 3)
+		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 		for _, item := range items(8) {
 			if n := w.engines.count(item.ID); n != 1 {
 				t.Errorf("item %s had %d attempts, want 1", item.ID, n)
@@ -58,7 +58,7 @@
 // and the trainer's repeated submission must find it.
 func TestStepAcceptedLateRuns(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a, b := w.start("a"), w.start("b")
 		w.store.SetFate(func(kept.Txn) memory.Fate { return memory.EffectLate })
 		err := a.Submit(t.Context(), spec("s"), items(4))
@@ -68,7 +68,7 @@
 		w.store.SetFate(nil)
 		w.store.RunLate()
 		submit(t, b, spec("s"), items(4))
-		checkTexts(t, readWhole(t, b, "s"), 3)
+		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 	})
 }
 
@@ -76,9 +76,9 @@
 // the engines are not idle and the step is complete soon after the store is available again.
 func TestItemsRunDuringStoreOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.gap = 300 * time.Millisecond
 			return r
 		}
@@ -105,8 +105,8 @@
 // report "not run", and the items must be canceled.
 func TestSubmitReportsUnknownAfterEarlyItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.engines.behave[""] = paced(1000, 100*time.Millisecond)
+		w := newCluster(t, "e1")
+		w.engines.behave[""] = pacedBehaviour(1000, 100*time.Millisecond)
 		a := w.start("a")
 		time.Sleep(time.Second)
 		w.store.SetDown(true)
@@ -117,8 +117,8 @@
 		time.Sleep(time.Second)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
-		if len(w.engines.runs) == 0 || w.engines.active != 0 {
-			t.Errorf("%d items ran, want more than 0; %d still run, want 0", len(w.engines.runs), w.engines.active)
+		if len(w.engines.attempts) == 0 || w.engines.active != 0 {
+			t.Errorf("%d items ran, want more than 0; %d still run, want 0", len(w.engines.attempts), w.engines.active)
 		}
 	})
 }
@@ -127,7 +127,7 @@
 // what delayed it. The acceptance of the step takes so long that its items start before it.
 func TestEarlyRunEmitsStepOwned(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		time.Sleep(time.Second)
 		w.store.SetDown(true)
@@ -148,12 +148,12 @@
 // but only one of them may commit results.
 func TestOnlyOneEarlyRunCommitsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
 		w.store.SetDown(true)
 		accepted := make(chan error, 2)
-		for _, v := range []*vm{a, b} {
+		for _, v := range []*testVM{a, b} {
 			go func() { accepted <- v.Submit(t.Context(), spec("s"), items(6)) }()
 		}
 		time.Sleep(3 * time.Second)
@@ -163,16 +163,16 @@
 				t.Error(err)
 			}
 		}
-		checkTexts(t, readWhole(t, a, "s"), 3)
-		checkTexts(t, readWhole(t, b, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 	})
 }
 
-// handInThrice submits one step at the VMs a, b and c around an outage of the store. a and b
+// submitThrice submits one step at the VMs a, b and c around an outage of the store. a and b
 // start its items during the outage, a two seconds before b; c gets its copy after the outage.
 // known says whether the items have expected lengths.
-func handInThrice(t *testing.T, w *world, list []Item, events int, known bool) (b, c *vm) {
-	w.engines.behave[""] = paced(events, 350*time.Millisecond)
+func submitThrice(t *testing.T, w *cluster, list []Item, events int, known bool) (b, c *testVM) {
+	w.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 	if known {
 		for i := range list {
 			list[i].Expected = float64(events)
@@ -183,7 +183,7 @@
 	time.Sleep(time.Second)
 	w.store.SetDown(true)
 	accepted := make(chan error, 3)
-	submitAt := func(v *vm) { go func() { accepted <- v.Submit(t.Context(), spec("s"), list) }() }
+	submitAt := func(v *testVM) { go func() { accepted <- v.Submit(t.Context(), spec("s"), list) }() }
 	submitAt(a)
 	time.Sleep(2 * time.Second)
 	submitAt(b)
@@ -204,15 +204,15 @@
 func TestMostAdvancedEarlyRunClaimsStep(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		bubble(t, func(t *testing.T) {
-			w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
+			w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
 			const events = 10
-			b, c := handInThrice(t, w, items(6), events, known)
+			b, c := submitThrice(t, w, items(6), events, known)
 			time.Sleep(time.Second)
 			results, _, err := c.Results(t.Context(), "s", "acc", 0, 0)
 			if err != nil || len(results) != 6 {
 				t.Errorf("%d results a second after the outage, %v; the first VM had nearly all texts", len(results), err)
 			}
-			checkTexts(t, readWhole(t, b, "s"), events)
+			checkTexts(t, readUntilComplete(t, b, "s"), events)
 			state, err := readState(t.Context(), w.store, "s")
 			// b may have learned of the acceptance first and claimed the step before a did.
 			if err != nil || state.Owner != "a" || state.Epoch != 2 && state.Epoch != 3 {
@@ -226,9 +226,9 @@
 // claimed the step after the first had read the state and before it committed its own claim.
 func TestEarlyRunClaimsStepFromLessAdvancedOne(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		const events = 10
-		w.engines.behave[""] = paced(events, 350*time.Millisecond)
+		w.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 		list := items(6)
 		for i := range list {
 			list[i].Expected = events
@@ -240,10 +240,10 @@
 		go func() { accepted <- a.Submit(t.Context(), spec("s"), list) }()
 		time.Sleep(3 * time.Second)
 		now, _ := w.store.StoreNow()
-		put := func(owner string, epoch int, made float64) record {
+		put := func(owner string, epoch int, made float64) stateRecord {
 			state := State{Spec: spec("s"), Owner: owner, OwnerLife: owner + "-1", Total: 6, Epoch: epoch, Made: made, Nonce: owner}
 			state.SubmittedAt = now
-			value, err := encode(state)
+			value, err := encodeRow(state)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -256,13 +256,13 @@
 		}
 		seen := put("c", 1, 0)
 		put("b", 2, 0.2)
-		go a.runOf("s").early.decide(seen)
+		go a.runOf("s").early.claimOrStop(seen)
 		time.Sleep(500 * time.Millisecond)
 		w.store.SetDown(false)
 		if err := <-accepted; err != nil {
 			t.Error(err)
 		}
-		checkTexts(t, readWhole(t, a, "s"), events)
+		checkTexts(t, readUntilComplete(t, a, "s"), events)
 		state, err := readState(t.Context(), w.store, "s")
 		if err != nil || state.Owner != "a" || state.Epoch != 3 {
 			t.Errorf("the step is owned by %s in epoch %d, %v; want a in epoch 3", state.Owner, state.Epoch, err)
@@ -274,9 +274,9 @@
 // that was not accepted, which would lower the epoch.
 func TestHandoverKeepsEpochOfClaimedStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3", "e4", "e5", "e6")
+		w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
 		const events = 20
-		_, c := handInThrice(t, w, items(6), events, true)
+		_, c := submitThrice(t, w, items(6), events, true)
 		time.Sleep(time.Second)
 		claimed, err := readState(t.Context(), w.store, "s")
 		if err != nil || claimed.Epoch == 1 {
@@ -288,7 +288,7 @@
 		if err != nil || left.Owner == claimed.Owner || left.Epoch < claimed.Epoch || left.Owner != "" && left.Epoch == claimed.Epoch {
 			t.Errorf("the step is owned by %q in epoch %d after the handover, %v; it was claimed in epoch %d", left.Owner, left.Epoch, err, claimed.Epoch)
 		}
-		checkTexts(t, readWhole(t, c, "s"), events)
+		checkTexts(t, readUntilComplete(t, c, "s"), events)
 	})
 }
 
@@ -296,13 +296,13 @@
 // submitted at two VMs, and the items of the copy that is not accepted would stay in the store.
 func TestObjectsOfRejectedCopyAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
 		list := items(2)
 		list[0].Body = bytes.Repeat([]byte("x"), rowLimit)
 		var both sync.WaitGroup
-		for _, v := range []*vm{a, b} {
+		for _, v := range []*testVM{a, b} {
 			both.Go(func() {
 				if err := v.Submit(t.Context(), spec("s"), list); err != nil {
 					t.Error(err)
@@ -315,7 +315,7 @@
 		if names := w.store.ObjectNames(); err != nil || len(state.Objects) == 0 || !slices.Equal(names, state.Objects) {
 			t.Errorf("the store holds %v; the step names %v, %v", names, state.Objects, err)
 		}
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
 
@@ -323,22 +323,22 @@
 // another VM has taken the step over. The copy looks rejected, but its objects hold the items.
 func TestObjectsOfAcceptedCopyAreKept(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		list := items(2)
 		list[0].Body = bytes.Repeat([]byte("x"), rowLimit)
-		_, state, err := creation(t.Context(), w.store, State{Spec: spec("s"), Owner: "a", Epoch: 1, Total: 2}, list)
+		_, state, err := creationTxn(t.Context(), w.store, State{Spec: spec("s"), Owner: "a", Epoch: 1, Total: 2}, list)
 		if err != nil || len(state.Objects) == 0 {
 			t.Fatalf("the step has the objects %v, %v", state.Objects, err)
 		}
 		taken := state
 		taken.Owner, taken.Epoch = "b", 2
-		value, err := encode(taken)
+		value, err := encodeRow(taken)
 		if err != nil {
 			t.Fatal(err)
 		}
 		conflict := &kept.Conflict{Current: []kept.Row{{Key: stateKey("s"), Value: value, Version: 7}}}
-		if err := a.submitted(record{State: state}, list, &earlyRun{manager: a.Manager, state: state}, conflict); err != nil {
+		if err := a.handleSubmitOutcome(stateRecord{State: state}, list, &earlyRun{manager: a.Manager, state: state}, conflict); err != nil {
 			t.Error(err)
 		}
 		time.Sleep(time.Second)
@@ -352,9 +352,9 @@
 // Submit must report that.
 func TestSubmitWithoutStoreReportsNotRun(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
-		a.Clock = noClock{}
+		a.Clock = unsetClock{}
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if fault.ExecutionOf(err) != fault.NotRun || fault.RetryAfterOf(err, 0) == 0 {
 			t.Errorf("Submit = %v, want a failure with NotRun and a time for the retry", err)
@@ -370,7 +370,7 @@
 // must start it at once; otherwise every such step would be delayed.
 func TestStepStartsAtPreferredOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.preferred = "b"
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
@@ -379,7 +379,7 @@
 		if b.runOf("s") == nil || a.runOf("s") != nil {
 			t.Error("the step does not run at the VM that owns the steps of its model")
 		}
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
 
@@ -387,7 +387,7 @@
 // step must be taken over without waiting for its restart.
 func TestStepOfDeadPreferredOwnerIsTakenOver(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.preferred = "b"
 		a, b := w.start("a"), w.start("b")
 		time.Sleep(time.Second)
@@ -395,7 +395,7 @@
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(time.Second)
 		w.crash(b)
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
 
@@ -405,7 +405,7 @@
 func TestLongItemsOfAllGroupsStartFirst(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const long, short, gap = 20, 3, 100 * time.Millisecond
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		list := items(16)
 		for i := range list {
 			list[i].Group, list[i].Expected = "g"+strconv.Itoa(i/4), short
@@ -414,7 +414,7 @@
 			}
 		}
 		w.engines.behave[""] = func(item string, _ int) reply {
-			r := good
+			r := goodReply
 			n, _ := strconv.Atoi(item[1:])
 			r.events, r.gap = int(list[n].Expected), gap
 			return r
@@ -422,8 +422,8 @@
 		a := w.start("a")
 		started := time.Now()
 		submit(t, a, spec("s"), list)
-		readWhole(t, a, "s")
-		if took := time.Since(started); took > long*gap+3*groupTime {
+		readUntilComplete(t, a, "s")
+		if took := time.Since(started); took > long*gap+3*commitDelay {
 			t.Errorf("the step took %s, its longest item takes %s", took, long*gap)
 		}
 	})
@@ -435,7 +435,7 @@
 func TestLastItemsMoveToIdleFasterEngines(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const events = 100
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		w.engines.behave["e1"] = func(string, int) reply {
 			return reply{status: http.StatusOK, version: 1, events: events, gap: 40 * time.Millisecond}
 		}
@@ -455,7 +455,7 @@
 		})
 		started := time.Now()
 		submit(t, a, spec("s"), items(1))
-		checkTexts(t, readWhole(t, a, "s"), events)
+		checkTexts(t, readUntilComplete(t, a, "s"), events)
 		if took := time.Since(started); took > 3500*time.Millisecond {
 			t.Errorf("the step took %s", took)
 		}
@@ -466,9 +466,9 @@
 // committed results must keep their positions and texts.
 func TestTakeoverAfterCrashKeepsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.gap = 100 * time.Millisecond
 			return r
 		}
@@ -480,7 +480,7 @@
 			t.Fatalf("%d results before the crash, %v", len(before), err)
 		}
 		w.crash(a)
-		after := readWhole(t, b, "s")
+		after := readUntilComplete(t, b, "s")
 		checkTexts(t, after, 3)
 		for i, r := range before {
 			if after[i].Item != r.Item || after[i].Text != r.Text {
@@ -494,14 +494,14 @@
 // generated again from its first event, the step would be delayed by the same time again.
 func TestTakeoverResumesLongText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.engines.behave[""] = paced(60, 100*time.Millisecond)
+		w := newCluster(t, "e1")
+		w.engines.behave[""] = pacedBehaviour(60, 100*time.Millisecond)
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), items(1))
 		time.Sleep(3 * time.Second)
 		w.crash(a)
 		started := time.Now()
-		checkTexts(t, readWhole(t, b, "s"), 60)
+		checkTexts(t, readUntilComplete(t, b, "s"), 60)
 		if took := time.Since(started); took > 5500*time.Millisecond {
 			t.Errorf("the rest of the step took %s", took)
 		}
@@ -518,10 +518,10 @@
 	}{{"versions fit", 1, 1}, {"too old", 2, 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				w := newWorld(t, "e1")
+				w := newCluster(t, "e1")
 				version := int64(1)
 				w.engines.behave[""] = func(item string, _ int) reply {
-					r := good
+					r := goodReply
 					r.version = version
 					if item == "i3" {
 						r.events, r.gap = 40, 100*time.Millisecond
@@ -541,7 +541,7 @@
 				next := spec("s2")
 				next.MinVersion = c.minVersion
 				submit(t, a, next, items(4)[2:])
-				for _, r := range readWhole(t, a, "s2") {
+				for _, r := range readUntilComplete(t, a, "s2") {
 					if r.Item == "i3" && (len(strings.Split(r.Text, "\n")) != 40 || c.runs == 1 && r.Versions[0] != 1 || c.runs == 2 && len(r.Versions) != 1) {
 						t.Errorf("the resubmitted item has the versions %v and %d events", r.Versions, len(strings.Split(r.Text, "\n")))
 					}
@@ -558,7 +558,7 @@
 // results that are not committed. If it could commit them, items would have two results.
 func TestFrozenOwnerCommitsNoResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a, b := w.start("a"), w.start("b")
 		w.store.SetFate(func(txn kept.Txn) memory.Fate {
 			if len(txn.Puts) > 0 && txn.Puts[0].Key.Table == resultTable {
@@ -572,10 +572,10 @@
 		w.dead["a"] = true
 		w.mu.Unlock()
 		w.store.SetFate(nil)
-		results := readWhole(t, b, "s")
+		results := readUntilComplete(t, b, "s")
 		w.store.RunLate()
 		checkTexts(t, results, 3)
-		reread := readWhole(t, b, "s")
+		reread := readUntilComplete(t, b, "s")
 		if len(reread) != 4 {
 			t.Errorf("%d results after the late commits, want 4", len(reread))
 		}
@@ -586,12 +586,12 @@
 // must continue the step.
 func TestAcceptedStepSurvivesLossOfAllVMs(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		submit(t, a, spec("s"), items(6))
 		w.crash(a)
 		time.Sleep(time.Second)
-		checkTexts(t, readWhole(t, w.start("c"), "s"), 3)
+		checkTexts(t, readUntilComplete(t, w.start("c"), "s"), 3)
 	})
 }
 
@@ -599,19 +599,19 @@
 // previous incarnation is dead, while the VMs that rank before it still consider it alive.
 func TestRestartedOwnerResumesAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
-		w.engines.behave[""] = paced(30, 50*time.Millisecond)
+		w := newCluster(t, "e1")
+		w.engines.behave[""] = pacedBehaviour(30, 50*time.Millisecond)
 		w.start("a")
 		owner := w.start("b")
 		submit(t, owner, spec("s"), items(4))
 		time.Sleep(300 * time.Millisecond)
 		owner.kill()
-		owner = w.startLife("b", "b-2")
+		owner = w.startIncarnation("b", "b-2")
 		began := time.Now()
 		for owner.runOf("s") == nil && time.Since(began) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if took := time.Since(began); took >= takeoverStep {
+		if took := time.Since(began); took >= takeoverRankDelay {
 			t.Errorf("the owner resumes the step %s after its restart", took)
 		}
 	})
@@ -621,9 +621,9 @@
 // the first one is detected as dead.
 func TestHandover(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.gap = 100 * time.Millisecond
 			return r
 		}
@@ -634,13 +634,13 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		a.Leave(ctx)
 		cancel()
-		// The VM that ranks second waits for takeoverStep, since the leaving VM is still
+		// The VM that ranks second waits for takeoverRankDelay, since the leaving VM is still
 		// ranked in this test.
-		time.Sleep(takeoverStep + 300*time.Millisecond)
+		time.Sleep(takeoverRankDelay + 300*time.Millisecond)
 		if b.runOf("s") == nil {
 			t.Error("VM b does not run the step after the handover")
 		}
-		checkTexts(t, readWhole(t, b, "s"), 3)
+		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 	})
 }
 
@@ -648,8 +648,8 @@
 // their results are of no use any more.
 func TestEndCancelsItemsAtOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
-		w.engines.behave[""] = paced(100, 100*time.Millisecond)
+		w := newCluster(t, "e1", "e2")
+		w.engines.behave[""] = pacedBehaviour(100, 100*time.Millisecond)
 		a, b := w.start("a"), w.start("b")
 		submit(t, a, spec("s"), items(8))
 		time.Sleep(500 * time.Millisecond)
@@ -672,14 +672,14 @@
 // next commit. The store must reject that commit.
 func TestResultsAfterEndAreRejected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newCluster(t)
 		b := w.start("b")
 		submit(t, b, spec("s"), items(4))
 		rec, _ := b.lookUp("s")
 		if err := b.End(t.Context(), "s", "acc"); err != nil {
 			t.Fatal(err)
 		}
-		puts, err := listing(t.Context(), w.store, "s", 0, []Result{{Item: "i0", Outcome: Completed}})
+		puts, err := resultPuts(t.Context(), w.store, "s", 0, []Result{{Item: "i0", Outcome: Completed}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -694,9 +694,9 @@
 // complete event, and the text must have no missing and no repeated event.
 func TestInterruptedTextResumes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		w.engines.behave[""] = func(_ string, n int) reply {
-			r := good
+			r := goodReply
 			if n == 1 {
 				r.breakAfter = 2
 			}
@@ -704,7 +704,7 @@
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), items(4))
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		w.engines.mu.Lock()
 		defer w.engines.mu.Unlock()
 		if len(w.engines.resumed) != 4 || !strings.HasSuffix(w.engines.resumed[0], " after 2") {
@@ -716,9 +716,9 @@
 // An engine omits an event. Without a check of the event IDs the text would seem complete.
 func TestMissingEventIsDetected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
-			r := good
+			r := goodReply
 			if n == 1 {
 				r.skip = 2
 			}
@@ -726,7 +726,7 @@
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), items(2))
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
 
@@ -734,25 +734,25 @@
 // contract allows and must not be committed.
 func TestResultsOfStaleWeightsAreDiscarded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		w.engines.behave["e1"] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.version = 4
 			return r
 		}
 		w.engines.behave["e2"] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.version = 6
 			return r
 		}
-		for i := range w.list {
-			w.list[i].Versions = map[string]int64{"m": 5}
+		for i := range w.instances {
+			w.instances[i].Versions = map[string]int64{"m": 5}
 		}
 		a := w.start("a")
 		s := spec("s")
 		s.MinVersion = 5
 		submit(t, a, s, items(6))
-		results := readWhole(t, a, "s")
+		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
 		for _, r := range results {
 			if len(r.Versions) != 1 || r.Versions[0] != 6 {
@@ -765,15 +765,15 @@
 // The weights change while a text is generated. The result must name both versions.
 func TestResultNamesAllWeightVersions(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
-			r := good
+			r := goodReply
 			r.changeAt = 2
 			return r
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), items(2))
-		for _, r := range readWhole(t, a, "s") {
+		for _, r := range readUntilComplete(t, a, "s") {
 			if len(r.Versions) != 2 || r.Versions[0] != 1 || r.Versions[1] != 2 {
 				t.Errorf("item %s names the versions %v", r.Item, r.Versions)
 			}
@@ -785,9 +785,9 @@
 // sample. The text must be generated again.
 func TestSingleVersionStepRetriesMixedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(_ string, n int) reply {
-			r := good
+			r := goodReply
 			if n == 1 {
 				r.changeAt = 2
 			} else {
@@ -799,7 +799,7 @@
 		s := spec("s")
 		s.SingleVersion = true
 		submit(t, a, s, items(2))
-		for _, r := range readWhole(t, a, "s") {
+		for _, r := range readUntilComplete(t, a, "s") {
 			if len(r.Versions) != 1 || r.Versions[0] != 2 {
 				t.Errorf("item %s names the versions %v", r.Item, r.Versions)
 			}
@@ -820,9 +820,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				w := newWorld(t, "e1")
+				w := newCluster(t, "e1")
 				w.engines.behave[""] = func(item string, _ int) reply {
-					r := good
+					r := goodReply
 					if item == "i1" {
 						r.status = c.status
 					}
@@ -830,7 +830,7 @@
 				}
 				a := w.start("a")
 				submit(t, a, spec("s"), items(2))
-				for _, r := range readWhole(t, a, "s") {
+				for _, r := range readUntilComplete(t, a, "s") {
 					if want := map[string]Outcome{"i0": Completed, "i1": Abandoned}[r.Item]; r.Outcome != want {
 						t.Errorf("item %s is %s", r.Item, r.Outcome)
 					}
@@ -848,9 +848,9 @@
 // have had far more attempts than its route allows.
 func TestTakeoverKeepsFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(item string, _ int) reply {
-			r := good
+			r := goodReply
 			if item == "i1" {
 				time.Sleep(time.Second)
 				r.status = http.StatusInternalServerError
@@ -861,7 +861,7 @@
 		submit(t, a, spec("s"), items(2))
 		time.Sleep(2900 * time.Millisecond)
 		w.crash(a)
-		for _, r := range readWhole(t, b, "s") {
+		for _, r := range readUntilComplete(t, b, "s") {
 			if r.Item == "i1" && r.Outcome != Abandoned {
 				t.Errorf("the item is %s", r.Outcome)
 			}
@@ -878,17 +878,17 @@
 // a burst of connections once they are reachable again.
 func TestInterruptedItemsBackOff(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		reachableAt := time.Now().Add(6 * time.Second)
 		w.engines.behave[""] = func(string, int) reply {
 			if time.Now().Before(reachableAt) {
 				return reply{}
 			}
-			return good
+			return goodReply
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), items(8))
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		if late := time.Since(reachableAt); late > 1500*time.Millisecond {
 			t.Errorf("the step was complete %s after the engines were reachable again", late)
 		}
@@ -904,9 +904,9 @@
 // transaction each, in addition to those of all other steps.
 func TestResultsAreCommittedInBatches(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2", "e3", "e4")
+		w := newCluster(t, "e1", "e2", "e3", "e4")
 		w.engines.behave[""] = func(item string, _ int) reply {
-			r := good
+			r := goodReply
 			n, _ := strconv.Atoi(item[1:])
 			r.gap = time.Duration(100+10*n) * time.Millisecond
 			return r
@@ -921,7 +921,7 @@
 		})
 		a := w.start("a")
 		submit(t, a, spec("s"), items(16))
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		if commits > 8 {
 			t.Errorf("16 results that finished within 0.5 s took %d commits", commits)
 		}
@@ -932,7 +932,7 @@
 // but not before.
 func TestItemsAreAbandonedOnlyAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		w.engines.behave[""] = func(string, int) reply {
 			return reply{status: http.StatusServiceUnavailable, notRun: true}
 		}
@@ -954,16 +954,16 @@
 // engine; otherwise they would delay the step until its deadline.
 func TestItemsMoveFromUnresponsiveEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1", "e2")
+		w := newCluster(t, "e1", "e2")
 		w.engines.behave["e1"] = func(string, int) reply {
-			r := good
+			r := goodReply
 			r.gap = time.Hour
 			return r
 		}
 		a := w.start("a")
 		submit(t, a, spec("s"), items(4))
 		started := time.Now()
-		checkTexts(t, readWhole(t, a, "s"), 3)
+		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		if took := time.Since(started); took > 3*time.Second {
 			t.Errorf("the step took %s", took)
 		}
@@ -974,7 +974,7 @@
 // report the step as unknown: the trainer would submit the step again from the start.
 func TestStepUnknownRequiresStoreAnswer(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		w.store.SetDown(true)
 		_, _, err := a.Results(t.Context(), "s", "acc", 0, 0)
@@ -991,7 +991,7 @@
 // Another client account requests a step whose ID it has guessed.
 func TestStepsOfOtherAccountsAreUnknown(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		submit(t, a, spec("s"), items(2))
 		if _, _, err := a.Results(t.Context(), "s", "other", 0, 0); !fault.Is[*fault.StepUnknown](err) {
@@ -1010,7 +1010,7 @@
 // by a VM that reads them from the store.
 func TestLargeItemsAndTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		list := items(4)
 		list[2].Body = []byte(strings.Repeat("\x00b", 900<<10))
@@ -1020,7 +1020,7 @@
 			t.Errorf("the body has %d bytes, %v", len(body), err)
 		}
 		long := Result{Item: "x", Outcome: Completed, Text: strings.Repeat("\x01t", 60<<10)}
-		puts, err := listing(t.Context(), w.store, "other", 0, []Result{long, {Item: "y", Outcome: Abandoned}})
+		puts, err := resultPuts(t.Context(), w.store, "other", 0, []Result{long, {Item: "y", Outcome: Abandoned}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -1034,7 +1034,7 @@
 		}
 		results, err := readResults(t.Context(), w.store, "other", 0)
 		if err == nil {
-			err = moveIn(t.Context(), w.store, results)
+			err = loadOffloadedTexts(t.Context(), w.store, results)
 		}
 		if err != nil || len(results) != 2 || results[0].Text != long.Text {
 			t.Errorf("%d results, %v", len(results), err)
@@ -1049,10 +1049,10 @@
 // store.
 func TestExpiredStepsAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newWorld(t, "e1")
+		w := newCluster(t, "e1")
 		a := w.start("a")
 		submit(t, a, spec("s"), items(2))
-		readWhole(t, a, "s")
+		readUntilComplete(t, a, "s")
 		if err := a.End(t.Context(), "s", "acc"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/step/sweep.go
+++ b/internal/step/sweep.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// sweepEvery is the interval at which expired steps are removed.
-	sweepEvery = 5 * time.Second
-	// keepSlack is a grace period added to the retention time of ended steps before they
+	// sweepInterval is the interval at which expired steps are removed.
+	sweepInterval = 5 * time.Second
+	// retentionGracePeriod is a grace period added to the retention time of ended steps before they
 	// are removed.
-	keepSlack = 30 * time.Second
-	// sweptAtOnce is the maximum number of rows removed in one transaction; the store
+	retentionGracePeriod = 30 * time.Second
+	// sweepMaxRows is the maximum number of rows removed in one transaction; the store
 	// accepts 100.
-	sweptAtOnce = 80
+	sweepMaxRows = 80
 )
 
 // sweep removes the rows and objects of expired steps. The state row is removed last,
@@ -27,7 +27,7 @@
 		return
 	}
 	for _, r := range m.expired(now) {
-		if err := m.remove(ctx, r); err != nil {
+		if err := m.removeStep(ctx, r); err != nil {
 			m.Events.Emit(event.DependencyLost, event.Subject{Step: r.ID, Detail: "removal of a step: " + err.Error()})
 			return
 		}
@@ -36,20 +36,20 @@
 
 // expired returns the ended steps whose retention has passed and that this VM ranks first
 // to remove.
-func (m *Manager) expired(now int64) []record {
+func (m *Manager) expired(now int64) []stateRecord {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var steps []record
-	for id, r := range m.known {
+	var steps []stateRecord
+	for id, r := range m.states {
 		age := time.Duration(now-r.SubmittedAt) * time.Millisecond
-		if r.Ended && age > m.Keep+keepSlack && m.Members.Rank(id) == 0 {
+		if r.Ended && age > m.Keep+retentionGracePeriod && m.Members.Rank(id) == 0 {
 			steps = append(steps, r)
 		}
 	}
 	return steps
 }
 
-func (m *Manager) remove(ctx context.Context, r record) error {
+func (m *Manager) removeStep(ctx context.Context, r stateRecord) error {
 	for _, name := range r.Objects {
 		if err := m.Store.DropObject(ctx, name); err != nil {
 			return err
@@ -61,7 +61,7 @@
 			return err
 		}
 		for len(rows) > 0 {
-			n := min(len(rows), sweptAtOnce)
+			n := min(len(rows), sweepMaxRows)
 			var txn kept.Txn
 			for _, row := range rows[:n] {
 				txn.Removes = append(txn.Removes, row.Key)
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -13,10 +13,10 @@
 	"dogwoodpond/internal/wait"
 )
 
-// considerLoop takes over steps without a live owner and removes expired steps, until ctx
+// takeoverLoop takes over steps without a live owner and removes expired steps, until ctx
 // ends.
-func (m *Manager) considerLoop(ctx context.Context) {
-	ticker := time.NewTicker(considerEvery)
+func (m *Manager) takeoverLoop(ctx context.Context) {
+	ticker := time.NewTicker(takeoverCheckInterval)
 	defer ticker.Stop()
 	lastSweep := time.Now()
 	for {
@@ -24,22 +24,22 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-m.look:
+		case <-m.takeoverSignal:
 		}
-		for _, r := range m.unowned(time.Now()) {
-			m.loops.Go(func() { m.takeOver(ctx, r) })
+		for _, r := range m.selectForTakeover(time.Now()) {
+			m.tasks.Go(func() { m.takeOver(ctx, r) })
 		}
-		if time.Since(lastSweep) > sweepEvery {
+		if time.Since(lastSweep) > sweepInterval {
 			lastSweep = time.Now()
 			m.sweep(ctx)
 		}
 	}
 }
 
-// unowned returns the steps that this VM should run but does not, and marks them
+// selectForTakeover returns the steps that this VM should run but does not, and marks them
 // as loading. A step is taken over when its owner's process is dead, by the VM that
 // ranks first for the step. Each further VM waits longer, according to its rank.
-func (m *Manager) unowned(now time.Time) []record {
+func (m *Manager) selectForTakeover(now time.Time) []stateRecord {
 	if !m.Members.Ready() {
 		return nil
 	}
@@ -48,25 +48,25 @@
 	if m.leaving {
 		return nil
 	}
-	var steps []record
-	for id, r := range m.known {
+	var steps []stateRecord
+	for id, r := range m.states {
 		if r.Ended || m.runs[id] != nil || m.loading[id] {
 			continue
 		}
 		if r.Owner != "" && m.Members.Alive(r.Owner, r.OwnerLife) && (r.Owner != m.VM || r.OwnerLife != m.Life) {
-			delete(m.orphan, id)
+			delete(m.unownedSince, id)
 			continue
 		}
-		since, ok := m.orphan[id]
+		since, ok := m.unownedSince[id]
 		if !ok {
 			since = now
-			m.orphan[id] = now
+			m.unownedSince[id] = now
 		}
 		// A step whose owner is this VM needs no waiting: an earlier incarnation of this
 		// VM is certainly dead, even while its status row still makes it look alive to
 		// others, for example after a power failure of all VMs.
 		ownRow := r.Owner == m.VM
-		if !ownRow && !m.mayTakeOver(r, now.Sub(since)) {
+		if !ownRow && !m.canTakeOver(r, now.Sub(since)) {
 			continue
 		}
 		m.loading[id] = true
@@ -75,18 +75,18 @@
 	return steps
 }
 
-// mayTakeOver reports whether this VM may take over a step that has had no live owner for
+// canTakeOver reports whether this VM may take over a step that has had no live owner for
 // the given time. The step's residency must allow this VM's failure domain, and the delay
 // that follows from this VM's rank must have passed.
-func (m *Manager) mayTakeOver(r record, unownedFor time.Duration) bool {
+func (m *Manager) canTakeOver(r stateRecord, unownedFor time.Duration) bool {
 	residency := m.stepResidency(r.Spec)
-	return residency.Allows(m.Domain) && unownedFor >= time.Duration(m.Members.RankWithin(r.ID, residency))*takeoverStep
+	return residency.Allows(m.Domain) && unownedFor >= time.Duration(m.Members.RankWithin(r.ID, residency))*takeoverRankDelay
 }
 
 // takeOver makes this VM the owner of a step and runs the items without a committed
 // result. The results are read after the change of owner: from then on no other VM can
 // commit any, so the read is complete.
-func (m *Manager) takeOver(ctx context.Context, r record) {
+func (m *Manager) takeOver(ctx context.Context, r stateRecord) {
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -98,7 +98,7 @@
 			return
 		}
 	}
-	for ctx.Err() == nil && m.stillMine(r) {
+	for ctx.Err() == nil && m.isCurrent(r) {
 		items, err := readItems(ctx, m.Store, r.State)
 		var committed []Result
 		if err == nil {
@@ -117,33 +117,33 @@
 		if fault.Is[*fault.Internal](err) {
 			m.Events.Emit(event.RowUnreadable, event.Subject{Step: r.ID, Detail: err.Error()})
 		}
-		wait.For(ctx, loadPause)
+		wait.For(ctx, loadBackoff)
 	}
 }
 
 // becomeOwner makes this VM the next owner of a step, unless the state row has changed
 // since r was read. From then on no other VM can commit results of the step. generated is
 // the share of the texts that an early run has generated; 0 without an early run.
-func (m *Manager) becomeOwner(ctx context.Context, r record, generated float64) (owned record, ok bool) {
+func (m *Manager) becomeOwner(ctx context.Context, r stateRecord, generated float64) (owned stateRecord, ok bool) {
 	next := r.State
 	next.Owner, next.OwnerLife, next.Nonce = m.VM, m.Life, uuid.NewString()
 	next.Made = generated
 	next.Epoch++
 	owned, ok, err := m.replaceState(ctx, r, next)
 	if err != nil {
-		m.notTaken(next, err)
+		m.emitTakeoverFailed(next, err)
 	}
 	return owned, ok && err == nil
 }
 
-// notTaken emits the event that this VM failed to take over a step.
-func (m *Manager) notTaken(next State, err error) {
+// emitTakeoverFailed emits the event that this VM failed to take over a step.
+func (m *Manager) emitTakeoverFailed(next State, err error) {
 	m.Events.Emit(event.StepNotTaken, event.Subject{Step: next.ID, Account: next.Account, Epoch: uint64(next.Epoch), Detail: err.Error()})
 }
 
-// stillMine reports whether r is still the newest known state of the step and the step has
+// isCurrent reports whether r is still the newest known state of the step and the step has
 // not ended.
-func (m *Manager) stillMine(r record) bool {
+func (m *Manager) isCurrent(r stateRecord) bool {
 	known, ok := m.lookUp(r.ID)
 	return ok && known.version == r.version && !known.Ended
 }
