--- a/internal/step/accept.go
+++ b/internal/step/accept.go
@@ -62,7 +62,7 @@
 // the same model. That process knows how many slots of the model's engines are in use
 // and has connections to them, whereas two owners would fill the same slots. During an
 // outage of the store this VM becomes the owner, because its items can start here at once.
-func (m *Manager) ownerFor(spec Spec) (vm, life string) {
+func (m *Manager) ownerFor(spec Spec) (vm, incarnation string) {
 	if p, ok := m.Prefer(spec.Model, m.stepResidency(spec)); ok && m.StoreWell() {
 		return p.VM, p.Life
 	}
@@ -125,8 +125,8 @@
 	return nil
 }
 
-// deleteUnusedObjects removes the objects of a copy of a step that was not accepted. An object that
-// can't be removed stays in the store and is reported by an event.
+// deleteUnusedObjects deletes the objects of a copy of a step that was not accepted. An object
+// that can't be deleted stays in the store and is reported by an event.
 func (m *Manager) deleteUnusedObjects(objects []string) {
 	for _, name := range objects {
 		if err := m.Store.DropObject(m.ctx, name); err != nil {
@@ -135,6 +135,7 @@
 	}
 }
 
+// notStored returns the error of a submission that was not accepted and never will be.
 func notStored(err error) error {
 	return fault.WithExecution(&retryAfterError{cause: err}, fault.NotRun)
 }
@@ -150,6 +151,8 @@
 // RetryAfter implements fault.RetryAfterer.
 func (*retryAfterError) RetryAfter() time.Duration { return submitRetryAfter }
 
+// sameAccount fails with *fault.StepMismatch when the known step r belongs to another account
+// than the submission.
 func sameAccount(r stateRecord, spec Spec) error {
 	if r.Account != spec.Account {
 		return errors.WithStack(&fault.StepMismatch{Step: spec.ID})
--- a/internal/step/cluster_test.go
+++ b/internal/step/cluster_test.go
@@ -36,18 +36,19 @@
 	mu   sync.Mutex
 	dead map[string]bool
 	vms  map[string]*testVM
-	// preferred, if set, is the VM that becomes the owner of all new steps.
+	// preferred, if set, is the VM that becomes the owner of new steps.
 	preferred string
-	// domains maps VMs that are not in failure domain "x" to their domains. configuration
-	// is the configuration of VMs that are started from now on.
-	domains       map[string]string
+	// domains maps VMs that are not in failure domain "x" to their domains.
+	domains map[string]string
+	// configuration is the configuration of VMs that are started from now on.
 	configuration *route.Snapshot
 }
 
-func (w *cluster) prefer(string, route.Residency) (Process, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return Process{VM: w.preferred, Life: w.preferred + "-1"}, w.preferred != ""
+// preferredOwner implements Config.Prefer.
+func (cl *cluster) preferredOwner(string, route.Residency) (Process, bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return Process{VM: cl.preferred, Life: cl.preferred + "-1"}, cl.preferred != ""
 }
 
 // testVM is the manager of one VM, and the function that kills it.
@@ -58,79 +59,79 @@
 
 // newCluster returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
 func newCluster(t *testing.T, engineIDs ...string) *cluster {
-	w := &cluster{t: t, store: memory.New(), engines: &fakeEngines{behave: map[string]behaviour{}, attempts: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*testVM{}, domains: map[string]string{}, configuration: configuration(1, true)}
-	w.scorer = &fakeScorer{engines: w.engines, calls: map[string]int{}}
-	w.instances = append(w.instances, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
+	cl := &cluster{t: t, store: memory.New(), engines: &fakeEngines{behave: map[string]behaviour{}, attempts: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*testVM{}, domains: map[string]string{}, configuration: configuration(1, true)}
+	cl.scorer = &fakeScorer{engines: cl.engines, calls: map[string]int{}}
+	cl.instances = append(cl.instances, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
 	for _, id := range engineIDs {
-		w.instances = append(w.instances, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
+		cl.instances = append(cl.instances, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
-	return w
+	return cl
 }
 
 // start starts the first incarnation of a VM.
-func (w *cluster) start(name string) *testVM { return w.startIncarnation(name, name+"-1") }
+func (cl *cluster) start(name string) *testVM { return cl.startIncarnation(name, name+"-1") }
 
 // startIncarnation starts an incarnation of a VM.
-func (w *cluster) startIncarnation(name, life string) *testVM {
+func (cl *cluster) startIncarnation(name, incarnation string) *testVM {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
-	roster.Replace(w.instances)
+	roster.Replace(cl.instances)
 	view := route.NewView()
-	view.Offer(w.configuration)
+	view.Offer(cl.configuration)
 	domain := "x"
-	if other, ok := w.domains[name]; ok {
+	if other, ok := cl.domains[name]; ok {
 		domain = other
 	}
-	ctx, kill := context.WithCancel(w.t.Context())
+	ctx, kill := context.WithCancel(cl.t.Context())
 	v := &testVM{kill: kill, Manager: NewManager(Config{
 		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: life, Domain: domain, Store: w.store, Clock: w.store, Members: fakeMembers{w, name, life},
-		View: view, Roster: roster, Caller: w.engines, Scorer: w.scorer, Events: events, Keep: time.Minute,
+		VM:    name, Life: incarnation, Domain: domain, Store: cl.store, Clock: cl.store, Members: fakeMembers{cl, name, incarnation},
+		View: view, Roster: roster, Caller: cl.engines, Scorer: cl.scorer, Events: events, Keep: time.Minute,
 		Named:     func(string) (int64, bool) { return 1, true },
-		Prefer:    w.prefer,
+		Prefer:    cl.preferredOwner,
 		StoreWell: func() bool { return true },
 	})}
-	w.mu.Lock()
-	w.vms[name] = v
-	w.mu.Unlock()
+	cl.mu.Lock()
+	cl.vms[name] = v
+	cl.mu.Unlock()
 	go v.Run(ctx)
-	w.t.Cleanup(kill)
+	cl.t.Cleanup(kill)
 	return v
 }
 
 // crash kills a VM without handing its steps over.
-func (w *cluster) crash(v *testVM) {
-	w.mu.Lock()
-	w.dead[v.VM] = true
-	w.mu.Unlock()
+func (cl *cluster) crash(v *testVM) {
+	cl.mu.Lock()
+	cl.dead[v.VM] = true
+	cl.mu.Unlock()
 	v.kill()
 }
 
 // fakeMembers is a fake member list, as seen by one VM.
 type fakeMembers struct {
-	w                 *cluster
+	cluster           *cluster
 	self, incarnation string
 }
 
 func (m fakeMembers) Ready() bool { return true }
 
-func (m fakeMembers) Alive(id, life string) bool {
+func (m fakeMembers) Alive(id, incarnation string) bool {
 	if id == m.self {
-		return life == m.incarnation
+		return incarnation == m.incarnation
 	}
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	return !m.w.dead[id]
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	return !m.cluster.dead[id]
 }
 
-func (m fakeMembers) Rank(work string) int { return m.RankWithin(work, route.Residency{}) }
+func (m fakeMembers) Rank(duty string) int { return m.RankWithin(duty, route.Residency{}) }
 
 func (m fakeMembers) RankWithin(_ string, residency route.Residency) int {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	rank := 0
-	for name, v := range m.w.vms {
-		if name < m.self && !m.w.dead[name] && residency.Allows(v.Domain) {
+	for name, v := range m.cluster.vms {
+		if name < m.self && !m.cluster.dead[name] && residency.Allows(v.Domain) {
 			rank++
 		}
 	}
@@ -158,10 +159,11 @@
 	changeAt int
 }
 
+// goodReply is a complete text of three events.
 var goodReply = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
 
-// pacedBehaviour returns the behaviour of an engine that completes each attempt, with a fixed time
-// between events.
+// pacedBehaviour returns the behaviour of an engine that completes each attempt, with a fixed
+// time between events.
 func pacedBehaviour(events int, gap time.Duration) behaviour {
 	r := goodReply
 	r.events, r.gap = events, gap
@@ -247,7 +249,7 @@
 }
 
 // configuration returns a version of the configuration, with or without the route of the
-// scoring calls.
+// score calls.
 func configuration(version int64, scores bool) *route.Snapshot {
 	routes := []*route.Route{{
 		Name: "r", Host: "h", Prefix: "/s/", Kind: route.Steps, Split: []route.Share{{Service: "lm", Weight: 1}},
@@ -268,23 +270,23 @@
 
 	mu    sync.Mutex
 	calls map[string]int
-	// earlyCalls holds the items whose scoring call came before their text was complete.
+	// earlyCalls holds the items whose score call came before their text was complete.
 	earlyCalls []string
 }
 
-func (j *fakeScorer) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
+func (s *fakeScorer) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
 	item := string(call.Body)
-	j.engines.mu.Lock()
-	finished := j.engines.finished[item]
-	j.engines.mu.Unlock()
-	j.mu.Lock()
-	j.calls[item]++
-	n := j.calls[item]
+	s.engines.mu.Lock()
+	finished := s.engines.finished[item]
+	s.engines.mu.Unlock()
+	s.mu.Lock()
+	s.calls[item]++
+	n := s.calls[item]
 	if finished == 0 {
-		j.earlyCalls = append(j.earlyCalls, item)
+		s.earlyCalls = append(s.earlyCalls, item)
 	}
-	behave := j.behave
-	j.mu.Unlock()
+	behave := s.behave
+	s.mu.Unlock()
 	if behave != nil {
 		if err := behave(ctx, item, n); err != nil {
 			return "", err
@@ -293,10 +295,10 @@
 	return "score of " + call.ID, nil
 }
 
-func (j *fakeScorer) count(item string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.calls[item]
+func (s *fakeScorer) count(item string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls[item]
 }
 
 // scoredItems returns n items whose texts need a score.
@@ -308,19 +310,19 @@
 	return list
 }
 
-// checkScores checks that each item has its own score, and that no scoring call was made
+// checkScores checks that each item has its own score, and that no score call was made
 // before the text was complete.
-func (w *cluster) checkScores(results []Result) {
-	w.t.Helper()
+func (cl *cluster) checkScores(results []Result) {
+	cl.t.Helper()
 	for _, r := range results {
 		if r.Score != "score of call-"+r.Item {
-			w.t.Errorf("item %s has the score %q", r.Item, r.Score)
+			cl.t.Errorf("item %s has the score %q", r.Item, r.Score)
 		}
 	}
-	w.scorer.mu.Lock()
-	defer w.scorer.mu.Unlock()
-	if len(w.scorer.earlyCalls) > 0 {
-		w.t.Errorf("scoring calls were made before the texts of %v were complete", w.scorer.earlyCalls)
+	cl.scorer.mu.Lock()
+	defer cl.scorer.mu.Unlock()
+	if len(cl.scorer.earlyCalls) > 0 {
+		cl.t.Errorf("score calls were made before the texts of %v were complete", cl.scorer.earlyCalls)
 	}
 }
 
--- a/internal/step/commit.go
+++ b/internal/step/commit.go
@@ -39,7 +39,7 @@
 			wait.For(r.ctx, commitDelay)
 		}
 		if r.commitBatch(r.ctx) {
-			r.signalMore()
+			r.signalUncommitted()
 		}
 	}
 }
@@ -64,22 +64,23 @@
 	return len(r.uncommitted)
 }
 
-// signalMore notifies commitLoop of finished results.
-func (r *run) signalMore() {
+// signalUncommitted notifies commitLoop of finished results.
+func (r *run) signalUncommitted() {
 	select {
 	case r.uncommittedCh <- struct{}{}:
 	default:
 	}
 }
 
-// isBatchFull reports whether the queued results are worth a commit before commitDelay has passed.
+// isBatchFull reports whether the queued results are worth a commit before commitDelay has
+// passed.
 func (r *run) isBatchFull() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.uncommittedBytes >= commitBatchBytes
 }
 
-// flush commits all finished results, until a commit fails or ctx ends.
+// flush commits all finished results. It stops when a commit fails or ctx ends.
 func (r *run) flush(ctx context.Context) {
 	more := true
 	for more && ctx.Err() == nil {
@@ -87,23 +88,23 @@
 	}
 }
 
-// nextBatch returns the next results to commit and the position of the first. They stay in the
-// queue until they are committed.
+// nextBatch returns the next results to commit and the position of the first. They stay in
+// uncommitted until markCommitted removes them.
 func (r *run) nextBatch() ([]Result, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	const atOnce = 60
+	const maxResults = 60
 	n, size := 0, 0
-	for n < len(r.uncommitted) && n < atOnce && (n == 0 || size < commitBatchBytes) {
+	for n < len(r.uncommitted) && n < maxResults && (n == 0 || size < commitBatchBytes) {
 		size += len(r.uncommitted[n].Text)
 		n++
 	}
 	return append([]Result(nil), r.uncommitted[:n]...), len(r.committed)
 }
 
-// commitResults commits results at a position and reports whether another batch may follow: after a
-// commit, or, once loadBackoff has passed, after a failure to store a text that is too large
-// for a row.
+// commitResults commits results at a position and reports whether another batch may follow:
+// after a commit, or, once loadBackoff has passed, after a failure to store a text that is too
+// large for a row.
 func (r *run) commitResults(ctx context.Context, batch []Result, position int) bool {
 	rec := r.current()
 	puts, err := resultPuts(ctx, r.m.Store, rec.ID, position, batch)
@@ -144,7 +145,7 @@
 	r.m.stop(r)
 }
 
-// markCommitted moves committed results from queue to listed and notifies readers.
+// markCommitted moves a batch from uncommitted to committed and notifies readers.
 func (r *run) markCommitted(batch []Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/step/demand.go
+++ b/internal/step/demand.go
@@ -6,10 +6,11 @@
 	Steps int
 	// Work is the expected number of output tokens of the latest step.
 	Work float64
-	// Behind is how many versions the oldest version that the latest step allows was
-	// behind the version that the trainer had announced last when the step was submitted.
+	// Behind is the version lag of the latest step: the number of versions from the oldest one
+	// that it allows to the one that the trainer had announced last when it was submitted.
 	Behind int64
-	// SingleVersion is that of the latest step.
+	// SingleVersion is true when the latest step requires each sample to come from a single
+	// weight version.
 	SingleVersion bool
 	// Items is the number of items of the largest known step.
 	Items int
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -17,8 +17,9 @@
 	// waits for this time multiplied by the share of its texts that is not generated yet,
 	// so that those that have progressed further claim the step first.
 	claimMaxDelay = 200 * time.Millisecond
-	// claimMaxRemainingRatio limits claims from another early run: the share of the texts that is not
-	// generated here must be at most claimMaxRemainingRatio times the share that was missing there.
+	// claimMaxRemainingRatio limits claims from another early run: the share of the texts that is
+	// not generated here must be at most claimMaxRemainingRatio times the share that was missing
+	// there.
 	claimMaxRemainingRatio = 0.7
 	// claimTimeout is the timeout of a change of owner to an early run.
 	claimTimeout = 2 * time.Second
@@ -146,13 +147,13 @@
 	if !ok {
 		return false
 	}
-	listed, err := run.adoptCommitted(ctx, m)
+	committed, err := run.adoptCommitted(ctx, m)
 	if err != nil {
 		m.emitTakeoverFailed(owned.State, err)
 	}
 	if err != nil || !e.accept(owned) {
 		return false
 	}
-	m.emitOwned(owned, listed)
+	m.emitOwned(owned, committed)
 	return true
 }
--- a/internal/step/firstsender.go
+++ b/internal/step/firstsender.go
@@ -10,14 +10,13 @@
 	"dogwoodpond/internal/target"
 )
 
-// openStep is the owner of an open step, with the requirements of the step on engines. An
-// owner of several open steps has one sender for each.
+// openStep is an open step with its owner and its requirements on engines.
 type openStep struct {
-	vm         string
+	owner      string
 	model      string
 	minVersion int64
-	// since is when this VM learned that the owner owns the step.
-	since time.Time
+	// ownerKnownSince is when this VM learned that the owner owns the step.
+	ownerKnownSince time.Time
 	// residency limits the failure domains of the engines.
 	residency route.Residency
 }
@@ -27,7 +26,7 @@
 	return s.residency.Allows(e.Info().FailureDomain) && (s.model == "" || e.Version(s.model) >= s.minVersion)
 }
 
-// openSteps returns the owners of the open steps, as this VM knows them from the state
+// openSteps returns the open steps that have an owner, as this VM knows them from the state
 // rows.
 func (m *Manager) openSteps() []openStep {
 	m.mu.Lock()
@@ -35,24 +34,24 @@
 	var all []openStep
 	for _, r := range m.states {
 		if !r.Ended && r.Owner != "" {
-			all = append(all, openStep{vm: r.Owner, model: r.Model, minVersion: r.MinVersion, since: r.ownerKnownSince, residency: m.stepResidency(r.Spec)})
+			all = append(all, openStep{owner: r.Owner, model: r.Model, minVersion: r.MinVersion, ownerKnownSince: r.ownerKnownSince, residency: m.stepResidency(r.Spec)})
 		}
 	}
 	return all
 }
 
-// firstSenderBufferSize is the number of open steps up to which the choice of a first sender allocates
-// no memory.
+// firstSenderBufferSize is the number of open steps up to which the choice of a first sender
+// allocates no memory.
 const firstSenderBufferSize = 16
 
-// firstSenderOf returns the VM that ranks first for an engine among the owners of the steps that
-// the engine can serve; ok is false when there are none.
+// firstSenderOf returns the VM that ranks first for an engine among the owners of the steps
+// that the engine can serve; ok is false when there are none.
 func firstSenderOf(all []openStep, e *target.Entry) (vm string, ok bool) {
 	var buf [firstSenderBufferSize]string
 	eligible := buf[:0]
 	for _, s := range all {
 		if s.canBeServedBy(e) {
-			eligible = append(eligible, s.vm)
+			eligible = append(eligible, s.owner)
 		}
 	}
 	return lease.First("engine/"+e.Info().ID, eligible)
@@ -66,10 +65,10 @@
 	// time it may be the first sender of an engine. Trainers submit steps at the same
 	// moment, and until the state rows have reached all VMs, each owner knows only itself.
 	ownerGracePeriod = 500 * time.Millisecond
-	// firstSenderStatesMaxAge is the maximum age of the states for being the first sender of an engine.
-	// It is shorter than the grace period of owners. So the first sender knows all owners
-	// whose grace period has passed. It also stops being first as soon as it learns of an
-	// owner that ranks before it, while the grace period of that owner has not passed yet.
+	// firstSenderStatesMaxAge is the maximum age of the states for being the first sender of an
+	// engine. It is shorter than ownerGracePeriod. So the first sender knows all owners whose
+	// grace period has passed. It also stops being first as soon as it learns of an owner that
+	// ranks before it, while the grace period of that owner has not passed yet.
 	firstSenderStatesMaxAge = 400 * time.Millisecond
 	// ownerWatchTimeout is the timeout of the watch calls of a VM that owns steps. It keeps the
 	// age of the states below the limit for first senders while nothing changes.
@@ -93,7 +92,7 @@
 		return false, ok
 	}
 	return slices.ContainsFunc(all, func(s openStep) bool {
-		return s.vm == m.VM && s.canBeServedBy(e) && now.Sub(s.since) >= ownerGracePeriod
+		return s.owner == m.VM && s.canBeServedBy(e) && now.Sub(s.ownerKnownSince) >= ownerGracePeriod
 	}), true
 }
 
@@ -105,14 +104,15 @@
 	return watchTimeout
 }
 
-// stateWatchInterval returns the minimum interval between two such calls. Few VMs own steps, so the
-// store can take the more frequent calls of owners at any size of the fleet.
+// stateWatchInterval returns the minimum interval between two watch calls on the state rows.
+// Few VMs own steps, so the store can take the more frequent calls of owners at any size of
+// the fleet.
 func (m *Manager) stateWatchInterval() time.Duration {
-	pace := m.Calls.Period(budget.Steps, minWatchInterval)
+	interval := m.Calls.Period(budget.Steps, minWatchInterval)
 	if m.ownsSteps() {
-		return min(pace, ownerWatchTimeout)
+		return min(interval, ownerWatchTimeout)
 	}
-	return pace
+	return interval
 }
 
 // ownsSteps reports whether this VM owns an open step.
@@ -127,9 +127,10 @@
 	return false
 }
 
-// withOtherFirstSender returns the engines for which another VM that owns an open step ranks first.
+// withOtherFirstSender returns the engines for which another VM that owns an open step ranks
+// first.
 //
-// It matters when trainers submit their steps at the same moment. Engines that have just
+// This matters when trainers submit their steps at the same moment. Engines that have just
 // started have the newest version of every model, and no owner sees yet what another one
 // sends. All owners would fill the same engines, and most items would wait in the queues of
 // these engines.
@@ -147,11 +148,12 @@
 // pool holds the engines of a service during one pass of the dispatcher over the items.
 type pool struct {
 	engines []*target.Entry
-	// otherFirstSender contains the engines for which another owner ranks first.
+	// otherFirstSender contains the engines for which another VM that owns an open step ranks
+	// first.
 	otherFirstSender map[*target.Entry]bool
 }
 
-// pool returns the engines of a service that may get work now.
+// pool returns the engines of a service that may receive items now.
 func (m *Manager) pool(service string, now time.Time) pool {
 	engines := m.engines(service, now)
 	return pool{engines: engines, otherFirstSender: m.withOtherFirstSender(engines)}
--- a/internal/step/firstsender_test.go
+++ b/internal/step/firstsender_test.go
@@ -19,9 +19,9 @@
 // engine, because none of them can read the owners of the open steps.
 func TestNoFirstSenderWithoutStepStates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
+		a := cl.start("a")
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(ownerGracePeriod)
@@ -29,12 +29,12 @@
 		if first, ok := a.FirstSender(e); !first || !ok {
 			t.Fatal("the only owner is not the first sender")
 		}
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		time.Sleep(firstSenderStatesMaxAge + time.Second)
 		if first, ok := a.FirstSender(e); first || !ok {
 			t.Error("a VM that can't read the states is the first sender")
 		}
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		time.Sleep(2 * time.Second)
 		if first, _ := a.FirstSender(e); !first {
 			t.Error("the owner is not the first sender after the store's outage")
@@ -47,13 +47,13 @@
 // unreadable for a short time and each owner knows only itself.
 func TestAtMostOneFirstSenderDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3")
+		cl := newCluster(t, "e1", "e2", "e3")
 		var owners []*testVM
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
-			owners = append(owners, w.start(name))
+			owners = append(owners, cl.start(name))
 		}
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		time.Sleep(300 * time.Millisecond)
 		for i, v := range owners {
 			v.recordState(openStepRecord(fmt.Sprint("s", i), v.VM, int64(i+1)))
@@ -79,8 +79,8 @@
 // the previous first sender learns late of an owner that ranks before it.
 func TestFirstSenderStopsBeforeNextStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3", "e4")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2", "e3", "e4")
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
 		b.recordState(openStepRecord("s1", "b", 1))
 		a.recordState(openStepRecord("s1", "b", 1))
@@ -106,9 +106,9 @@
 // its watch calls must return often enough to keep the states fresh.
 func TestOwnerStaysFirstSenderWhileNothingChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = pacedBehaviour(1000, 50*time.Millisecond)
+		a := cl.start("a")
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(ownerGracePeriod + watchTimeout)
@@ -126,8 +126,8 @@
 // each other.
 func TestColdEngineHasOneFirstSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3", "e4")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2", "e3", "e4")
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
 		steps := []stateRecord{
 			openStepRecord("s1", "a", 1),
@@ -168,8 +168,8 @@
 // Guards against a cold engine that no VM may use because no step is open: the caller has
 // to learn that there are no owners to choose from.
 func TestNoFirstSenderWithoutOpenSteps(t *testing.T) {
-	w := newCluster(t, "e1")
-	a := w.start("a")
+	cl := newCluster(t, "e1")
+	a := cl.start("a")
 	a.statesReadAt.Store(time.Now().UnixNano())
 	e := a.Roster.Service("lm")[0]
 	if first, ok := a.FirstSender(e); first || ok {
@@ -181,29 +181,29 @@
 // waits for that domain. Items that run there already are not interrupted.
 func TestStepCompletesOutsideEvacuatedDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.instances[2].FailureDomain = "y"
-		w.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
-		a := w.start("a")
+		cl := newCluster(t, "e1", "e2")
+		cl.instances[2].FailureDomain = "y"
+		cl.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
+		a := cl.start("a")
 		if err := a.Submit(t.Context(), spec("s"), items(40)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(500 * time.Millisecond)
 		a.Roster.Evacuate("y")
-		w.engines.mu.Lock()
-		started := len(w.engines.attempts)
-		w.engines.mu.Unlock()
+		cl.engines.mu.Lock()
+		started := len(cl.engines.attempts)
+		cl.engines.mu.Unlock()
 		if results := readUntilComplete(t, a, "s"); len(results) != 40 {
 			t.Fatalf("%d results", len(results))
 		}
-		w.engines.mu.Lock()
-		defer w.engines.mu.Unlock()
+		cl.engines.mu.Lock()
+		defer cl.engines.mu.Unlock()
 		inEvacuated := 0
-		for _, runs := range w.engines.attempts {
-			if len(runs) != 1 {
-				t.Errorf("an item ran at %v", runs)
+		for _, engines := range cl.engines.attempts {
+			if len(engines) != 1 {
+				t.Errorf("an item had attempts at %v, want one attempt", engines)
 			}
-			if runs[0] == "e2" {
+			if engines[0] == "e2" {
 				inEvacuated++
 			}
 		}
@@ -217,12 +217,12 @@
 // started, and against a step that is late because it waits for engines to warm up.
 func TestStepStartsOnColdEnginesWithinSlowStartRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3")
-		for i := range w.instances {
-			w.instances[i].ColdFor = 3 * time.Second
+		cl := newCluster(t, "e1", "e2", "e3")
+		for i := range cl.instances {
+			cl.instances[i].ColdFor = 3 * time.Second
 		}
-		w.engines.behave[""] = pacedBehaviour(5, 20*time.Millisecond)
-		a := w.start("a")
+		cl.engines.behave[""] = pacedBehaviour(5, 20*time.Millisecond)
+		a := cl.start("a")
 		const bound = 19
 		a.Roster.SetSlowStarts(map[string]target.SlowStart{"lm": {PerSecond: bound, Warmup: 3 * time.Second}})
 		began := time.Now()
@@ -230,12 +230,12 @@
 			t.Fatal(err)
 		}
 		time.Sleep(1100 * time.Millisecond)
-		w.engines.mu.Lock()
+		cl.engines.mu.Lock()
 		counts := map[string]int{}
-		for _, runs := range w.engines.attempts {
-			counts[runs[0]]++
+		for _, engines := range cl.engines.attempts {
+			counts[engines[0]]++
 		}
-		w.engines.mu.Unlock()
+		cl.engines.mu.Unlock()
 		for _, id := range []string{"e1", "e2", "e3"} {
 			// Two other VMs may have been the first sender just before, and sent as much.
 			if n := counts[id]; n == 0 || 3*n > bound {
@@ -255,12 +255,12 @@
 // steps filled the same engines at the same moment, while other engines had free slots.
 func TestOwnersDontFillTheSameEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
-		for i := range w.instances {
-			w.instances[i].Versions = map[string]int64{"m": 1, "n": 1}
+		cl := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
+		for i := range cl.instances {
+			cl.instances[i].Versions = map[string]int64{"m": 1, "n": 1}
 		}
-		w.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
-		a, b := w.start("a"), w.start("b")
+		cl.engines.behave[""] = pacedBehaviour(20, 50*time.Millisecond)
+		a, b := cl.start("a"), cl.start("b")
 		withModel := func(id, model string) Spec {
 			s := spec(id)
 			s.Model = model
@@ -273,14 +273,14 @@
 		submit(t, a, withModel("s2", "m"), items(24))
 		submit(t, b, withModel("s3", "n"), otherItems(24))
 		time.Sleep(100 * time.Millisecond)
-		w.engines.mu.Lock()
+		cl.engines.mu.Lock()
 		at := map[string]int{}
-		for item, runs := range w.engines.attempts {
+		for item, engines := range cl.engines.attempts {
 			if item != "i0" {
-				at[runs[len(runs)-1]]++
+				at[engines[len(engines)-1]]++
 			}
 		}
-		w.engines.mu.Unlock()
+		cl.engines.mu.Unlock()
 		const slots = 4
 		for id, n := range at {
 			if n > slots+unknownLoadMaxItems {
--- a/internal/step/item.go
+++ b/internal/step/item.go
@@ -69,8 +69,8 @@
 	r.handleOutcome(i, n, entry, outcome)
 }
 
-// handleOutcome handles the outcome of one attempt at an item: it finishes the item or queues the
-// next attempt.
+// handleOutcome handles the outcome of one attempt at an item: it finishes the item or queues
+// the next attempt.
 func (r *run) handleOutcome(i int, n need, entry *target.Entry, outcome attemptOutcome) {
 	now := time.Now()
 	read := r.text(i)
@@ -125,9 +125,9 @@
 	return backoff
 }
 
-// String returns the outcome as it stands in events and metrics.
-func (e attemptOutcome) String() string {
-	return [...]string{"whole", "broke off", "refused unrun", "failed", "impossible", "moved", "too old weights"}[e]
+// String returns the name of the outcome in events and metrics.
+func (o attemptOutcome) String() string {
+	return [...]string{"whole", "broke off", "refused unrun", "failed", "impossible", "moved", "too old weights"}[o]
 }
 
 // handleComplete handles an item whose text is complete. A text whose weight versions the step
@@ -259,7 +259,7 @@
 	text := a.run.text(a.index)
 	version := response.Version
 	events := eventstream.NewReader(response.Body)
-	pace := unitTimeMeter{started: time.Now()}
+	meter := unitTimeMeter{started: time.Now()}
 	for {
 		e, err := events.Next()
 		if err == io.EOF {
@@ -288,8 +288,8 @@
 		}
 		text.add(e, version)
 		a.run.setText(a.index, text)
-		if pace.addEvent() {
-			a.checkSpeed(&pace)
+		if meter.addEvent() {
+			a.checkSpeed(&meter)
 		}
 	}
 }
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -41,12 +41,11 @@
 	// Ready reports whether the list has been read.
 	Ready() bool
 	// Alive reports whether an incarnation of a VM is alive.
-	Alive(id, life string) bool
-	// Rank returns the position of this VM, from 0, in the order of the live VMs for a
-	// piece of work.
-	Rank(work string) int
+	Alive(id, incarnation string) bool
+	// Rank returns the position of this VM, from 0, when the live VMs are ranked for a duty.
+	Rank(duty string) int
 	// RankWithin is Rank among the VMs of the failure domains that a residency allows.
-	RankWithin(work string, residency route.Residency) int
+	RankWithin(duty string, residency route.Residency) int
 }
 
 // Process identifies one incarnation of a VM's process.
@@ -71,7 +70,8 @@
 	Prefer func(model string, residency route.Residency) (p Process, ok bool)
 	// StoreWell reports whether the store is available.
 	StoreWell func() bool
-	Calls     *budget.Budget
+	// Calls limits the rate of the watch calls.
+	Calls *budget.Budget
 	// Keep is how long ended steps remain readable after their submission.
 	Keep time.Duration
 }
@@ -79,23 +79,32 @@
 // Manager accepts, owns, runs and reads steps. It is safe for concurrent use.
 type Manager struct {
 	Config
+	// dispatchSignal notifies the dispatcher, without waiting for its next tick.
 	dispatchSignal chan struct{}
-	lanes          *scoring.Lanes
+	// callLimiter limits the score calls that are in progress at each service.
+	callLimiter *scoring.Lanes
 	// takeoverSignal notifies the takeover loop, without waiting for its next tick.
 	takeoverSignal chan struct{}
 	// statesReadAt is when the state rows were last read, in Unix nanoseconds.
 	statesReadAt atomic.Int64
 
-	mu           sync.Mutex
-	states       map[string]stateRecord
-	runs         map[string]*run
-	loading      map[string]bool
+	// mu guards the fields down to noNewRuns. The maps have the step's ID as key.
+	mu sync.Mutex
+	// states holds the newest known state of each step.
+	states map[string]stateRecord
+	// runs holds the steps that run on this VM.
+	runs map[string]*run
+	// loading holds the steps that this VM is taking over.
+	loading map[string]bool
+	// unownedSince is when this VM first found that a step has no live owner.
 	unownedSince map[string]time.Time
 	retained     *retainedTexts
-	leaving      bool
+	// leaving is true once this VM hands over its steps.
+	leaving bool
 	// noNewRuns is true once Run waits for the remaining runs to end.
 	noNewRuns bool
 
+	// tasks counts the goroutines of the runs and other work in the background.
 	tasks sync.WaitGroup
 	// ctx is the parent context of the runs. It is created with the manager rather than
 	// by Run: a step may be accepted before Run starts, and its run must end with the
@@ -110,7 +119,7 @@
 	return &Manager{
 		Config:         c,
 		dispatchSignal: make(chan struct{}, 1),
-		lanes:          scoring.NewLanes(),
+		callLimiter:    scoring.NewLanes(),
 		takeoverSignal: make(chan struct{}, 1),
 		states:         make(map[string]stateRecord),
 		runs:           make(map[string]*run),
@@ -140,8 +149,8 @@
 	loops.Go(func() { m.takeoverLoop(ctx) })
 	loops.Go(func() { m.dispatchLoop(ctx) })
 	loops.Wait()
-	// A step that is submitted from here on must not start a run, because the
-	// group of the runs must not grow while Run waits for it.
+	// A step that is submitted from here on must not start a run, because tasks must not
+	// grow while Run waits for it.
 	m.mu.Lock()
 	m.noNewRuns = true
 	m.mu.Unlock()
@@ -234,7 +243,7 @@
 	return m.leaving
 }
 
-// replace applies the state rows of a full read, and forgets ended steps that the read
+// replace applies the state rows of a full read, and removes the ended steps that the read
 // does not contain.
 func (m *Manager) replace(rows []kept.Row) {
 	present := make(map[string]bool, len(rows))
@@ -271,14 +280,15 @@
 	}
 }
 
+// removeState removes a step whose state row was deleted.
 func (m *Manager) removeState(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.states, id)
 }
 
-// recordState records a state unless the same or a newer version is known, and reports whether it
-// did.
+// recordState records a state unless the same or a newer version is known, and reports whether
+// it did.
 func (m *Manager) recordState(r stateRecord) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -342,7 +352,7 @@
 
 // startRun starts a step's items. Their results are committed once the run is accepted;
 // early is set if that is not yet decided. It returns nil when the step runs already or has
-// ended, when a newer state of it is known, or when the manager is shutting down.
+// ended, when a newer state of it is known, or when this VM is leaving or shutting down.
 func (m *Manager) startRun(rec stateRecord, items []Item, committed []Result, texts map[string]savedText, early *earlyRun) *run {
 	m.mu.Lock()
 	known, ok := m.states[rec.ID]
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -32,8 +32,9 @@
 	// faultDuration is the duration of other faults: longer than it takes until an
 	// unresponsive VM is no longer considered alive.
 	faultDuration = 4 * time.Second
-	// phaseTimeout is the timeout of each phase of a case with two faults.
-	phaseTimeout = 60 * time.Second
+	// operationTimeout is the timeout of the submission, the reading and the end of the step,
+	// long enough for a case with two faults.
+	operationTimeout = 60 * time.Second
 )
 
 // matrixCase is one case of the fault matrix: a trainer, one step, and VMs with injected
@@ -48,7 +49,7 @@
 }
 
 // newVM returns the manager of a new incarnation of a VM and starts its member list.
-func (e *matrixCase) newVM(ctx context.Context, name, life string, store interface {
+func (c *matrixCase) newVM(ctx context.Context, name, incarnation string, store interface {
 	kept.Store
 	kept.Clock
 }) *Manager {
@@ -61,39 +62,39 @@
 	})
 	view := route.NewView()
 	view.Offer(configuration(1, true))
-	list := member.New(member.VM{ID: name, FailureDomain: "x", Life: life}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
+	list := member.New(member.VM{ID: name, FailureDomain: "x", Life: incarnation}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
 	m := NewManager(Config{
 		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: life, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
-		Caller: e.engines, Scorer: e.scorer, Events: events, Keep: time.Hour,
+		VM:    name, Life: incarnation, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
+		Caller: c.engines, Scorer: c.scorer, Events: events, Keep: time.Hour,
 		Named:     func(string) (int64, bool) { return 1, true },
 		Prefer:    func(string, route.Residency) (Process, bool) { return Process{}, false },
 		StoreWell: func() bool { return true },
 	})
-	e.mu.Lock()
-	e.vms[name] = m
-	e.mu.Unlock()
+	c.mu.Lock()
+	c.vms[name] = m
+	c.mu.Unlock()
 	go list.Run(ctx)
 	return m
 }
 
-func (e *matrixCase) vm(name string) *Manager {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.vms[name]
+func (c *matrixCase) vm(name string) *Manager {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.vms[name]
 }
 
 // submit submits the step to one VM after the other until one accepts it.
-func (e *matrixCase) submit() error {
-	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
+func (c *matrixCase) submit() error {
+	for deadline := time.Now().Add(operationTimeout); time.Now().Before(deadline); time.Sleep(200 * time.Millisecond) {
 		for _, name := range []string{"vm-a", "vm-b", "vm-c"} {
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-			err := e.vm(name).Submit(ctx, spec("s"), scoredItems(matrixItems))
+			err := c.vm(name).Submit(ctx, spec("s"), scoredItems(matrixItems))
 			cancel()
 			if err == nil {
 				return nil
 			}
-			if _, accepted := e.state(); accepted && fault.ExecutionOf(err) == fault.NotRun {
+			if _, accepted := c.state(); accepted && fault.ExecutionOf(err) == fault.NotRun {
 				return errors.Newf("%s reports that the step was not stored, but it was", name)
 			}
 		}
@@ -102,20 +103,20 @@
 }
 
 // state returns the step's state row from the store, bypassing the faults.
-func (e *matrixCase) state() (stateRecord, bool) {
-	r, err := readState(context.Background(), e.rows, "s")
+func (c *matrixCase) state() (stateRecord, bool) {
+	r, err := readState(context.Background(), c.rows, "s")
 	return r, err == nil
 }
 
-// readUntilComplete reads the step from the VMs in rotation until it is complete. A result that one VM
-// has returned at a position must be the same at every VM.
-func (e *matrixCase) readUntilComplete() ([]Result, error) {
+// readUntilComplete reads the step from the VMs in rotation until it is complete. A result
+// that one VM has returned at a position must be the same at every VM.
+func (c *matrixCase) readUntilComplete() ([]Result, error) {
 	var read []Result
 	rotation := []string{"vm-b", "vm-a", "vm-c"}
-	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(operationTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		rotation = append(rotation[1:], rotation[0])
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		results, total, err := e.vm(rotation[0]).Results(ctx, "s", "acc", 0, 0)
+		results, total, err := c.vm(rotation[0]).Results(ctx, "s", "acc", 0, 0)
 		cancel()
 		if fault.Is[*fault.StepUnknown](err) {
 			return nil, errors.Newf("%s does not know the step after it was accepted", rotation[0])
@@ -135,7 +136,7 @@
 			return read, nil
 		}
 	}
-	return nil, errors.Newf("got %d of %d results in %s", len(read), matrixItems, phaseTimeout)
+	return nil, errors.Newf("got %d of %d results in %s", len(read), matrixItems, operationTimeout)
 }
 
 // checkComplete checks that each item is committed at most once, with its complete text and
@@ -153,19 +154,19 @@
 }
 
 // end ends the step and checks that none of its items runs some time later.
-func (e *matrixCase) end() error {
-	for deadline := time.Now().Add(phaseTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+func (c *matrixCase) end() error {
+	for deadline := time.Now().Add(operationTimeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-		err := e.vm("vm-b").End(ctx, "s", "acc")
+		err := c.vm("vm-b").End(ctx, "s", "acc")
 		cancel()
 		if err != nil {
 			continue
 		}
 		time.Sleep(2 * faultDuration)
-		e.engines.mu.Lock()
-		defer e.engines.mu.Unlock()
-		if e.engines.active > 0 {
-			return errors.Newf("%d items still run after the end of the step", e.engines.active)
+		c.engines.mu.Lock()
+		defer c.engines.mu.Unlock()
+		if c.engines.active > 0 {
+			return errors.Newf("%d items still run after the end of the step", c.engines.active)
 		}
 		return nil
 	}
@@ -173,14 +174,14 @@
 }
 
 // unevenReply gives each attempt a different duration, so that two owners of a step commit its
-// results in different groups.
+// results in different batches.
 func unevenReply(item string, n int) reply {
 	r := goodReply
 	r.gap = time.Duration(100+70*((int(item[1])+3*n)%5)) * time.Millisecond
 	return r
 }
 
-// unevenScore delays each scoring call and fails the first call of some items, so that
+// unevenScore delays each score call and fails the first call of some items, so that
 // faults occur between a complete text and its score.
 func unevenScore(ctx context.Context, item string, n int) error {
 	select {
@@ -194,22 +195,23 @@
 	return nil
 }
 
-// runMatrixCase runs one case to its end. Faults are injected at vm-a and vm-b, but not at vm-c.
+// runMatrixCase runs one case to its end. Faults are injected at vm-a and vm-b, but not at
+// vm-c.
 func runMatrixCase(w *platformtest.World) error {
-	e := &matrixCase{rows: memory.New(), vms: map[string]*Manager{}, engines: &fakeEngines{
+	c := &matrixCase{rows: memory.New(), vms: map[string]*Manager{}, engines: &fakeEngines{
 		behave: map[string]behaviour{"": unevenReply}, attempts: map[string][]string{}, finished: map[string]int{},
 	}}
-	e.scorer = &fakeScorer{engines: e.engines, calls: map[string]int{}, behave: unevenScore}
+	c.scorer = &fakeScorer{engines: c.engines, calls: map[string]int{}, behave: unevenScore}
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	for _, name := range []string{"vm-a", "vm-b"} {
 		incarnations := 0
 		w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
 			incarnations++
-			e.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(e.rows)).Run(p.Context)
+			c.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(c.rows)).Run(p.Context)
 		})
 	}
-	group.Go(func() { e.newVM(ctx, "vm-c", "vm-c/1", e.rows).Run(ctx) })
+	group.Go(func() { c.newVM(ctx, "vm-c", "vm-c/1", c.rows).Run(ctx) })
 	defer func() {
 		stop()
 		group.Wait()
@@ -217,18 +219,18 @@
 		time.Sleep(2 * lateEffectDelay)
 	}()
 	time.Sleep(2 * time.Second)
-	if err := e.submit(); err != nil {
+	if err := c.submit(); err != nil {
 		return err
 	}
-	results, err := e.readUntilComplete()
+	results, err := c.readUntilComplete()
 	if err == nil {
 		err = checkComplete(results)
 	}
-	if err == nil && len(e.scorer.earlyCalls) > 0 {
-		err = errors.Newf("scoring calls were made before the texts of %v were complete", e.scorer.earlyCalls)
+	if err == nil && len(c.scorer.earlyCalls) > 0 {
+		err = errors.Newf("score calls were made before the texts of %v were complete", c.scorer.earlyCalls)
 	}
 	if err == nil {
-		err = e.end()
+		err = c.end()
 	}
 	return err
 }
--- a/internal/step/move.go
+++ b/internal/step/move.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// firstEventTimeout and nextEventTimeout are the longest times without an event, before the first
-	// event and between later ones. An item that exceeds them moves to another engine with
+	// firstEventTimeout and nextEventTimeout are the longest times without an event, before the
+	// first event and between later ones. An item that exceeds them moves to another engine with
 	// a free slot.
 	firstEventTimeout = 700 * time.Millisecond
 	nextEventTimeout  = 500 * time.Millisecond
@@ -34,24 +34,25 @@
 	events  int
 }
 
-// addEvent counts an event and reports whether the speed is to be checked now.
-func (p *unitTimeMeter) addEvent() bool {
-	p.events++
-	return p.events%speedCheckEvents == 0
+// addEvent counts an event and reports whether the speed should be checked now.
+func (m *unitTimeMeter) addEvent() bool {
+	m.events++
+	return m.events%speedCheckEvents == 0
 }
 
-func (p *unitTimeMeter) average(now time.Time) time.Duration {
-	return now.Sub(p.started) / time.Duration(p.events)
+// average returns the average time between the events so far.
+func (m *unitTimeMeter) average(now time.Time) time.Duration {
+	return now.Sub(m.started) / time.Duration(m.events)
 }
 
 // checkSpeed moves the item to another engine with a free slot when its own engine is much
 // slower than the median, or, while no item of the step is pending, slower than the other
 // engine by idleMoveMinSlowdown.
-func (a *attempt) checkSpeed(pace *unitTimeMeter) {
+func (a *attempt) checkSpeed(meter *unitTimeMeter) {
 	now := time.Now()
-	average := pace.average(now)
+	average := meter.average(now)
 	a.entry.NoteSpeed(average, now)
-	*pace = unitTimeMeter{started: now}
+	*meter = unitTimeMeter{started: now}
 	engines := a.run.m.engines(a.need.service, now)
 	if a.run.moves(a.index) >= maxMoves {
 		return
@@ -74,10 +75,10 @@
 }
 
 // isWorthMove reports whether another engine is known to be faster by idleMoveMinSlowdown, so
-// that an item with this time per event gains by a move if no other item needs the slot.
-func isWorthMove(pace time.Duration, other *target.Entry, now time.Time) bool {
-	p := other.Pace(now)
-	return p > 0 && float64(pace) >= idleMoveMinSlowdown*float64(p)
+// that an item with this time between events gains by a move if no other item needs the slot.
+func isWorthMove(unitTime time.Duration, other *target.Entry, now time.Time) bool {
+	otherTime := other.Pace(now)
+	return otherTime > 0 && float64(unitTime) >= idleMoveMinSlowdown*float64(otherTime)
 }
 
 // handleStall moves the item away from an unresponsive engine if another engine has a free
--- a/internal/step/order.go
+++ b/internal/step/order.go
@@ -8,7 +8,8 @@
 
 // startOrders holds the two orders in which the items of a step may start. Both start with the
 // groups that have restored texts, usually because an earlier step left them incomplete and
-// the trainer submitted them again. It needs these however many other groups are complete.
+// the trainer submitted them again. The trainer needs these groups, however many others are
+// complete.
 type startOrders struct {
 	// byLength starts the longest items first. A step takes as long as its longest needed
 	// item, and most groups are needed. A long item that is queued behind short items of
@@ -17,14 +18,14 @@
 	// byGroup starts group after group, the groups with the longest items first. It
 	// completes some groups early when there are too few slots for all.
 	byGroup []int
-	// work is the expected work of all items and longest that of the longest one, in
-	// tokens.
-	work, longest float64
+	// totalTokens is the expected number of output tokens of all items, longest that of the
+	// longest one.
+	totalTokens, longest float64
 }
 
 // newStartOrders returns the orders of items; first names the groups that come first in both.
 func newStartOrders(items []Item, first map[string]bool) startOrders {
-	o := startOrders{byGroup: orderByGroup(items, first), work: expectedTokens(items)}
+	o := startOrders{byGroup: orderByGroup(items, first), totalTokens: expectedTokens(items)}
 	for _, item := range items {
 		o.longest = max(o.longest, item.Expected)
 	}
@@ -52,7 +53,7 @@
 // time of the longest one, only the longest items can delay the step, and byLength is
 // best. With fewer slots the step is not complete in time, and complete groups count.
 func (o *startOrders) forSlots(slots int) []int {
-	if o.work <= o.longest*float64(slots) {
+	if o.totalTokens <= o.longest*float64(slots) {
 		return o.byLength
 	}
 	return o.byGroup
--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -32,8 +32,8 @@
 // Placement costs, as fractions of an engine's slots. Items arrive in bursts that fill most
 // slots at once, and each occupied slot slows the others of its engine a little. Items
 // therefore spread over engines of equal speed. Engines differ in speed by much more than
-// that, and a step is complete when its longest items are, which start first. They go to
-// the fastest engines; slow engines get the items for which no other engine has a slot.
+// that, and a step is complete when its longest items are. These start first and go to the
+// fastest engines; slow engines get the items for which no other engine has a slot.
 const (
 	// slowdownCost is the cost of an engine that takes twice as long per event as the
 	// median engine.
@@ -53,8 +53,9 @@
 	// otherOwnerCost keeps items away from engines that the owner of another step is filling
 	// at the same time, as long as an engine for which this VM ranks first has a free slot.
 	otherOwnerCost = 2.0
-	// unknownLoadMaxItems is the largest number of this VM's items at such an engine while its
-	// load is unknown. The engine reports its load with its answer to them.
+	// unknownLoadMaxItems is the largest number of this VM's items at an engine that another
+	// owner is filling, while the engine's load is unknown. The engine reports its load with its
+	// answer to them.
 	unknownLoadMaxItems = 1
 )
 
--- a/internal/step/place_test.go
+++ b/internal/step/place_test.go
@@ -13,8 +13,8 @@
 	"dogwoodpond/internal/target"
 )
 
-// Groups with restored texts ("carried" here) start first whatever their length, then the groups
-// with the longest items: a step takes as long as its longest needed item.
+// Groups with restored texts ("carried" here) start first whatever their length, then the
+// groups with the longest items: a step takes as long as its longest needed item.
 func TestOrderPutsRestoredGroupsFirst(t *testing.T) {
 	list := []Item{
 		{Group: "short", Expected: 3}, {Group: "long", Expected: 4}, {Group: "carried", Expected: 1},
--- a/internal/step/ranking.go
+++ b/internal/step/ranking.go
@@ -57,8 +57,8 @@
 	index int
 }
 
-// candidateHeap is a heap of candidates with the lowest cost first; equal costs are in the order
-// of the pool.
+// candidateHeap is a heap of candidates with the lowest cost first; equal costs are in the
+// order of the pool.
 type candidateHeap []candidate
 
 // Len implements heap.Interface.
--- a/internal/step/residency_test.go
+++ b/internal/step/residency_test.go
@@ -20,25 +20,25 @@
 // engine has the name of its domain. Steps are restricted to the residencies of their route
 // and account.
 func newRegionCluster(t *testing.T, byRoute, byAccount route.Residency) *cluster {
-	w := newCluster(t)
+	cl := newCluster(t)
 	for _, domain := range slices.Concat(north, south) {
-		w.instances = append(w.instances, target.Instance{ID: domain, Service: "lm", Address: domain, FailureDomain: domain, Slots: 4, Versions: map[string]int64{"m": 1}})
-		w.domains["vm-"+domain] = domain
+		cl.instances = append(cl.instances, target.Instance{ID: domain, Service: "lm", Address: domain, FailureDomain: domain, Slots: 4, Versions: map[string]int64{"m": 1}})
+		cl.domains["vm-"+domain] = domain
 	}
 	routes := []*route.Route{{Name: "r", Host: "h", Prefix: "/s/", Kind: route.Steps, Split: []route.Share{{Service: "lm", Weight: 1}}, Residency: byRoute}}
-	w.configuration = route.NewSnapshot(1, routes, nil, route.Limits{}, []route.Account{{Name: "acc", Residency: byAccount}}, true)
+	cl.configuration = route.NewSnapshot(1, routes, nil, route.Limits{}, []route.Account{{Name: "acc", Residency: byAccount}}, true)
 	for _, domain := range slices.Concat(north, south) {
-		w.start("vm-" + domain)
+		cl.start("vm-" + domain)
 	}
-	return w
+	return cl
 }
 
 // usedEngines returns the engines that received items.
-func (w *cluster) usedEngines() []string {
-	w.engines.mu.Lock()
-	defer w.engines.mu.Unlock()
+func (cl *cluster) usedEngines() []string {
+	cl.engines.mu.Lock()
+	defer cl.engines.mu.Unlock()
 	var all []string
-	for _, engines := range w.engines.attempts {
+	for _, engines := range cl.engines.attempts {
 		all = append(all, engines...)
 	}
 	slices.Sort(all)
@@ -66,20 +66,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newRegionCluster(t, c.byRoute, c.byAccount)
-				w.engines.behave["s1"] = func(_ string, n int) reply {
+				cl := newRegionCluster(t, c.byRoute, c.byAccount)
+				cl.engines.behave["s1"] = func(_ string, n int) reply {
 					if n == 1 {
 						return reply{}
 					}
 					return goodReply
 				}
 				time.Sleep(time.Second)
-				submit(t, w.vms["vm-n1"], spec("s"), items(60))
-				checkTexts(t, readUntilComplete(t, w.vms["vm-n2"], "s"), 3)
-				if wrong := domainsOutside(w.usedEngines(), c.allowed); len(wrong) > 0 {
+				submit(t, cl.vms["vm-n1"], spec("s"), items(60))
+				checkTexts(t, readUntilComplete(t, cl.vms["vm-n2"], "s"), 3)
+				if wrong := domainsOutside(cl.usedEngines(), c.allowed); len(wrong) > 0 {
 					t.Errorf("items ran in the excluded domains %v", wrong)
 				}
-				if missing := domainsOutside(c.allowed, w.usedEngines()); len(missing) > 0 {
+				if missing := domainsOutside(c.allowed, cl.usedEngines()); len(missing) > 0 {
 					t.Errorf("no item ran in the allowed domains %v", missing)
 				}
 			})
@@ -91,25 +91,25 @@
 // residency, which would read the items there.
 func TestTakeoverStaysInResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegionCluster(t, route.ResideIn(south), route.Residency{})
-		w.engines.behave[""] = pacedBehaviour(20, 100*time.Millisecond)
+		cl := newRegionCluster(t, route.ResideIn(south), route.Residency{})
+		cl.engines.behave[""] = pacedBehaviour(20, 100*time.Millisecond)
 		time.Sleep(time.Second)
-		owner := w.vms["vm-s2"]
+		owner := cl.vms["vm-s2"]
 		submit(t, owner, spec("s"), items(8))
 		time.Sleep(500 * time.Millisecond)
-		w.crash(owner)
+		cl.crash(owner)
 		for range 20 {
 			time.Sleep(100 * time.Millisecond)
 			for _, domain := range north {
-				if w.vms["vm-"+domain].runOf("s") != nil {
+				if cl.vms["vm-"+domain].runOf("s") != nil {
 					t.Fatalf("the VM in %s runs the step", domain)
 				}
 			}
 		}
-		if w.vms["vm-s1"].runOf("s") == nil {
+		if cl.vms["vm-s1"].runOf("s") == nil {
 			t.Error("vm-s1 does not run the step 2 s after the loss of its owner")
 		}
-		checkTexts(t, readUntilComplete(t, w.vms["vm-n1"], "s"), 20)
+		checkTexts(t, readUntilComplete(t, cl.vms["vm-n1"], "s"), 20)
 	})
 }
 
@@ -117,8 +117,8 @@
 // it owns only steps whose residency excludes the engine.
 func TestFirstSenderRespectsResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newRegionCluster(t, route.ResideIn(south), route.Residency{})
-		a := w.vms["vm-s1"]
+		cl := newRegionCluster(t, route.ResideIn(south), route.Residency{})
+		a := cl.vms["vm-s1"]
 		a.recordState(stateRecord{State: State{Spec: spec("s"), Owner: a.VM}, version: 1})
 		// The pending watch call ends only by its timeout, since no row was written.
 		time.Sleep(ownerGracePeriod + watchTimeout)
--- a/internal/step/run.go
+++ b/internal/step/run.go
@@ -39,8 +39,8 @@
 	savedFailures int
 	// moves counts the attempts that were canceled to move the item to another engine.
 	moves int
-	// interruptions counts the consecutive interrupted attempts without a new event; lastBeforeInterruptions
-	// is the last event before them.
+	// interruptions counts the consecutive interrupted attempts without a new event;
+	// lastBeforeInterruptions is the last event before them.
 	interruptions           int
 	lastBeforeInterruptions int64
 	// partial is the text as far as it has been read.
@@ -81,24 +81,24 @@
 	acceptedState atomic.Pointer[stateRecord]
 	acceptedCh    chan struct{}
 
-	// mu guards the fields down to changed.
+	// mu guards the fields down to committedCh.
 	mu       sync.Mutex
 	progress []itemProgress
-	// uncommitted holds the finished results that are not committed, queued the size of their
-	// texts in bytes, and listed the committed ones.
+	// uncommitted holds the finished results that are not committed, uncommittedBytes the size
+	// of their texts, and committed the committed results in the order of their positions.
 	uncommitted      []Result
 	uncommittedBytes int
 	committed        []Result
 	// committedCh is closed and replaced when results have been committed.
 	committedCh chan struct{}
-	// uncommittedCh signals that queue may have results to commit.
+	// uncommittedCh signals commitLoop that uncommitted may have results.
 	uncommittedCh chan struct{}
 	// commitMu is held during a commit of results.
 	commitMu sync.Mutex
 }
 
-// newRun returns a run of a step; the items with a result in listed are done.
-func newRun(m *Manager, rec stateRecord, items []Item, listed []Result) *run {
+// newRun returns a run of a step; the items with a result in committed are done.
+func newRun(m *Manager, rec stateRecord, items []Item, committed []Result) *run {
 	r := &run{
 		m:             m,
 		rec:           rec,
@@ -106,7 +106,7 @@
 		startOrders:   newStartOrders(items, nil),
 		due:           rec.SubmittedAt + rec.RunObjective.Milliseconds(),
 		progress:      make([]itemProgress, len(items)),
-		committed:     listed,
+		committed:     committed,
 		committedCh:   make(chan struct{}),
 		uncommittedCh: make(chan struct{}, 1),
 
@@ -119,7 +119,7 @@
 	for i, item := range items {
 		index[item.ID] = i
 	}
-	for _, result := range listed {
+	for _, result := range committed {
 		if i, ok := index[result.Item]; ok {
 			r.progress[i].phase = phaseDone
 		}
@@ -133,10 +133,10 @@
 	if len(texts) == 0 {
 		return
 	}
-	known := make(map[string]bool)
+	restored := make(map[string]bool)
 	for i, item := range r.items {
 		saved, ok := texts[item.ID]
-		known[item.Group] = known[item.Group] || ok
+		restored[item.Group] = restored[item.Group] || ok
 		if !ok || r.progress[i].phase == phaseDone {
 			continue
 		}
@@ -152,7 +152,7 @@
 			r.handleComplete(i)
 		}
 	}
-	r.startOrders = newStartOrders(r.items, known)
+	r.startOrders = newStartOrders(r.items, restored)
 	r.order = r.startOrders.byLength
 }
 
@@ -196,7 +196,7 @@
 }
 
 // changePhase moves an item from one phase to another. It returns false when the item is not in
-// the phase from or the run may start nothing more.
+// the phase from, or when the run's attempts and score calls have been canceled.
 func (r *run) changePhase(i int, from, to phase) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,20 +245,20 @@
 	return max(0, 1-float64(events)/expected)
 }
 
-// adoptCommitted reads the results that the previous owner committed, marks their items as done, and
-// returns the number of those results. It must be called before the run is accepted.
+// adoptCommitted reads the results that the previous owner committed, marks their items as
+// done, and returns the number of those results. It must be called before the run is accepted.
 func (r *run) adoptCommitted(ctx context.Context, m *Manager) (int, error) {
-	listed, err := readAllResults(ctx, m.Store, r.rec.ID)
+	results, err := readAllResults(ctx, m.Store, r.rec.ID)
 	if err != nil {
 		return 0, err
 	}
-	committed := make(map[string]bool, len(listed))
-	for _, result := range listed {
+	committed := make(map[string]bool, len(results))
+	for _, result := range results {
 		committed[result.Item] = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.committed = listed
+	r.committed = results
 	for i, item := range r.items {
 		if committed[item.ID] {
 			r.progress[i].phase = phaseDone
@@ -269,7 +269,7 @@
 	for _, result := range r.uncommitted {
 		r.uncommittedBytes += len(result.Text)
 	}
-	return len(listed), nil
+	return len(results), nil
 }
 
 // text returns the text of an item as far as it has been read.
@@ -329,7 +329,7 @@
 	r.uncommitted = append(r.uncommitted, result)
 	r.uncommittedBytes += len(result.Text)
 	r.mu.Unlock()
-	r.signalMore()
+	r.signalUncommitted()
 	r.m.notifyDispatcher()
 }
 
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -50,15 +50,15 @@
 		}
 		service := by.Service(r.items[i].Score.ID)
 		if _, known := free[service]; !known {
-			free[service] = m.lanes.Room(service, m.Roster.Usable(service, now), now)
+			free[service] = m.callLimiter.Room(service, m.Roster.Usable(service, now), now)
 		}
 		if free[service] <= 0 || !r.changePhase(i, phaseUnscored, phaseScoring) {
 			continue
 		}
 		free[service]--
-		m.lanes.Begin(service)
+		m.callLimiter.Begin(service)
 		m.tasks.Go(func() {
-			defer m.lanes.End(service)
+			defer m.callLimiter.End(service)
 			r.score(i, by)
 		})
 	}
@@ -115,8 +115,8 @@
 	return r.progress[i].completedAt, r.progress[i].lastUpstream
 }
 
-// countScoreFailure counts a failed score call of an item. It returns the calls so far and the
-// backoff before the next one.
+// countScoreFailure counts a failed score call of an item. It returns the attempts so far and
+// the backoff before the next one.
 func (r *run) countScoreFailure(i int, err error) (scoring.Tries, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/step/score_test.go
+++ b/internal/step/score_test.go
@@ -43,18 +43,18 @@
 // given before the text was complete.
 func TestResultsAreCommittedWithScores(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.scorer.behave = func(_ context.Context, _ string, _ int) error {
+		cl := newCluster(t, "e1", "e2")
+		cl.scorer.behave = func(_ context.Context, _ string, _ int) error {
 			time.Sleep(80 * time.Millisecond)
 			return nil
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), scoredItems(30))
 		results := readUntilComplete(t, b, "s")
 		checkTexts(t, results, 3)
-		w.checkScores(results)
+		cl.checkScores(results)
 		for _, item := range items(30) {
-			if n, calls := w.engines.count(item.ID), w.scorer.count(item.ID); n != 1 || calls != 1 {
+			if n, calls := cl.engines.count(item.ID), cl.scorer.count(item.ID); n != 1 || calls != 1 {
 				t.Errorf("item %s had %d attempts and %d score calls, want 1 each", item.ID, n, calls)
 			}
 		}
@@ -65,27 +65,27 @@
 // kept: generating them again would take engine slots from other items.
 func TestTextsAreKeptDuringScoringOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		availableAt := time.Now().Add(5 * time.Second)
-		w.scorer.behave = func(context.Context, string, int) error {
+		cl.scorer.behave = func(context.Context, string, int) error {
 			if time.Now().Before(availableAt) {
 				return errUnavailable
 			}
 			return nil
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), scoredItems(6))
 		time.Sleep(4900 * time.Millisecond)
-		if n := w.scorer.count("i0"); n > 14 {
+		if n := cl.scorer.count("i0"); n > 14 {
 			t.Errorf("a text was sent %d times to an unavailable service", n)
 		}
 		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
-		w.checkScores(results)
+		cl.checkScores(results)
 		if took := time.Since(availableAt); took > time.Second {
 			t.Errorf("the step was complete %s after the service was available again", took)
 		}
-		if n := w.engines.count("i0"); n != 1 {
+		if n := cl.engines.count("i0"); n != 1 {
 			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
@@ -95,23 +95,23 @@
 // generate them again nor commit them without a score.
 func TestTakeoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		availableAt := time.Now().Add(4 * time.Second)
-		w.scorer.behave = func(context.Context, string, int) error {
+		cl.scorer.behave = func(context.Context, string, int) error {
 			if time.Now().Before(availableAt) {
 				return errUnavailable
 			}
 			return nil
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(2 * time.Second)
-		w.crash(a)
+		cl.crash(a)
 		results := readUntilComplete(t, b, "s")
 		checkTexts(t, results, 3)
-		w.checkScores(results)
+		cl.checkScores(results)
 		for _, item := range items(4) {
-			if n := w.engines.count(item.ID); n != 1 {
+			if n := cl.engines.count(item.ID); n != 1 {
 				t.Errorf("item %s had %d attempts, want 1", item.ID, n)
 			}
 		}
@@ -121,22 +121,22 @@
 // A VM that leaves hands over the complete texts for which it got no score.
 func TestHandoverKeepsUnscoredTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		away := true
-		w.scorer.behave = func(context.Context, string, int) error {
-			if away {
+		cl := newCluster(t, "e1")
+		unavailable := true
+		cl.scorer.behave = func(context.Context, string, int) error {
+			if unavailable {
 				return errUnavailable
 			}
 			return nil
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(100 * time.Millisecond)
 		a.Leave(t.Context())
-		away = false
+		unavailable = false
 		results := readUntilComplete(t, b, "s")
-		w.checkScores(results)
-		if n := w.engines.count("i1"); n != 1 {
+		cl.checkScores(results)
+		if n := cl.engines.count("i1"); n != 1 {
 			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
@@ -147,16 +147,16 @@
 // the item were pending there, it would be generated during its score call.
 func TestResubmittedCompleteTextsAreScoredOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		first := true
-		w.scorer.behave = func(_ context.Context, item string, _ int) error {
+		cl.scorer.behave = func(_ context.Context, item string, _ int) error {
 			if first && item != "i0" {
 				return errUnavailable
 			}
 			time.Sleep(300 * time.Millisecond)
 			return nil
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s1"), scoredItems(4))
 		time.Sleep(2 * time.Second)
 		if err := a.End(t.Context(), "s1", "acc"); err != nil {
@@ -166,12 +166,12 @@
 		submit(t, a, spec("s2"), scoredItems(4)[2:])
 		results := readUntilComplete(t, a, "s2")
 		checkTexts(t, results, 3)
-		w.checkScores(results)
+		cl.checkScores(results)
 		time.Sleep(2 * time.Second)
 		if more, _, err := a.Results(t.Context(), "s2", "acc", 0, 0); err != nil || len(more) != 2 {
 			t.Errorf("%d results, %v", len(more), err)
 		}
-		if n := w.engines.count("i3"); n != 1 {
+		if n := cl.engines.count("i3"); n != 1 {
 			t.Errorf("the item had %d attempts, want 1", n)
 		}
 	})
@@ -181,16 +181,16 @@
 // the shorter one would combine the state of a complete text with a part of its events.
 func TestShorterSavedTextDoesNotReplaceCompleteText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.scorer.behave = func(ctx context.Context, _ string, _ int) error {
+		cl := newCluster(t, "e1")
+		cl.scorer.behave = func(ctx context.Context, _ string, _ int) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		list := scoredItems(1)
 		r := newRun(a.Manager, stateRecord{State: State{Spec: spec("s")}}, list, nil)
-		r.restoreTexts(map[string]savedText{"i0": {Text: "1\n2\n3", Last: 3, Versions: []int64{1}, Complete: true}})
-		r.restoreTexts(map[string]savedText{"i0": {Text: "1", Last: 1, Versions: []int64{1}, ScoreFailures: 1}})
+		r.restoreTexts(map[string]savedText{"i0": {Text: "1\n2\n3", LastEvent: 3, Versions: []int64{1}, Complete: true}})
+		r.restoreTexts(map[string]savedText{"i0": {Text: "1", LastEvent: 1, Versions: []int64{1}, ScoreFailures: 1}})
 		if text := r.text(0); r.progress[0].phase != phaseUnscored || joinText(text.data) != "1\n2\n3" {
 			t.Errorf("the item is in phase %d with the text %q", r.progress[0].phase, joinText(text.data))
 		}
@@ -205,22 +205,22 @@
 // attempts that the call's own route allows; otherwise their group would never complete.
 func TestItemIsAbandonedAfterFailedScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		failed := failedAnswer(t)
-		w.scorer.behave = func(_ context.Context, item string, _ int) error {
+		cl.scorer.behave = func(_ context.Context, item string, _ int) error {
 			if item == "i1" {
 				return failed
 			}
 			return nil
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), scoredItems(2))
 		for _, r := range readUntilComplete(t, a, "s") {
 			if want := map[string]Outcome{"i0": Completed, "i1": Abandoned}[r.Item]; r.Outcome != want {
 				t.Errorf("item %s is %s", r.Item, r.Outcome)
 			}
 		}
-		if n := w.scorer.count("i1"); n != 2 {
+		if n := cl.scorer.count("i1"); n != 2 {
 			t.Errorf("the call was made %d times; its route allows 2 attempts", n)
 		}
 	})
@@ -230,24 +230,24 @@
 // zero would send the call to more upstreams than its route allows.
 func TestTakeoverKeepsScoreFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		failed := failedAnswer(t)
-		w.scorer.behave = func(ctx context.Context, _ string, n int) error {
+		cl.scorer.behave = func(ctx context.Context, _ string, n int) error {
 			if n == 2 {
 				<-ctx.Done()
 				return ctx.Err()
 			}
 			return failed
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), scoredItems(1))
 		time.Sleep(2 * time.Second)
-		w.crash(a)
+		cl.crash(a)
 		if results := readUntilComplete(t, b, "s"); results[0].Outcome != Abandoned {
 			t.Errorf("the item is %s", results[0].Outcome)
 		}
 		// One failure, the call that was interrupted by the owner's death, and one more.
-		if n := w.scorer.count("i0"); n != 3 {
+		if n := cl.scorer.count("i0"); n != 3 {
 			t.Errorf("the call was made %d times, want 3", n)
 		}
 	})
@@ -257,18 +257,18 @@
 // meanwhile: an item may not be abandoned as long as its own route exists.
 func TestTextsAreKeptWhileScoreRouteIsMissing(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		a.View.Offer(configuration(2, false))
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(3 * time.Second)
-		if n := w.scorer.count("i0"); n != 0 {
+		if n := cl.scorer.count("i0"); n != 0 {
 			t.Errorf("%d calls were made without a route", n)
 		}
 		a.View.Offer(configuration(3, true))
 		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
-		w.checkScores(results)
+		cl.checkScores(results)
 	})
 }
 
@@ -276,9 +276,9 @@
 // which the step allows to abandon them.
 func TestUnscoredItemsAreAbandonedAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.scorer.behave = func(context.Context, string, int) error { return errUnavailable }
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		cl.scorer.behave = func(context.Context, string, int) error { return errUnavailable }
+		a := cl.start("a")
 		s := spec("s")
 		s.GiveUp = 5 * time.Second
 		submit(t, a, s, scoredItems(2))
@@ -297,14 +297,14 @@
 // The trainer ends a step while score calls are in progress. They must be canceled.
 func TestEndCancelsScoreCalls(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
+		cl := newCluster(t, "e1")
 		canceled := make(chan struct{}, 8)
-		w.scorer.behave = func(ctx context.Context, _ string, _ int) error {
+		cl.scorer.behave = func(ctx context.Context, _ string, _ int) error {
 			<-ctx.Done()
 			canceled <- struct{}{}
 			return ctx.Err()
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(time.Second)
 		if err := b.End(t.Context(), "s", "acc"); err != nil {
@@ -314,9 +314,9 @@
 		if len(canceled) != 4 {
 			t.Errorf("%d of 4 calls were canceled within 1 s", len(canceled))
 		}
-		before := w.scorer.count("i0")
+		before := cl.scorer.count("i0")
 		time.Sleep(3 * time.Second)
-		if n := w.scorer.count("i0"); n != before {
+		if n := cl.scorer.count("i0"); n != before {
 			t.Errorf("%d calls after the end of the step", n-before)
 		}
 	})
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -87,11 +87,11 @@
 	Objects []string `json:"objects,omitempty"`
 	// Work is the expected number of output tokens of all items.
 	Work float64 `json:"work,omitempty"`
-	// Behind is how many versions MinVersion was behind the version that the trainer
-	// had announced last when the step was submitted.
+	// Behind is the version lag at the submission: the number of versions from MinVersion
+	// to the one that the trainer had announced last.
 	Behind int64 `json:"behind,omitempty"`
-	// Nonce is unique for each version of the row, so that a writer recognizes
-	// its own write.
+	// Nonce is unique for each version of the row, so that a writer recognizes its own
+	// write after a commit with an unknown outcome.
 	Nonce string `json:"nonce"`
 }
 
@@ -110,7 +110,7 @@
 	Outcome  Outcome `json:"outcome"`
 	Text     string  `json:"text,omitempty"`
 	Versions []int64 `json:"versions,omitempty"`
-	// Score is the response of the item's scoring call.
+	// Score is the response to the item's score call.
 	Score string `json:"score,omitempty"`
 	// Object is the name of the object that holds the text when it is too large for a row.
 	Object string `json:"object,omitempty"`
@@ -149,6 +149,7 @@
 	return r, nil
 }
 
+// encodeRow encodes the value of a row.
 func encodeRow(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/step/step_test.go
+++ b/internal/step/step_test.go
@@ -27,8 +27,8 @@
 
 func TestStepCompletes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(30))
 		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
@@ -39,14 +39,14 @@
 // at another VM. A second step would generate everything twice.
 func TestRepeatedSubmitCreatesOneStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(8))
 		submit(t, b, spec("s"), items(8))
 		submit(t, a, spec("s"), items(8))
 		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 		for _, item := range items(8) {
-			if n := w.engines.count(item.ID); n != 1 {
+			if n := cl.engines.count(item.ID); n != 1 {
 				t.Errorf("item %s had %d attempts, want 1", item.ID, n)
 			}
 		}
@@ -58,15 +58,15 @@
 // and the trainer's repeated submission must find it.
 func TestStepAcceptedLateRuns(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a, b := w.start("a"), w.start("b")
-		w.store.SetFate(func(kept.Txn) memory.Fate { return memory.EffectLate })
+		cl := newCluster(t, "e1")
+		a, b := cl.start("a"), cl.start("b")
+		cl.store.SetFate(func(kept.Txn) memory.Fate { return memory.EffectLate })
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if err == nil || fault.ExecutionOf(err) == fault.NotRun {
 			t.Fatalf("Submit = %v, want an unknown outcome: the step may have been accepted", err)
 		}
-		w.store.SetFate(nil)
-		w.store.RunLate()
+		cl.store.SetFate(nil)
+		cl.store.RunLate()
 		submit(t, b, spec("s"), items(4))
 		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 	})
@@ -76,19 +76,19 @@
 // the engines are not idle and the step is complete soon after the store is available again.
 func TestItemsRunDuringStoreOutage(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(string, int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(string, int) reply {
 			r := goodReply
 			r.gap = 300 * time.Millisecond
 			return r
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		accepted := make(chan error, 1)
 		go func() { accepted <- a.Submit(t.Context(), spec("s"), items(4)) }()
 		time.Sleep(5 * time.Second)
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		if err := <-accepted; err != nil {
 			t.Fatal(err)
 		}
@@ -105,20 +105,20 @@
 // report "not run", and the items must be canceled.
 func TestSubmitReportsUnknownAfterEarlyItems(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = pacedBehaviour(1000, 100*time.Millisecond)
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = pacedBehaviour(1000, 100*time.Millisecond)
+		a := cl.start("a")
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if err == nil || fault.ExecutionOf(err) == fault.NotRun {
 			t.Errorf("Submit = %v, want an unknown outcome", err)
 		}
 		time.Sleep(time.Second)
-		w.engines.mu.Lock()
-		defer w.engines.mu.Unlock()
-		if len(w.engines.attempts) == 0 || w.engines.active != 0 {
-			t.Errorf("%d items ran, want more than 0; %d still run, want 0", len(w.engines.attempts), w.engines.active)
+		cl.engines.mu.Lock()
+		defer cl.engines.mu.Unlock()
+		if len(cl.engines.attempts) == 0 || cl.engines.active != 0 {
+			t.Errorf("%d items ran, want more than 0; %d still run, want 0", len(cl.engines.attempts), cl.engines.active)
 		}
 	})
 }
@@ -127,14 +127,14 @@
 // what delayed it. The acceptance of the step takes so long that its items start before it.
 func TestEarlyRunEmitsStepOwned(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		accepted := make(chan error, 1)
 		go func() { accepted <- a.Submit(t.Context(), spec("s"), items(4)) }()
 		time.Sleep(time.Second)
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		if err := <-accepted; err != nil {
 			t.Fatal(err)
 		}
@@ -148,16 +148,16 @@
 // but only one of them may commit results.
 func TestOnlyOneEarlyRunCommitsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2")
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		accepted := make(chan error, 2)
 		for _, v := range []*testVM{a, b} {
 			go func() { accepted <- v.Submit(t.Context(), spec("s"), items(6)) }()
 		}
 		time.Sleep(3 * time.Second)
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		for range 2 {
 			if err := <-accepted; err != nil {
 				t.Error(err)
@@ -171,24 +171,24 @@
 // submitThrice submits one step at the VMs a, b and c around an outage of the store. a and b
 // start its items during the outage, a two seconds before b; c gets its copy after the outage.
 // known says whether the items have expected lengths.
-func submitThrice(t *testing.T, w *cluster, list []Item, events int, known bool) (b, c *testVM) {
-	w.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
+func submitThrice(t *testing.T, cl *cluster, list []Item, events int, known bool) (b, c *testVM) {
+	cl.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 	if known {
 		for i := range list {
 			list[i].Expected = float64(events)
 		}
 	}
-	a := w.start("a")
-	b, c = w.start("b"), w.start("c")
+	a := cl.start("a")
+	b, c = cl.start("b"), cl.start("c")
 	time.Sleep(time.Second)
-	w.store.SetDown(true)
+	cl.store.SetDown(true)
 	accepted := make(chan error, 3)
 	submitAt := func(v *testVM) { go func() { accepted <- v.Submit(t.Context(), spec("s"), list) }() }
 	submitAt(a)
 	time.Sleep(2 * time.Second)
 	submitAt(b)
 	time.Sleep(1700 * time.Millisecond)
-	w.store.SetDown(false)
+	cl.store.SetDown(false)
 	submitAt(c)
 	for range 3 {
 		if err := <-accepted; err != nil {
@@ -204,16 +204,16 @@
 func TestMostAdvancedEarlyRunClaimsStep(t *testing.T) {
 	for _, known := range []bool{true, false} {
 		bubble(t, func(t *testing.T) {
-			w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
+			cl := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
 			const events = 10
-			b, c := submitThrice(t, w, items(6), events, known)
+			b, c := submitThrice(t, cl, items(6), events, known)
 			time.Sleep(time.Second)
 			results, _, err := c.Results(t.Context(), "s", "acc", 0, 0)
 			if err != nil || len(results) != 6 {
 				t.Errorf("%d results a second after the outage, %v; the first VM had nearly all texts", len(results), err)
 			}
 			checkTexts(t, readUntilComplete(t, b, "s"), events)
-			state, err := readState(t.Context(), w.store, "s")
+			state, err := readState(t.Context(), cl.store, "s")
 			// b may have learned of the acceptance first and claimed the step before a did.
 			if err != nil || state.Owner != "a" || state.Epoch != 2 && state.Epoch != 3 {
 				t.Errorf("the step is owned by %s in epoch %d, %v; want a in epoch 2 or 3", state.Owner, state.Epoch, err)
@@ -226,20 +226,20 @@
 // claimed the step after the first had read the state and before it committed its own claim.
 func TestEarlyRunClaimsStepFromLessAdvancedOne(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
+		cl := newCluster(t, "e1", "e2")
 		const events = 10
-		w.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
+		cl.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 		list := items(6)
 		for i := range list {
 			list[i].Expected = events
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		time.Sleep(time.Second)
-		w.store.SetDown(true)
+		cl.store.SetDown(true)
 		accepted := make(chan error, 1)
 		go func() { accepted <- a.Submit(t.Context(), spec("s"), list) }()
 		time.Sleep(3 * time.Second)
-		now, _ := w.store.StoreNow()
+		now, _ := cl.store.StoreNow()
 		put := func(owner string, epoch int, made float64) stateRecord {
 			state := State{Spec: spec("s"), Owner: owner, OwnerLife: owner + "-1", Total: 6, Epoch: epoch, Made: made, Nonce: owner}
 			state.SubmittedAt = now
@@ -247,8 +247,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.store.Set(stateKey("s"), string(value))
-			rec, err := decodeState(w.store.Row(stateKey("s")))
+			cl.store.Set(stateKey("s"), string(value))
+			rec, err := decodeState(cl.store.Row(stateKey("s")))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -258,12 +258,12 @@
 		put("b", 2, 0.2)
 		go a.runOf("s").early.claimOrStop(seen)
 		time.Sleep(500 * time.Millisecond)
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		if err := <-accepted; err != nil {
 			t.Error(err)
 		}
 		checkTexts(t, readUntilComplete(t, a, "s"), events)
-		state, err := readState(t.Context(), w.store, "s")
+		state, err := readState(t.Context(), cl.store, "s")
 		if err != nil || state.Owner != "a" || state.Epoch != 3 {
 			t.Errorf("the step is owned by %s in epoch %d, %v; want a in epoch 3", state.Owner, state.Epoch, err)
 		}
@@ -274,19 +274,19 @@
 // that was not accepted, which would lower the epoch.
 func TestHandoverKeepsEpochOfClaimedStep(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
+		cl := newCluster(t, "e1", "e2", "e3", "e4", "e5", "e6")
 		const events = 20
-		_, c := submitThrice(t, w, items(6), events, true)
+		_, c := submitThrice(t, cl, items(6), events, true)
 		time.Sleep(time.Second)
-		claimed, err := readState(t.Context(), w.store, "s")
+		claimed, err := readState(t.Context(), cl.store, "s")
 		if err != nil || claimed.Epoch == 1 {
 			t.Fatalf("the step is owned by %s in epoch %d, %v; want an epoch above 1", claimed.Owner, claimed.Epoch, err)
 		}
-		w.vms[claimed.Owner].Leave(t.Context())
-		left, err := readState(t.Context(), w.store, "s")
+		cl.vms[claimed.Owner].Leave(t.Context())
+		handedOver, err := readState(t.Context(), cl.store, "s")
 		// The next owner may have taken the step over already.
-		if err != nil || left.Owner == claimed.Owner || left.Epoch < claimed.Epoch || left.Owner != "" && left.Epoch == claimed.Epoch {
-			t.Errorf("the step is owned by %q in epoch %d after the handover, %v; it was claimed in epoch %d", left.Owner, left.Epoch, err, claimed.Epoch)
+		if err != nil || handedOver.Owner == claimed.Owner || handedOver.Epoch < claimed.Epoch || handedOver.Owner != "" && handedOver.Epoch == claimed.Epoch {
+			t.Errorf("the step is owned by %q in epoch %d after the handover, %v; it was claimed in epoch %d", handedOver.Owner, handedOver.Epoch, err, claimed.Epoch)
 		}
 		checkTexts(t, readUntilComplete(t, c, "s"), events)
 	})
@@ -296,8 +296,8 @@
 // submitted at two VMs, and the items of the copy that is not accepted would stay in the store.
 func TestObjectsOfRejectedCopyAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1")
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
 		list := items(2)
 		list[0].Body = bytes.Repeat([]byte("x"), rowLimit)
@@ -311,8 +311,8 @@
 		}
 		both.Wait()
 		time.Sleep(time.Second)
-		state, err := readState(t.Context(), w.store, "s")
-		if names := w.store.ObjectNames(); err != nil || len(state.Objects) == 0 || !slices.Equal(names, state.Objects) {
+		state, err := readState(t.Context(), cl.store, "s")
+		if names := cl.store.ObjectNames(); err != nil || len(state.Objects) == 0 || !slices.Equal(names, state.Objects) {
 			t.Errorf("the store holds %v; the step names %v, %v", names, state.Objects, err)
 		}
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
@@ -323,17 +323,17 @@
 // another VM has taken the step over. The copy looks rejected, but its objects hold the items.
 func TestObjectsOfAcceptedCopyAreKept(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		list := items(2)
 		list[0].Body = bytes.Repeat([]byte("x"), rowLimit)
-		_, state, err := creationTxn(t.Context(), w.store, State{Spec: spec("s"), Owner: "a", Epoch: 1, Total: 2}, list)
+		_, state, err := creationTxn(t.Context(), cl.store, State{Spec: spec("s"), Owner: "a", Epoch: 1, Total: 2}, list)
 		if err != nil || len(state.Objects) == 0 {
 			t.Fatalf("the step has the objects %v, %v", state.Objects, err)
 		}
-		taken := state
-		taken.Owner, taken.Epoch = "b", 2
-		value, err := encodeRow(taken)
+		takenOver := state
+		takenOver.Owner, takenOver.Epoch = "b", 2
+		value, err := encodeRow(takenOver)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -342,7 +342,7 @@
 			t.Error(err)
 		}
 		time.Sleep(time.Second)
-		if names := w.store.ObjectNames(); !slices.Equal(names, state.Objects) {
+		if names := cl.store.ObjectNames(); !slices.Equal(names, state.Objects) {
 			t.Errorf("the store holds %v, want the objects %v", names, state.Objects)
 		}
 	})
@@ -352,15 +352,15 @@
 // Submit must report that.
 func TestSubmitWithoutStoreReportsNotRun(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		a.Clock = unsetClock{}
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if fault.ExecutionOf(err) != fault.NotRun || fault.RetryAfterOf(err, 0) == 0 {
 			t.Errorf("Submit = %v, want a failure with NotRun and a time for the retry", err)
 		}
 		time.Sleep(5 * time.Second)
-		if n := w.engines.count("i0"); n != 0 {
+		if n := cl.engines.count("i0"); n != 0 {
 			t.Errorf("an item of a rejected step had %d attempts", n)
 		}
 	})
@@ -370,9 +370,9 @@
 // must start it at once; otherwise every such step would be delayed.
 func TestStepStartsAtPreferredOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.preferred = "b"
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1")
+		cl.preferred = "b"
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(60 * time.Millisecond)
@@ -387,14 +387,14 @@
 // step must be taken over without waiting for its restart.
 func TestStepOfDeadPreferredOwnerIsTakenOver(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.preferred = "b"
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1")
+		cl.preferred = "b"
+		a, b := cl.start("a"), cl.start("b")
 		time.Sleep(time.Second)
 		b.kill()
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(time.Second)
-		w.crash(b)
+		cl.crash(b)
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
 }
@@ -405,7 +405,7 @@
 func TestLongItemsOfAllGroupsStartFirst(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const long, short, gap = 20, 3, 100 * time.Millisecond
-		w := newCluster(t, "e1", "e2")
+		cl := newCluster(t, "e1", "e2")
 		list := items(16)
 		for i := range list {
 			list[i].Group, list[i].Expected = "g"+strconv.Itoa(i/4), short
@@ -413,13 +413,13 @@
 				list[i].Expected = long
 			}
 		}
-		w.engines.behave[""] = func(item string, _ int) reply {
+		cl.engines.behave[""] = func(item string, _ int) reply {
 			r := goodReply
 			n, _ := strconv.Atoi(item[1:])
 			r.events, r.gap = int(list[n].Expected), gap
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		started := time.Now()
 		submit(t, a, spec("s"), list)
 		readUntilComplete(t, a, "s")
@@ -435,14 +435,14 @@
 func TestLastItemsMoveToIdleFasterEngines(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		const events = 100
-		w := newCluster(t, "e1", "e2")
-		w.engines.behave["e1"] = func(string, int) reply {
+		cl := newCluster(t, "e1", "e2")
+		cl.engines.behave["e1"] = func(string, int) reply {
 			return reply{status: http.StatusOK, version: 1, events: events, gap: 40 * time.Millisecond}
 		}
-		w.engines.behave["e2"] = func(item string, _ int) reply {
+		cl.engines.behave["e2"] = func(item string, _ int) reply {
 			return reply{status: http.StatusOK, version: 1, events: events, gap: 30 * time.Millisecond}
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		e2 := a.Roster.Service("lm")[1]
 		e2.NoteSpeed(30*time.Millisecond, time.Now())
 		for range 4 {
@@ -466,20 +466,20 @@
 // committed results must keep their positions and texts.
 func TestTakeoverAfterCrashKeepsResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(string, int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(string, int) reply {
 			r := goodReply
 			r.gap = 100 * time.Millisecond
 			return r
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(20))
 		time.Sleep(700 * time.Millisecond)
 		before, _, err := b.Results(t.Context(), "s", "acc", 0, 0)
 		if err != nil || len(before) == 0 || len(before) == 20 {
 			t.Fatalf("%d results before the crash, %v", len(before), err)
 		}
-		w.crash(a)
+		cl.crash(a)
 		after := readUntilComplete(t, b, "s")
 		checkTexts(t, after, 3)
 		for i, r := range before {
@@ -494,12 +494,12 @@
 // generated again from its first event, the step would be delayed by the same time again.
 func TestTakeoverResumesLongText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = pacedBehaviour(60, 100*time.Millisecond)
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = pacedBehaviour(60, 100*time.Millisecond)
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(1))
 		time.Sleep(3 * time.Second)
-		w.crash(a)
+		cl.crash(a)
 		started := time.Now()
 		checkTexts(t, readUntilComplete(t, b, "s"), 60)
 		if took := time.Since(started); took > 5500*time.Millisecond {
@@ -514,13 +514,13 @@
 	for _, c := range []struct {
 		name       string
 		minVersion int64
-		runs       int
+		attempts   int
 	}{{"versions fit", 1, 1}, {"too old", 2, 2}} {
 		t.Run(c.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				w := newCluster(t, "e1")
+				cl := newCluster(t, "e1")
 				version := int64(1)
-				w.engines.behave[""] = func(item string, _ int) reply {
+				cl.engines.behave[""] = func(item string, _ int) reply {
 					r := goodReply
 					r.version = version
 					if item == "i3" {
@@ -528,7 +528,7 @@
 					}
 					return r
 				}
-				a := w.start("a")
+				a := cl.start("a")
 				submit(t, a, spec("s1"), items(4))
 				time.Sleep(2 * time.Second)
 				if err := a.End(t.Context(), "s1", "acc"); err != nil {
@@ -542,12 +542,12 @@
 				next.MinVersion = c.minVersion
 				submit(t, a, next, items(4)[2:])
 				for _, r := range readUntilComplete(t, a, "s2") {
-					if r.Item == "i3" && (len(strings.Split(r.Text, "\n")) != 40 || c.runs == 1 && r.Versions[0] != 1 || c.runs == 2 && len(r.Versions) != 1) {
+					if r.Item == "i3" && (len(strings.Split(r.Text, "\n")) != 40 || c.attempts == 1 && r.Versions[0] != 1 || c.attempts == 2 && len(r.Versions) != 1) {
 						t.Errorf("the resubmitted item has the versions %v and %d events", r.Versions, len(strings.Split(r.Text, "\n")))
 					}
 				}
-				if n := w.engines.count("i2"); n != c.runs {
-					t.Errorf("the finished item of the resubmitted group had %d attempts, want %d", n, c.runs)
+				if n := cl.engines.count("i2"); n != c.attempts {
+					t.Errorf("the finished item of the resubmitted group had %d attempts, want %d", n, c.attempts)
 				}
 			})
 		})
@@ -558,9 +558,9 @@
 // results that are not committed. If it could commit them, items would have two results.
 func TestFrozenOwnerCommitsNoResults(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a, b := w.start("a"), w.start("b")
-		w.store.SetFate(func(txn kept.Txn) memory.Fate {
+		cl := newCluster(t, "e1")
+		a, b := cl.start("a"), cl.start("b")
+		cl.store.SetFate(func(txn kept.Txn) memory.Fate {
 			if len(txn.Puts) > 0 && txn.Puts[0].Key.Table == resultTable {
 				return memory.EffectLate
 			}
@@ -568,12 +568,12 @@
 		})
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(300 * time.Millisecond)
-		w.mu.Lock()
-		w.dead["a"] = true
-		w.mu.Unlock()
-		w.store.SetFate(nil)
+		cl.mu.Lock()
+		cl.dead["a"] = true
+		cl.mu.Unlock()
+		cl.store.SetFate(nil)
 		results := readUntilComplete(t, b, "s")
-		w.store.RunLate()
+		cl.store.RunLate()
 		checkTexts(t, results, 3)
 		reread := readUntilComplete(t, b, "s")
 		if len(reread) != 4 {
@@ -586,12 +586,12 @@
 // must continue the step.
 func TestAcceptedStepSurvivesLossOfAllVMs(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(6))
-		w.crash(a)
+		cl.crash(a)
 		time.Sleep(time.Second)
-		checkTexts(t, readUntilComplete(t, w.start("c"), "s"), 3)
+		checkTexts(t, readUntilComplete(t, cl.start("c"), "s"), 3)
 	})
 }
 
@@ -599,14 +599,14 @@
 // previous incarnation is dead, while the VMs that rank before it still consider it alive.
 func TestRestartedOwnerResumesAtOnce(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = pacedBehaviour(30, 50*time.Millisecond)
-		w.start("a")
-		owner := w.start("b")
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = pacedBehaviour(30, 50*time.Millisecond)
+		cl.start("a")
+		owner := cl.start("b")
 		submit(t, owner, spec("s"), items(4))
 		time.Sleep(300 * time.Millisecond)
 		owner.kill()
-		owner = w.startIncarnation("b", "b-2")
+		owner = cl.startIncarnation("b", "b-2")
 		began := time.Now()
 		for owner.runOf("s") == nil && time.Since(began) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
@@ -621,13 +621,13 @@
 // the first one is detected as dead.
 func TestHandover(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(string, int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(string, int) reply {
 			r := goodReply
 			r.gap = 100 * time.Millisecond
 			return r
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(12))
 		time.Sleep(350 * time.Millisecond)
 		// A VM that shuts down bounds its handover and cancels the context afterwards.
@@ -648,9 +648,9 @@
 // their results are of no use any more.
 func TestEndCancelsItemsAtOwner(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.engines.behave[""] = pacedBehaviour(100, 100*time.Millisecond)
-		a, b := w.start("a"), w.start("b")
+		cl := newCluster(t, "e1", "e2")
+		cl.engines.behave[""] = pacedBehaviour(100, 100*time.Millisecond)
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(8))
 		time.Sleep(500 * time.Millisecond)
 		if err := b.End(t.Context(), "s", "acc"); err != nil {
@@ -660,10 +660,10 @@
 			t.Errorf("the repeated End fails: %v", err)
 		}
 		time.Sleep(time.Second)
-		w.engines.mu.Lock()
-		defer w.engines.mu.Unlock()
-		if w.engines.active != 0 {
-			t.Errorf("%d items still run a second after the end", w.engines.active)
+		cl.engines.mu.Lock()
+		defer cl.engines.mu.Unlock()
+		if cl.engines.active != 0 {
+			t.Errorf("%d items still run a second after the end", cl.engines.active)
 		}
 	})
 }
@@ -672,18 +672,18 @@
 // next commit. The store must reject that commit.
 func TestResultsAfterEndAreRejected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t)
-		b := w.start("b")
+		cl := newCluster(t)
+		b := cl.start("b")
 		submit(t, b, spec("s"), items(4))
 		rec, _ := b.lookUp("s")
 		if err := b.End(t.Context(), "s", "acc"); err != nil {
 			t.Fatal(err)
 		}
-		puts, err := resultPuts(t.Context(), w.store, "s", 0, []Result{{Item: "i0", Outcome: Completed}})
+		puts, err := resultPuts(t.Context(), cl.store, "s", 0, []Result{{Item: "i0", Outcome: Completed}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = w.store.Commit(t.Context(), kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey("s"), Version: rec.version}}})
+		_, err = cl.store.Commit(t.Context(), kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey("s"), Version: rec.version}}})
 		if err == nil {
 			t.Error("results were committed after the end of the step")
 		}
@@ -694,21 +694,21 @@
 // complete event, and the text must have no missing and no repeated event.
 func TestInterruptedTextResumes(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.engines.behave[""] = func(_ string, n int) reply {
+		cl := newCluster(t, "e1", "e2")
+		cl.engines.behave[""] = func(_ string, n int) reply {
 			r := goodReply
 			if n == 1 {
 				r.breakAfter = 2
 			}
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(4))
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
-		w.engines.mu.Lock()
-		defer w.engines.mu.Unlock()
-		if len(w.engines.resumed) != 4 || !strings.HasSuffix(w.engines.resumed[0], " after 2") {
-			t.Errorf("the resumed requests are %v, want 4 after event 2", w.engines.resumed)
+		cl.engines.mu.Lock()
+		defer cl.engines.mu.Unlock()
+		if len(cl.engines.resumed) != 4 || !strings.HasSuffix(cl.engines.resumed[0], " after 2") {
+			t.Errorf("the resumed requests are %v, want 4 after event 2", cl.engines.resumed)
 		}
 	})
 }
@@ -716,15 +716,15 @@
 // An engine omits an event. Without a check of the event IDs the text would seem complete.
 func TestMissingEventIsDetected(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(_ string, n int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(_ string, n int) reply {
 			r := goodReply
 			if n == 1 {
 				r.skip = 2
 			}
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(2))
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 	})
@@ -734,21 +734,21 @@
 // contract allows and must not be committed.
 func TestResultsOfStaleWeightsAreDiscarded(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.engines.behave["e1"] = func(string, int) reply {
+		cl := newCluster(t, "e1", "e2")
+		cl.engines.behave["e1"] = func(string, int) reply {
 			r := goodReply
 			r.version = 4
 			return r
 		}
-		w.engines.behave["e2"] = func(string, int) reply {
+		cl.engines.behave["e2"] = func(string, int) reply {
 			r := goodReply
 			r.version = 6
 			return r
 		}
-		for i := range w.instances {
-			w.instances[i].Versions = map[string]int64{"m": 5}
+		for i := range cl.instances {
+			cl.instances[i].Versions = map[string]int64{"m": 5}
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		s := spec("s")
 		s.MinVersion = 5
 		submit(t, a, s, items(6))
@@ -765,13 +765,13 @@
 // The weights change while a text is generated. The result must name both versions.
 func TestResultNamesAllWeightVersions(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(_ string, n int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(_ string, n int) reply {
 			r := goodReply
 			r.changeAt = 2
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(2))
 		for _, r := range readUntilComplete(t, a, "s") {
 			if len(r.Versions) != 2 || r.Versions[0] != 1 || r.Versions[1] != 2 {
@@ -785,8 +785,8 @@
 // sample. The text must be generated again.
 func TestSingleVersionStepRetriesMixedText(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(_ string, n int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(_ string, n int) reply {
 			r := goodReply
 			if n == 1 {
 				r.changeAt = 2
@@ -795,7 +795,7 @@
 			}
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		s := spec("s")
 		s.SingleVersion = true
 		submit(t, a, s, items(2))
@@ -811,32 +811,32 @@
 // item that the engine reports as impossible must not be retried.
 func TestFailingItemsAreAbandoned(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		status int
-		runs   int
+		name     string
+		status   int
+		attempts int
 	}{
 		{"fails each time", http.StatusInternalServerError, 3},
 		{"impossible", http.StatusUnprocessableEntity, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T) {
-				w := newCluster(t, "e1")
-				w.engines.behave[""] = func(item string, _ int) reply {
+				cl := newCluster(t, "e1")
+				cl.engines.behave[""] = func(item string, _ int) reply {
 					r := goodReply
 					if item == "i1" {
 						r.status = c.status
 					}
 					return r
 				}
-				a := w.start("a")
+				a := cl.start("a")
 				submit(t, a, spec("s"), items(2))
 				for _, r := range readUntilComplete(t, a, "s") {
 					if want := map[string]Outcome{"i0": Completed, "i1": Abandoned}[r.Item]; r.Outcome != want {
 						t.Errorf("item %s is %s", r.Item, r.Outcome)
 					}
 				}
-				if n := w.engines.count("i1"); n != c.runs {
-					t.Errorf("the item had %d attempts, want %d", n, c.runs)
+				if n := cl.engines.count("i1"); n != c.attempts {
+					t.Errorf("the item had %d attempts, want %d", n, c.attempts)
 				}
 			})
 		})
@@ -848,8 +848,8 @@
 // have had far more attempts than its route allows.
 func TestTakeoverKeepsFailureCount(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(item string, _ int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(item string, _ int) reply {
 			r := goodReply
 			if item == "i1" {
 				time.Sleep(time.Second)
@@ -857,17 +857,17 @@
 			}
 			return r
 		}
-		a, b := w.start("a"), w.start("b")
+		a, b := cl.start("a"), cl.start("b")
 		submit(t, a, spec("s"), items(2))
 		time.Sleep(2900 * time.Millisecond)
-		w.crash(a)
+		cl.crash(a)
 		for _, r := range readUntilComplete(t, b, "s") {
 			if r.Item == "i1" && r.Outcome != Abandoned {
 				t.Errorf("the item is %s", r.Outcome)
 			}
 		}
 		// Two failures, the attempt that was interrupted by the owner's death, and one more.
-		if n := w.engines.count("i1"); n > 4 {
+		if n := cl.engines.count("i1"); n > 4 {
 			t.Errorf("the item had %d attempts, want at most 4", n)
 		}
 	})
@@ -878,22 +878,22 @@
 // a burst of connections once they are reachable again.
 func TestInterruptedItemsBackOff(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
+		cl := newCluster(t, "e1", "e2")
 		reachableAt := time.Now().Add(6 * time.Second)
-		w.engines.behave[""] = func(string, int) reply {
+		cl.engines.behave[""] = func(string, int) reply {
 			if time.Now().Before(reachableAt) {
 				return reply{}
 			}
 			return goodReply
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(8))
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		if late := time.Since(reachableAt); late > 1500*time.Millisecond {
 			t.Errorf("the step was complete %s after the engines were reachable again", late)
 		}
 		for _, item := range items(8) {
-			if n := w.engines.count(item.ID); n > 16 {
+			if n := cl.engines.count(item.ID); n > 16 {
 				t.Errorf("item %s had %d attempts in 6 s", item.ID, n)
 			}
 		}
@@ -904,22 +904,22 @@
 // transaction each, in addition to those of all other steps.
 func TestResultsAreCommittedInBatches(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2", "e3", "e4")
-		w.engines.behave[""] = func(item string, _ int) reply {
+		cl := newCluster(t, "e1", "e2", "e3", "e4")
+		cl.engines.behave[""] = func(item string, _ int) reply {
 			r := goodReply
 			n, _ := strconv.Atoi(item[1:])
 			r.gap = time.Duration(100+10*n) * time.Millisecond
 			return r
 		}
 		commits := 0
-		w.store.SetFate(func(txn kept.Txn) memory.Fate {
+		cl.store.SetFate(func(txn kept.Txn) memory.Fate {
 			if txn.Puts[0].Key.Table == resultTable {
 				commits++
 				time.Sleep(12 * time.Millisecond)
 			}
 			return memory.Normal
 		})
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(16))
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
 		if commits > 8 {
@@ -932,11 +932,11 @@
 // but not before.
 func TestItemsAreAbandonedOnlyAtDeadline(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		w.engines.behave[""] = func(string, int) reply {
+		cl := newCluster(t, "e1")
+		cl.engines.behave[""] = func(string, int) reply {
 			return reply{status: http.StatusServiceUnavailable, notRun: true}
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(2))
 		time.Sleep(39 * time.Second)
 		if results, _, _ := a.Results(t.Context(), "s", "acc", 0, 0); len(results) != 0 {
@@ -954,13 +954,13 @@
 // engine; otherwise they would delay the step until its deadline.
 func TestItemsMoveFromUnresponsiveEngine(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1", "e2")
-		w.engines.behave["e1"] = func(string, int) reply {
+		cl := newCluster(t, "e1", "e2")
+		cl.engines.behave["e1"] = func(string, int) reply {
 			r := goodReply
 			r.gap = time.Hour
 			return r
 		}
-		a := w.start("a")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(4))
 		started := time.Now()
 		checkTexts(t, readUntilComplete(t, a, "s"), 3)
@@ -974,14 +974,14 @@
 // report the step as unknown: the trainer would submit the step again from the start.
 func TestStepUnknownRequiresStoreAnswer(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
-		w.store.SetDown(true)
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
+		cl.store.SetDown(true)
 		_, _, err := a.Results(t.Context(), "s", "acc", 0, 0)
 		if fault.Is[*fault.StepUnknown](err) || err == nil {
 			t.Errorf("while the store is unavailable: %v", err)
 		}
-		w.store.SetDown(false)
+		cl.store.SetDown(false)
 		if _, _, err := a.Results(t.Context(), "s", "acc", 0, 0); !fault.Is[*fault.StepUnknown](err) {
 			t.Errorf("after the store answered that there is no such step: %v", err)
 		}
@@ -991,8 +991,8 @@
 // Another client account requests a step whose ID it has guessed.
 func TestStepsOfOtherAccountsAreUnknown(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(2))
 		if _, _, err := a.Results(t.Context(), "s", "other", 0, 0); !fault.Is[*fault.StepUnknown](err) {
 			t.Errorf("results: %v", err)
@@ -1010,17 +1010,17 @@
 // by a VM that reads them from the store.
 func TestLargeItemsAndTexts(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		list := items(4)
 		list[2].Body = []byte(strings.Repeat("\x00b", 900<<10))
 		submit(t, a, spec("s"), list)
-		body, err := w.start("b").Body(t.Context(), "s", "acc", "i2")
+		body, err := cl.start("b").Body(t.Context(), "s", "acc", "i2")
 		if err != nil || string(body) != string(list[2].Body) {
 			t.Errorf("the body has %d bytes, %v", len(body), err)
 		}
 		long := Result{Item: "x", Outcome: Completed, Text: strings.Repeat("\x01t", 60<<10)}
-		puts, err := resultPuts(t.Context(), w.store, "other", 0, []Result{long, {Item: "y", Outcome: Abandoned}})
+		puts, err := resultPuts(t.Context(), cl.store, "other", 0, []Result{long, {Item: "y", Outcome: Abandoned}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -1029,17 +1029,17 @@
 				t.Errorf("a row has %d bytes, more than 64 KiB", len(put.Value))
 			}
 		}
-		if _, err := w.store.Commit(t.Context(), kept.Txn{Puts: puts}); err != nil {
+		if _, err := cl.store.Commit(t.Context(), kept.Txn{Puts: puts}); err != nil {
 			t.Fatal(err)
 		}
-		results, err := readResults(t.Context(), w.store, "other", 0)
+		results, err := readResults(t.Context(), cl.store, "other", 0)
 		if err == nil {
-			err = loadOffloadedTexts(t.Context(), w.store, results)
+			err = loadOffloadedTexts(t.Context(), cl.store, results)
 		}
 		if err != nil || len(results) != 2 || results[0].Text != long.Text {
 			t.Errorf("%d results, %v", len(results), err)
 		}
-		if second, err := readResults(t.Context(), w.store, "other", 1); err != nil || len(second) != 1 || second[0].Item != "y" {
+		if second, err := readResults(t.Context(), cl.store, "other", 1); err != nil || len(second) != 1 || second[0].Item != "y" {
 			t.Errorf("from position 1: %v, %v", second, err)
 		}
 	})
@@ -1049,20 +1049,20 @@
 // store.
 func TestExpiredStepsAreRemoved(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		w := newCluster(t, "e1")
-		a := w.start("a")
+		cl := newCluster(t, "e1")
+		a := cl.start("a")
 		submit(t, a, spec("s"), items(2))
 		readUntilComplete(t, a, "s")
 		if err := a.End(t.Context(), "s", "acc"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Minute)
-		if _, err := readState(context.Background(), w.store, "s"); err != nil {
+		if _, err := readState(context.Background(), cl.store, "s"); err != nil {
 			t.Fatalf("the step was removed too early: %v", err)
 		}
 		time.Sleep(time.Minute)
 		for _, table := range []string{stateTable, itemsTable, resultTable} {
-			if rows, _ := kept.ReadAll(t.Context(), w.store, table, "s"); len(rows) > 0 {
+			if rows, _ := kept.ReadAll(t.Context(), cl.store, table, "s"); len(rows) > 0 {
 				t.Errorf("%d rows are left in table %s", len(rows), table)
 			}
 		}
--- a/internal/step/sweep.go
+++ b/internal/step/sweep.go
@@ -11,8 +11,8 @@
 const (
 	// sweepInterval is the interval at which expired steps are removed.
 	sweepInterval = 5 * time.Second
-	// retentionGracePeriod is a grace period added to the retention time of ended steps before they
-	// are removed.
+	// retentionGracePeriod is a grace period added to the retention time of ended steps before
+	// they are removed.
 	retentionGracePeriod = 30 * time.Second
 	// sweepMaxRows is the maximum number of rows removed in one transaction; the store
 	// accepts 100.
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -65,8 +65,8 @@
 		// A step whose owner is this VM needs no waiting: an earlier incarnation of this
 		// VM is certainly dead, even while its status row still makes it look alive to
 		// others, for example after a power failure of all VMs.
-		ownRow := r.Owner == m.VM
-		if !ownRow && !m.canTakeOver(r, now.Sub(since)) {
+		ownStep := r.Owner == m.VM
+		if !ownStep && !m.canTakeOver(r, now.Sub(since)) {
 			continue
 		}
 		m.loading[id] = true
