--- a/internal/platform/commit.go
+++ b/internal/platform/commit.go
@@ -16,88 +16,95 @@
 func NewNonce() string { return uuid.NewString() }
 
 const (
-	// settleTries bounds how often a commit without an answer is looked into.
-	settleTries = 4
-	// settlePause is the first pause between the tries; it doubles.
-	settlePause = 20 * time.Millisecond
+	// maxConfirmAttempts limits the attempts to confirm a commit with an unknown
+	// outcome.
+	maxConfirmAttempts = 4
+	// confirmBackoff is the backoff after the first of these attempts; it grows by
+	// half after each further one.
+	confirmBackoff = 20 * time.Millisecond
 )
 
-// CommitSurely runs a transaction and settles a lost reply. When the reply of
-// a commit is lost the transaction may have taken effect, may take effect
-// later, or never. Running it again blindly would fail its own preconditions
-// and look like a lost race. So the first written row, which must not be a
-// deletion, is read: if it carries this transaction's nonce the commit took
-// effect. If it is still as the precondition demanded, the same transaction is
-// sent again: versions never repeat, so at most one of the copies takes effect.
+// CommitSurely runs a transaction, and tries to confirm it if its outcome is
+// unknown. A commit without an answer may have taken effect, may do so later, or
+// never does. A plain retry would fail the preconditions of the transaction if the
+// first copy took effect, as if another writer had won. Therefore CommitSurely
+// reads the row of the first write, which must not be a deletion. If the row has
+// the nonce of this transaction, the commit took effect. If the row still meets
+// its precondition, the same transaction is sent again. Versions never repeat, so
+// at most one of the copies takes effect.
 //
-// It fails with *fault.PreconditionFailed only when no copy took or will take
-// effect. Otherwise the failure is *fault.StoreUnavailable with EffectUnknown:
-// the store stayed silent, or the row was overwritten since.
+// CommitSurely fails with *fault.PreconditionFailed only if no copy has taken
+// effect or ever will. It fails with *fault.StoreUnavailable, whose EffectUnknown
+// is true, if the store did not answer or the row has been overwritten since.
 //
-// A first row that must be absent may be deleted only by the writer itself:
-// after a deletion by others, a copy would be taken for one that never ran.
+// If the row of the first write must be absent, only the writer of this
+// transaction may delete it later. After a deletion by another writer, a
+// transaction that took effect would look like one that never ran, and would run
+// again.
 func CommitSurely(ctx context.Context, tables Tables, txn Txn) error {
-	lost := tables.Commit(ctx, txn)
-	if !effectUnknown(lost) {
-		return lost
+	firstErr := tables.Commit(ctx, txn)
+	if !isEffectUnknown(firstErr) {
+		return firstErr
 	}
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = settlePause
-	pauses.RandomizationFactor = 0
-	latest := lost
-	for range settleTries {
-		var settled bool
-		if latest, settled = settle(ctx, tables, txn, latest); settled {
-			return latest
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = confirmBackoff
+	delays.RandomizationFactor = 0
+	lastErr := firstErr
+	for range maxConfirmAttempts {
+		var known bool
+		if lastErr, known = confirm(ctx, tables, txn, lastErr); known {
+			return lastErr
 		}
-		if !wait.For(ctx, pauses.NextBackOff()) {
-			return lost
+		if !wait.For(ctx, delays.NextBackOff()) {
+			return firstErr
 		}
 	}
-	return lost
+	return firstErr
 }
 
-// settle looks into a commit whose latest try failed with latest. It returns
-// the outcome of the commit, or, when it is not settled, that of a new try.
-func settle(ctx context.Context, tables Tables, txn Txn, latest error) (err error, settled bool) {
+// confirm determines the outcome of a commit whose last attempt failed with
+// lastErr, and sends the transaction again if no copy has taken effect yet. If known
+// is true, err is the outcome; otherwise it is the error of the last attempt.
+func confirm(ctx context.Context, tables Tables, txn Txn, lastErr error) (err error, known bool) {
 	row, readErr := tables.Get(ctx, txn.Writes[0].Key)
 	if readErr != nil {
-		return latest, false
+		return lastErr, false
 	}
-	switch fateOf(row, txn) {
+	switch outcomeOf(row, txn) {
 	case committed:
 		return nil, true
 	case superseded:
 		return errors.WithStack(&fault.PreconditionFailed{Row: row.Key, Have: row.Version}), true
 	case overwritten:
-		return unknownEffect(), true
+		return newEffectUnknownError(), true
 	case pending:
 	}
-	if fault.Is[*fault.PreconditionFailed](latest) {
-		// A copy was refused while the first row is untouched, so another row
-		// of the transaction has moved on and every copy will be refused.
-		return latest, true
+	if fault.Is[*fault.PreconditionFailed](lastErr) {
+		// A copy was refused although the first row is unchanged. So another row
+		// of the transaction has changed, and every copy will be refused.
+		return lastErr, true
 	}
 	err = tables.Commit(ctx, txn)
 	return err, err == nil
 }
 
-// fate is what a row tells about a transaction whose reply was lost.
-type fate int
+// outcome is what a row shows of a transaction whose answer was lost.
+type outcome int
 
 const (
 	// pending means that no copy has taken effect yet.
-	pending fate = iota
+	pending outcome = iota
 	// committed means that a copy took effect.
 	committed
-	// superseded means that no copy ever takes effect.
+	// superseded means that another transaction wrote the version that this one
+	// would have written, so that no copy ever takes effect.
 	superseded
-	// overwritten means that the row was written again, so that it does not
-	// show any more what became of the transaction.
+	// overwritten means that the row has been written again since, so that it no
+	// longer shows the outcome.
 	overwritten
 )
 
-func fateOf(row Row, txn Txn) fate {
+func outcomeOf(row Row, txn Txn) outcome {
 	if row.Exists() && row.Nonce == txn.Nonce {
 		return committed
 	}
@@ -115,11 +122,11 @@
 	return overwritten
 }
 
-func effectUnknown(err error) bool {
-	var lost *fault.StoreUnavailable
-	return errors.As(err, &lost) && lost.EffectUnknown
+func isEffectUnknown(err error) bool {
+	var unavailable *fault.StoreUnavailable
+	return errors.As(err, &unavailable) && unavailable.EffectUnknown
 }
 
-func unknownEffect() error {
+func newEffectUnknownError() error {
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 }
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -33,42 +33,44 @@
 
 const (
 	dialTimeout = time.Second
-	// CallTimeout bounds one call to the platform; no report can be under way for
-	// longer.
+	// CallTimeout is the timeout of a call to the platform. A usage report is
+	// never in flight for longer.
 	CallTimeout = 3 * time.Second
-	// maxReply bounds the body of a reply in bytes.
-	maxReply = 64 << 20
+	// maxResponseBytes limits the body of a response.
+	maxResponseBytes = 64 << 20
 )
 
-// ScanRequest is the body of a scan.
+// ScanRequest is the body of a scan request.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  string `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// GetRequest is the body of a read of one row.
+// GetRequest is the body of a request for one row.
 type GetRequest struct {
 	Key string `json:"key"`
 }
 
-// Problem is the body of a refusal by the platform.
+// Problem is the body of a response in which the platform refuses a request.
 type Problem struct {
-	// Row, Want and Have are set when a precondition failed.
+	// Row, Want and Have are set if a precondition failed: the row, the version
+	// that was required, and the version that the row has.
 	Row  string `json:"row,omitempty"`
 	Want uint64 `json:"want,omitempty"`
 	Have uint64 `json:"have,omitempty"`
-	// Epoch is the newest epoch seen, when an order was fenced off.
+	// Epoch is set if an order or report had an outdated epoch: the newest epoch
+	// that the platform has seen.
 	Epoch uint64 `json:"epoch,omitempty"`
 }
 
-// Client reaches the platform over HTTP. It implements every port of this
-// package and is safe for concurrent use.
+// Client calls the platform over HTTP. It implements every port of this package
+// and is safe for concurrent use.
 type Client struct {
 	base string
 	http *http.Client
-	// orders sends what a lease guards; see package fence.
-	orders *http.Client
+	// fencedHTTP sends orders and reports, which need a lease; see package fence.
+	fencedHTTP *http.Client
 
 	vms       cachedList[VM]
 	upstreams cachedList[Upstream]
@@ -86,9 +88,9 @@
 	return &Client{
 		base: strings.TrimSuffix(base, "/"),
 		http: &http.Client{Transport: transport, Timeout: CallTimeout},
-		// An order uses its connection once, so that the write deadline of its
-		// lease ends with it.
-		orders: fence.NewClient(dialTimeout, CallTimeout),
+		// A connection is used for one order or report only, so that the write
+		// deadline set for its lease does not outlast it.
+		fencedHTTP: fence.NewClient(dialTimeout, CallTimeout),
 	}
 }
 
@@ -126,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	return refused("put", status)
+	return statusError("put", status)
 }
 
 // Fetch implements Objects.
@@ -138,7 +140,7 @@
 	if status == http.StatusNotFound {
 		return nil, errors.WithStack(&fault.ObjectUnknown{Key: key})
 	}
-	return body, refused("fetch", status)
+	return body, statusError("fetch", status)
 }
 
 // VMs implements VMList.
@@ -158,20 +160,20 @@
 
 // Order implements Upstreams.
 func (c *Client) Order(ctx context.Context, order Order) error {
-	status, problem, err := c.send(ctx, c.orders, PathOrders, order)
+	status, problem, err := c.send(ctx, c.fencedHTTP, PathOrders, order)
 	if err != nil {
 		return err
 	}
-	return fenced(status, problem, order.ID, "order")
+	return fencedStatusError(status, problem, order.ID, "order")
 }
 
 // Report implements Billing.
 func (c *Client) Report(ctx context.Context, report UsageReport) error {
-	status, problem, err := c.send(ctx, c.orders, PathReports, report)
+	status, problem, err := c.send(ctx, c.fencedHTTP, PathReports, report)
 	if err != nil {
 		return err
 	}
-	return fenced(status, problem, report.Account, "report")
+	return fencedStatusError(status, problem, report.Account, "report")
 }
 
 // Latest implements Weights.
@@ -179,16 +181,17 @@
 	return c.versions.fetch(ctx, c, PathWeights)
 }
 
-func fenced(status int, problem Problem, id, operation string) error {
+func fencedStatusError(status int, problem Problem, id, operation string) error {
 	if status == http.StatusPreconditionFailed {
 		return errors.WithStack(&fault.OrderFenced{Order: id, Epoch: problem.Epoch})
 	}
-	return refused(operation, status)
+	return statusError(operation, status)
 }
 
-// refused turns a status into a failure. A server error may have come after
-// the effect, so it counts as unknown.
-func refused(operation string, status int) error {
+// statusError returns the error for the status of a response, or nil if the status
+// is below 400. The platform may have executed a request that it answers with a
+// server error, so the effect counts as unknown.
+func statusError(operation string, status int) error {
 	switch {
 	case status < http.StatusBadRequest:
 		return nil
@@ -232,20 +235,20 @@
 	}
 	var problem Problem
 	if status >= http.StatusBadRequest {
-		// A refusal without a readable body still counts by its status.
+		// The status alone decides if the body can't be decoded.
 		_ = json.Unmarshal(answer, &problem)
 	}
 	return status, problem, nil
 }
 
-// call makes one HTTP call on the kept connections.
+// call makes one HTTP call over the pooled connections.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	return c.callWith(ctx, c.http, method, path, body)
 }
 
-// callWith makes one HTTP call. Whatever goes wrong after the connection was
-// tried counts as an unknown effect: the platform may have acted and the
-// reply may have been lost.
+// callWith makes one HTTP call. Unless the method is GET, the effect of a call
+// that gets no complete answer is unknown: the platform may have executed the
+// request although its answer was lost.
 func (c *Client) callWith(ctx context.Context, client *http.Client, method, path string, body []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -257,7 +260,7 @@
 		return 0, nil, errors.WithStack(&fault.StoreUnavailable{Operation: path, EffectUnknown: method != http.MethodGet})
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	answer, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, errors.WithStack(&fault.StoreUnavailable{Operation: path, EffectUnknown: method != http.MethodGet})
 	}
--- a/internal/platform/lists.go
+++ b/internal/platform/lists.go
@@ -12,44 +12,45 @@
 	"dogwoodpond/internal/fault"
 )
 
-// cachedList is the latest answer of one of the platform's lists. The lists are
-// polled by every VM and seldom change; at 720 upstreams one is some 200 KB, so
-// that fetching it anew each time would use many times a VM's share of the
-// network. A poll names the version that the VM has, and the platform answers
-// 304 when it still holds. A platform that knows no ETag sends the whole list.
+// cachedList caches the latest version of one of the platform's lists. Every VM
+// polls the lists, which rarely change. A list of 720 upstreams has some 200 KB, so
+// transferring it at each poll would use many times a VM's share of the network.
+// Therefore a poll sends the ETag of the cached version, and the platform answers
+// 304 if the list has not changed. A platform without ETags always sends the full
+// list.
 type cachedList[T any] struct {
 	latest atomic.Pointer[listVersion[T]]
 }
 
-// listVersion is immutable.
+// listVersion is one version of a list. It is immutable.
 type listVersion[T any] struct {
 	etag  string
 	items []T
 }
 
-// fetch returns the list; the result must not be changed.
+// fetch returns the current list. The caller must not modify it.
 func (l *cachedList[T]) fetch(ctx context.Context, c *Client, path string) ([]T, error) {
-	have := l.latest.Load()
+	cached := l.latest.Load()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: path})
 	}
-	if have != nil && have.etag != "" {
-		request.Header.Set("If-None-Match", have.etag)
+	if cached != nil && cached.etag != "" {
+		request.Header.Set("If-None-Match", cached.etag)
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
 		return nil, errors.WithStack(&fault.StoreUnavailable{Operation: path})
 	}
 	defer response.Body.Close()
-	if response.StatusCode == http.StatusNotModified && have != nil {
-		return have.items, nil
+	if response.StatusCode == http.StatusNotModified && cached != nil {
+		return cached.items, nil
 	}
-	next := &listVersion[T]{etag: response.Header.Get("ETag")}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
-	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal(body, &next.items) != nil {
+	fetched := &listVersion[T]{etag: response.Header.Get("ETag")}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil || response.StatusCode != http.StatusOK || json.Unmarshal(body, &fetched.items) != nil {
 		return nil, errors.WithStack(&fault.StoreUnavailable{Operation: path})
 	}
-	l.latest.Store(next)
-	return next.items, nil
+	l.latest.Store(fetched)
+	return fetched.items, nil
 }
--- a/internal/platform/lists_test.go
+++ b/internal/platform/lists_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// listServer serves a list with a version, and counts the bytes of the bodies.
+// listServer serves a list of VMs with an ETag, and counts the responses with a
+// body.
 type listServer struct {
 	vms    atomic.Pointer[[]VM]
 	etag   atomic.Pointer[string]
@@ -30,7 +31,7 @@
 	_ = json.NewEncoder(w).Encode(*l.vms.Load())
 }
 
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+func TestUnchangedListIsNotTransferredAgain(t *testing.T) {
 	lists := &listServer{}
 	lists.set(`"1"`, VM{ID: "vm-1"})
 	server := httptest.NewServer(lists)
@@ -43,7 +44,7 @@
 		}
 	}
 	if got := lists.bodies.Load(); got != 1 {
-		t.Errorf("the list was sent %d times, want once", got)
+		t.Errorf("the list was sent %d times, want 1", got)
 	}
 	lists.set(`"2"`, VM{ID: "vm-1"}, VM{ID: "vm-2"})
 	if vms, err := client.VMs(t.Context()); err != nil || len(vms) != 2 {
@@ -51,14 +52,15 @@
 	}
 }
 
-// A platform answers a poll with an error page after a good one. Taken for a new
-// list it would empty the directory, and every request would be refused.
-func TestErrorPageIsNoList(t *testing.T) {
+// Guards against an error page that is accepted as a new list: it would empty the
+// directory, and every request would be refused. Here the platform answers a poll
+// with status 502 and an empty list.
+func TestErrorPageIsNotAccepted(t *testing.T) {
 	lists := &listServer{}
 	lists.set(`"1"`, VM{ID: "vm-1"})
-	broken := atomic.Bool{}
+	failing := atomic.Bool{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if broken.Load() {
+		if failing.Load() {
 			w.WriteHeader(http.StatusBadGateway)
 			_, _ = w.Write([]byte("[]"))
 			return
@@ -70,11 +72,11 @@
 	if _, err := client.VMs(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	broken.Store(true)
+	failing.Store(true)
 	if vms, err := client.VMs(t.Context()); err == nil {
-		t.Errorf("the error page passed for the list %v", vms)
+		t.Errorf("VMs accepted an error page as the list %v", vms)
 	}
-	broken.Store(false)
+	failing.Store(false)
 	if vms, err := client.VMs(t.Context()); err != nil || len(vms) != 1 {
 		t.Errorf("after the error: %v, %v", vms, err)
 	}
--- a/internal/platform/memory/tables.go
+++ b/internal/platform/memory/tables.go
@@ -1,5 +1,5 @@
-// Package memory keeps the table service's rows in memory. The stand-in
-// platform and the unit tests share it.
+// Package memory implements the table service in memory, for the stand-in platform
+// and for unit tests.
 package memory
 
 import (
@@ -14,13 +14,15 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Tables implements platform.Tables in memory. It never fails but for
-// preconditions.
+// Tables implements platform.Tables in memory. Its only error is
+// *fault.PreconditionFailed.
 type Tables struct {
 	mu   sync.Mutex
 	rows map[string]platform.Row
-	// last keeps the version of deleted rows, so that versions never repeat.
-	last map[string]uint64
+	// lastVersion holds the last version of each key, also of deleted rows, so
+	// that versions never repeat.
+	lastVersion map[string]uint64
+	// keys are the keys of rows, sorted.
 	keys []string
 
 	reads, commits int64
@@ -28,7 +30,7 @@
 
 // NewTables returns empty tables.
 func NewTables() *Tables {
-	return &Tables{rows: make(map[string]platform.Row), last: make(map[string]uint64)}
+	return &Tables{rows: make(map[string]platform.Row), lastVersion: make(map[string]uint64)}
 }
 
 // Get implements platform.Tables.
@@ -79,27 +81,27 @@
 }
 
 func (t *Tables) apply(nonce string, w platform.Write) {
-	at, present := slices.BinarySearch(t.keys, w.Key)
+	i, found := slices.BinarySearch(t.keys, w.Key)
 	if w.Delete {
-		if present {
-			t.keys = slices.Delete(t.keys, at, at+1)
+		if found {
+			t.keys = slices.Delete(t.keys, i, i+1)
 			delete(t.rows, w.Key)
 		}
 		return
 	}
-	if !present {
-		t.keys = slices.Insert(t.keys, at, w.Key)
+	if !found {
+		t.keys = slices.Insert(t.keys, i, w.Key)
 	}
-	t.last[w.Key]++
+	t.lastVersion[w.Key]++
 	t.rows[w.Key] = platform.Row{
 		Key:     w.Key,
-		Version: t.last[w.Key],
+		Version: t.lastVersion[w.Key],
 		Nonce:   nonce,
 		Value:   slices.Clone(w.Value),
 	}
 }
 
-// Counts returns how many reads and commits the tables have served.
+// Counts returns the number of reads, and of commits that took effect.
 func (t *Tables) Counts() (reads, commits int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform holds the ports of everything that the users' platform
-// gives, and clients for its HTTP/JSON interfaces. The wire forms of the real
-// platform are not known yet; a change of form touches only http.go.
+// Package platform defines the ports to the services of the users' platform, and
+// implements them by a client of its HTTP/JSON interfaces. The wire formats of the
+// real platform are not known yet. A change of them affects only http.go, lists.go
+// and the JSON tags in this package.
 package platform
 
 import (
@@ -21,7 +22,8 @@
 // Exists reports whether the row is present.
 func (r Row) Exists() bool { return r.Version != 0 }
 
-// Precondition demands that a row is at Version; 0 demands that it is absent.
+// Precondition requires that a row has the given version; 0 requires that it is
+// absent.
 type Precondition struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -34,10 +36,11 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is one transaction: all preconditions hold and all writes take effect,
-// or nothing does.
+// Txn is one transaction. If all preconditions hold, all writes take effect;
+// otherwise none does.
 type Txn struct {
-	// Nonce is unique for each transaction; the written rows carry it.
+	// Nonce is unique to the transaction. It is stored in every row that the
+	// transaction writes.
 	Nonce         string         `json:"nonce"`
 	Preconditions []Precondition `json:"preconditions"`
 	Writes        []Write        `json:"writes"`
@@ -45,26 +48,27 @@
 
 // Tables is the transactional table service.
 //
-// Every method fails with *fault.StoreUnavailable when no answer came; its
-// EffectUnknown is true when a Commit may have taken effect. Commit fails
-// with *fault.PreconditionFailed when a precondition did not hold, and then
-// has written nothing. Reads are linearizable. Implementations are safe for
-// concurrent use.
+// Every method fails with *fault.StoreUnavailable if it gets no answer; its
+// EffectUnknown is true if a Commit may have taken effect. Commit fails with
+// *fault.PreconditionFailed if a precondition does not hold, and then writes
+// nothing. Reads are linearizable. Implementations are safe for concurrent use.
 type Tables interface {
-	// Get returns a row; an absent row has version 0.
+	// Get returns a row, with version 0 if it is absent.
 	Get(ctx context.Context, key string) (Row, error)
-	// Scan returns up to limit rows whose keys have the prefix and come after
-	// the key named after, in the order of their keys.
+	// Scan returns the first rows, at most limit and in key order, whose keys
+	// start with prefix and are greater than after.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 	// Commit runs a transaction.
 	Commit(ctx context.Context, txn Txn) error
 }
 
-// Objects is the object store for large bodies. Objects are written once.
+// Objects is the object store for large bodies. An object is written once and
+// never changed.
 type Objects interface {
-	// Put stores body under key; a repeat with the same key is harmless.
+	// Put stores body under key. Repeating it with the same key is harmless.
 	Put(ctx context.Context, key string, body []byte) error
-	// Fetch returns an object or fails with *fault.ObjectUnknown.
+	// Fetch returns an object. It fails with *fault.ObjectUnknown if there is
+	// none under key.
 	Fetch(ctx context.Context, key string) ([]byte, error)
 }
 
@@ -77,7 +81,7 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VM is one entry of the platform's lagging list of VMs.
+// VM is one entry of the platform's list of VMs.
 type VM struct {
 	ID            string  `json:"id"`
 	FailureDomain string  `json:"failureDomain"`
@@ -87,12 +91,13 @@
 	State         VMState `json:"state"`
 }
 
-// VMList is the platform's list of live and leaving VMs. It lags behind.
+// VMList is the platform's list of live and leaving VMs. The list may be out of
+// date.
 type VMList interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
 
-// UpstreamKind tells model engines from plain services.
+// UpstreamKind distinguishes model engines from plain services.
 type UpstreamKind string
 
 // The kinds of upstreams.
@@ -111,37 +116,39 @@
 	UpstreamLeaving  UpstreamState = "leaving"
 )
 
-// Upstream is one entry of the platform's lagging list of upstreams.
+// Upstream is one entry of the platform's list of upstreams. The list may be out
+// of date.
 type Upstream struct {
 	ID            string        `json:"id"`
 	Kind          UpstreamKind  `json:"kind"`
 	FailureDomain string        `json:"failureDomain"`
 	Address       string        `json:"address"`
 	State         UpstreamState `json:"state"`
-	// Reclaimable upstreams are cheaper and can vanish at short notice.
+	// Reclaimable upstreams are cheaper, but the platform may stop them at short
+	// notice.
 	Reclaimable bool `json:"reclaimable"`
-	// ChecksFencing is true when the upstream refuses orders with an old
-	// fencing number.
+	// ChecksFencing is true if the upstream refuses orders with an outdated
+	// fencing token.
 	ChecksFencing bool `json:"checksFencing"`
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int `json:"slots"`
-	// Service is the service's name, for plain services.
+	// Service is the name of a plain service.
 	Service string `json:"service,omitempty"`
-	// Model, Adapter and Role tell what an engine was last ordered to serve.
+	// Model, Adapter and Role describe what an engine was last ordered to serve.
 	Model   string `json:"model,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Role    string `json:"role,omitempty"`
 	// Adaptable engines may be ordered to serve another model or adapter.
 	Adaptable bool `json:"adaptable,omitempty"`
-	// CentsPerHour is the price of the upstream.
+	// CentsPerHour is the price of the upstream in cents per hour.
 	CentsPerHour int64 `json:"centsPerHour"`
 	// Account is the client account for which the upstream was ordered.
 	Account string `json:"account,omitempty"`
-	// OrderID is the order that started the upstream.
+	// OrderID is the ID of the order that started the upstream.
 	OrderID string `json:"orderId,omitempty"`
 }
 
-// OrderKind is what an order for upstreams asks for.
+// OrderKind is the action that an order asks for.
 type OrderKind string
 
 // The kinds of orders to the platform.
@@ -154,44 +161,45 @@
 type Order struct {
 	// ID makes the order idempotent.
 	ID string `json:"id"`
-	// Epoch is the fencing number: the epoch of the giver's lease.
+	// Epoch is the fencing token: the epoch of the sender's lease.
 	Epoch         uint64    `json:"epoch"`
 	FailureDomain string    `json:"failureDomain"`
 	Kind          OrderKind `json:"kind"`
-	// Upstream names the upstream to stop.
+	// Upstream is the ID of the upstream to stop.
 	Upstream string `json:"upstream,omitempty"`
 	// Account, Model, Adapter and Reclaimable describe the engine to start.
 	Account     string `json:"account,omitempty"`
 	Model       string `json:"model,omitempty"`
 	Adapter     string `json:"adapter,omitempty"`
 	Reclaimable bool   `json:"reclaimable,omitempty"`
-	// CentsPerHour is the highest price that a started engine may have.
+	// CentsPerHour is the highest price at which an engine may be started.
 	CentsPerHour int64 `json:"centsPerHour,omitempty"`
 }
 
-// Offer is a kind of engine that the platform could start now.
+// Offer describes engines that the platform could start now.
 type Offer struct {
 	FailureDomain string `json:"failureDomain"`
 	Model         string `json:"model"`
 	Reclaimable   bool   `json:"reclaimable"`
 	CentsPerHour  int64  `json:"centsPerHour"`
-	// Available is how many could be started; it may be out of date.
+	// Available is the number of engines that could be started; it may be out
+	// of date.
 	Available int `json:"available"`
 }
 
-// Upstreams is the platform's interface for the upstreams of failure domains.
+// Upstreams lists upstreams, and starts and stops them by orders.
 type Upstreams interface {
 	// Upstreams returns all upstreams, of every failure domain.
 	Upstreams(ctx context.Context) ([]Upstream, error)
-	// Order gives an order; a repeat with the same ID has no further effect.
-	// It fails with *fault.OrderFenced when the platform has seen a newer
-	// epoch for the failure domain.
+	// Order sends an order. An order that is sent again with the same ID has no
+	// further effect. Order fails with *fault.OrderFenced if the platform has
+	// seen a newer epoch for the failure domain.
 	Order(ctx context.Context, order Order) error
-	// Offers returns what could be ordered, in every failure domain.
+	// Offers returns the engines that could be started, in every failure domain.
 	Offers(ctx context.Context) ([]Offer, error)
 }
 
-// UsageReport is the usage of one client account in one window.
+// UsageReport is the usage of one client account in one usage window.
 type UsageReport struct {
 	// Window is the start of the window in seconds since the Unix epoch.
 	Window  int64  `json:"window"`
@@ -199,21 +207,22 @@
 	// Requests and Tokens are the totals of the window.
 	Requests int64 `json:"requests"`
 	Tokens   int64 `json:"tokens"`
-	// CorrectionRequests and CorrectionTokens came in after an earlier window
-	// had been reported.
+	// CorrectionRequests and CorrectionTokens are usage of earlier windows that
+	// was recorded only after those had been reported.
 	CorrectionRequests int64 `json:"correctionRequests"`
 	CorrectionTokens   int64 `json:"correctionTokens"`
-	// Incomplete is true when a VM died before it had flushed everything.
+	// Incomplete is true if a VM died before it had flushed all of its totals.
 	Incomplete bool `json:"incomplete"`
-	// Epoch is the fencing number of the reporter's lease.
+	// Epoch is the fencing token: the epoch of the reporter's lease.
 	Epoch uint64 `json:"epoch"`
 }
 
 // Billing accepts usage reports.
 type Billing interface {
-	// Report sends a report; a repeat with the same figures is harmless. It
-	// fails with *fault.PlatformRefused when the window was reported before
-	// with other figures, and with *fault.OrderFenced on an old epoch.
+	// Report sends a report. A report that is sent again with the same counts
+	// has no further effect. Report fails with *fault.PlatformRefused if the
+	// window was reported before with other counts, and with *fault.OrderFenced
+	// if the platform has seen a newer epoch.
 	Report(ctx context.Context, report UsageReport) error
 }
 
@@ -221,11 +230,11 @@
 type WeightVersion struct {
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
-	// PublishedAt is the weight store's wall time.
+	// PublishedAt is the wall time of the weight store at publication.
 	PublishedAt time.Time `json:"publishedAt"`
 }
 
-// Weights is the rate-limited weight store.
+// Weights lists the weight versions in the weight store, which is rate-limited.
 type Weights interface {
 	// Latest returns the newest version of every model.
 	Latest(ctx context.Context) ([]WeightVersion, error)
--- a/internal/platform/platformtest/matrix.go
+++ b/internal/platform/platformtest/matrix.go
@@ -8,150 +8,156 @@
 	"time"
 )
 
-// Protocol is what a fault matrix is run over.
+// Protocol is a protocol that RunMatrix tests under faults.
 type Protocol struct {
 	Name string
-	// Lasts is the length of the faults that last: pauses, outages and late
-	// effects.
+	// Lasts gives the duration of each kind of fault that has one: pauses,
+	// outages, network failures and delayed effects.
 	Lasts map[Kind]time.Duration
-	// Run drives the protocol over the world and returns what did not hold. It
-	// is called in a bubble of testing/synctest, once for each case.
-	Run func(w *World) error
-	// Pairs bounds the pairs that are run, where a run takes long; 0 is maxPairs.
+	// Run runs the protocol on the cluster, and returns an error if the protocol
+	// broke a guarantee. It is called once for each case, in a bubble of
+	// testing/synctest.
+	Run func(cluster *World) error
+	// Pairs limits the pairs of faults for protocols whose runs take long; 0
+	// means defaultMaxPairs.
 	Pairs int
 }
 
 const (
-	// repeats is how many repeats of the same call count as steps of their
-	// own. Later renewals, polls and retries do the same again.
-	repeats = 3
-	// maxPairs bounds the pairs that are run; of more, every n-th is.
-	maxPairs = 2500
+	// maxRepeats limits how often the same call of a process is a step of the
+	// matrix. Further renewals, polls and retries only repeat the first ones.
+	maxRepeats = 3
+	// defaultMaxPairs limits the pairs of faults that are run. If there are more,
+	// every n-th pair is run.
+	defaultMaxPairs = 2500
 )
 
-// strike is a fault at a step.
-type strike struct {
+// injection is a kind of fault at a step.
+type injection struct {
 	step Step
 	kind Kind
 }
 
-// RunMatrix runs the protocol without faults, takes the steps from that run,
-// and then runs it with every fault at every step, and with pairs of them.
+// RunMatrix runs the protocol without faults and records the steps of that run. Then
+// it runs the protocol with every fault at every step, and with pairs of these.
 func RunMatrix(t *testing.T, p Protocol) {
 	steps := p.steps(t)
-	var singles [][]strike
+	var singles [][]injection
 	for _, step := range steps {
 		for _, kind := range Kinds {
-			singles = append(singles, []strike{{step: step, kind: kind}})
+			singles = append(singles, []injection{{step: step, kind: kind}})
 		}
 	}
-	most := p.Pairs
-	if most == 0 {
-		most = maxPairs
+	limit := p.Pairs
+	if limit == 0 {
+		limit = defaultMaxPairs
 	}
-	pairs, all := pairsOf(singles, most)
+	pairs, total := selectPairs(singles, limit)
 	failed := 0
-	for _, strikes := range append(singles, pairs...) {
-		if err := p.runCase(t, strikes); err != nil {
+	for _, injections := range append(singles, pairs...) {
+		if err := p.runCase(t, injections); err != nil {
 			failed++
-			t.Errorf("%s with %s: %v", p.Name, describe(strikes), err)
+			t.Errorf("%s with %s: %v", p.Name, describe(injections), err)
 		}
 	}
 	t.Logf("matrix: %s: %d steps x %d faults, %d single cases and %d of %d pairs run, %d cases failed",
-		p.Name, len(steps), len(Kinds), len(singles), len(pairs), all, failed)
+		p.Name, len(steps), len(Kinds), len(singles), len(pairs), total, failed)
 }
 
-// steps returns the steps of a run without faults.
+// steps returns the steps of a run without faults, the same call of a process at
+// most maxRepeats times.
 func (p Protocol) steps(t *testing.T) []Step {
 	var steps []Step
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWorld(NoFaults)
-		if err := p.Run(w); err != nil {
+		cluster := NewWorld(NoFaults)
+		if err := p.Run(cluster); err != nil {
 			t.Fatalf("%s without faults: %v", p.Name, err)
 		}
-		steps = w.Steps()
+		steps = cluster.Steps()
 	})
 	seen := make(map[Step]int)
-	var kept []Step
+	var selected []Step
 	for _, step := range steps {
 		call := step
 		call.Index = 0
 		seen[call]++
-		if seen[call] <= repeats {
-			kept = append(kept, step)
+		if seen[call] <= maxRepeats {
+			selected = append(selected, step)
 		}
 	}
-	if len(kept) == 0 {
+	if len(selected) == 0 {
 		t.Fatalf("%s has no steps", p.Name)
 	}
-	return kept
+	return selected
 }
 
-// pairsOf returns at most so many pairs, and how many there are.
-func pairsOf(singles [][]strike, most int) (pairs [][]strike, all int) {
-	all = len(singles) * (len(singles) - 1) / 2
-	every := all/most + 1
+// selectPairs returns at most limit pairs of the single cases, spread evenly over
+// all pairs, and the number of all pairs.
+func selectPairs(singles [][]injection, limit int) (pairs [][]injection, total int) {
+	total = len(singles) * (len(singles) - 1) / 2
+	stride := total/limit + 1
 	n := 0
 	for i, first := range singles {
 		for _, second := range singles[i+1:] {
-			if n%every == 0 {
-				pairs = append(pairs, []strike{first[0], second[0]})
+			if n%stride == 0 {
+				pairs = append(pairs, []injection{first[0], second[0]})
 			}
 			n++
 		}
 	}
-	return pairs, all
+	return pairs, total
 }
 
-func (p Protocol) runCase(t *testing.T, strikes []strike) (err error) {
+func (p Protocol) runCase(t *testing.T, injections []injection) (err error) {
 	synctest.Test(t, func(*testing.T) {
-		err = p.Run(NewWorld(p.script(strikes)))
+		err = p.Run(NewWorld(p.script(injections)))
 	})
 	return err
 }
 
-// script strikes each step once: a process that was killed begins anew and
-// comes to the step again.
-func (p Protocol) script(strikes []strike) Script {
-	done := make([]bool, len(strikes))
+// script returns a script that injects each fault once. A killed process counts its
+// steps from 0 again after its restart, and so reaches the same step again.
+func (p Protocol) script(injections []injection) Script {
+	injected := make([]bool, len(injections))
 	return func(step Step) Fault {
-		for i, s := range strikes {
-			if !done[i] && step.Process == s.step.Process && step.Index == s.step.Index {
-				done[i] = true
-				return Fault{Kind: s.kind, For: p.Lasts[s.kind]}
+		for i, inj := range injections {
+			if !injected[i] && step.Process == inj.step.Process && step.Index == inj.step.Index {
+				injected[i] = true
+				return Fault{Kind: inj.kind, For: p.Lasts[inj.kind]}
 			}
 		}
 		return Fault{}
 	}
 }
 
-func describe(strikes []strike) string {
+func describe(injections []injection) string {
 	text := ""
-	for _, s := range strikes {
+	for _, inj := range injections {
 		if text != "" {
 			text += " and "
 		}
-		text += s.step.String() + " " + s.kind.String()
+		text += inj.step.String() + " " + inj.kind.String()
 	}
 	return text
 }
 
-// restartPause is how long a killed process is gone.
-const restartPause = time.Second
+// restartDelay is the time between the kill of a process and its restart.
+const restartDelay = time.Second
 
-// Supervise runs a process until ctx ends, and starts it again when it was
-// killed. run returns when the process's context ends or its work is done.
-func (w *World) Supervise(ctx context.Context, group *sync.WaitGroup, name string, run func(p *Process)) {
+// Supervise runs a process in the background until ctx ends, and restarts it after
+// it was killed. run must return when the context of the process ends; if it returns
+// without a kill, the process is not restarted. group waits for the process.
+func (c *World) Supervise(ctx context.Context, group *sync.WaitGroup, name string, run func(p *Process)) {
 	group.Go(func() {
 		for {
-			p := w.Start(ctx, name)
+			p := c.Start(ctx, name)
 			run(p)
 			killed := p.Dead()
 			p.Stop()
 			if ctx.Err() != nil || !killed {
 				return
 			}
-			time.Sleep(restartPause)
+			time.Sleep(restartDelay)
 		}
 	})
 }
--- a/internal/platform/platformtest/process.go
+++ b/internal/platform/platformtest/process.go
@@ -12,132 +12,135 @@
 	"dogwoodpond/internal/platform"
 )
 
-// CallTimeout is how long a process waits for an answer that does not come.
+// CallTimeout is the time after which a call without an answer fails.
 const CallTimeout = 3 * time.Second
 
-// Process is a process of the system as the platform sees it. It implements
-// platform.Tables; other ports are driven through Call.
+// Process is a process of the system under test that makes calls to the platform. It
+// implements platform.Tables; tests make the calls of other ports through Call.
 type Process struct {
-	Name  string
-	world *World
-	// kill ends the process's context.
-	kill context.CancelFunc
+	Name    string
+	cluster *World
+	// cancel ends Context.
+	cancel context.CancelFunc
 	// Context ends when the process is killed or stopped.
 	Context context.Context
 
-	mu       sync.Mutex
-	index    int
-	dead     bool
-	pausedTo time.Time
-	cutTo    time.Time
+	mu          sync.Mutex
+	index       int
+	killed      bool
+	pausedUntil time.Time
+	cutOffUntil time.Time
 }
 
-// Start returns a new process of the world.
-func (w *World) Start(ctx context.Context, name string) *Process {
-	ctx, kill := context.WithCancel(ctx)
-	return &Process{Name: name, world: w, kill: kill, Context: ctx}
+// Start returns a new process of the cluster. Its context is derived from ctx.
+func (c *World) Start(ctx context.Context, name string) *Process {
+	ctx, cancel := context.WithCancel(ctx)
+	return &Process{Name: name, cluster: c, cancel: cancel, Context: ctx}
 }
 
-// Kill ends the process: nothing that its code still does has any effect.
+// Kill kills the process: its context ends, and calls that its code still makes have
+// no effect.
 func (p *Process) Kill() {
 	p.mu.Lock()
-	p.dead = true
+	p.killed = true
 	p.mu.Unlock()
-	p.kill()
+	p.cancel()
 }
 
 // Dead reports whether the process was killed.
 func (p *Process) Dead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.dead
+	return p.killed
 }
 
-// Stop asks the process to stop, as a drain does.
-func (p *Process) Stop() { p.kill() }
+// Stop ends the context of the process, as a drain does. Unlike after Kill, calls
+// with another context still have an effect.
+func (p *Process) Stop() { p.cancel() }
 
-// Pause stops the process for d: its calls go on only afterwards.
+// Pause pauses the process for d: calls that it starts block until then.
 func (p *Process) Pause(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pausedTo = time.Now().Add(d)
+	p.pausedUntil = time.Now().Add(d)
 }
 
-// CutOff cuts the process off from the platform for d.
+// CutOff makes calls of the process to the store and to its peers fail for d.
 func (p *Process) CutOff(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cutTo = time.Now().Add(d)
+	p.cutOffUntil = time.Now().Add(d)
 }
 
-// CallPeer is the name of calls to another VM.
+// CallPeer is the Call of steps that are calls to another VM.
 const CallPeer = "peer"
 
-// platformCalls are the names of the calls to the table service.
+// platformCalls are the Calls of steps that are calls to the table service or the
+// partitioned store.
 var platformCalls = []string{"get", "scan", "commit"}
 
-// unreachable reports whether a call can't get through now. An outage of the
-// store hits the table service alone; a process that is cut off reaches neither
-// it nor its peers, but still the upstreams of its own failure domain.
+// unreachable reports whether the receiver of a call can't be reached now. An outage
+// of the store affects only calls to the store. A process that is cut off can't reach
+// the store and its peers, but still reaches the upstreams of its own failure domain.
 func (p *Process) unreachable(call string) bool {
 	toPlatform := slices.Contains(platformCalls, call)
 	p.mu.Lock()
-	cut := time.Now().Before(p.cutTo)
+	cutOff := time.Now().Before(p.cutOffUntil)
 	p.mu.Unlock()
-	return toPlatform && p.world.down() || cut && (toPlatform || call == CallPeer)
+	return toPlatform && p.cluster.isDown() || cutOff && (toPlatform || call == CallPeer)
 }
 
 // awaitResume blocks while the process is paused.
 func (p *Process) awaitResume() {
 	for {
 		p.mu.Lock()
-		rest := time.Until(p.pausedTo)
+		remaining := time.Until(p.pausedUntil)
 		p.mu.Unlock()
-		if rest <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		time.Sleep(rest)
+		time.Sleep(remaining)
 	}
 }
 
-// Call runs one step. effect is the call's work at the platform; it returns the
-// answer's failure. mutates tells whether a lost answer leaves the effect
-// unknown.
+// Call runs one step, with the fault that the script chooses for it. effect executes
+// the call at its receiver and returns the receiver's error. mutates says whether the
+// effect of the call is unknown if its answer is lost.
 func (p *Process) Call(ctx context.Context, call, subject string, mutates bool, effect func() error) error {
 	p.awaitResume()
-	lost := errors.WithStack(&fault.StoreUnavailable{Operation: call, EffectUnknown: mutates})
+	noAnswer := errors.WithStack(&fault.StoreUnavailable{Operation: call, EffectUnknown: mutates})
 	if p.Dead() || ctx.Err() != nil {
-		return lost
+		return noAnswer
 	}
-	f := p.world.record(p.next(call, subject))
-	p.before(f)
+	f := p.cluster.record(p.nextStep(call, subject))
+	p.injectBefore(f)
 	if p.Dead() {
-		return lost
+		return noAnswer
 	}
 	if f.Kind == Late && mutates {
 		go func() {
 			time.Sleep(f.For)
 			_ = effect()
 		}()
-		silence(ctx)
-		return lost
+		awaitTimeout(ctx)
+		return noAnswer
 	}
 	if f.Kind == LoseRequest || f.Kind == Late || p.unreachable(call) {
-		silence(ctx)
-		return lost
+		awaitTimeout(ctx)
+		return noAnswer
 	}
 	err := effect()
-	p.after(f)
+	p.injectAfter(f)
 	if f.Kind == LoseReply {
-		silence(ctx)
+		awaitTimeout(ctx)
 	}
 	if f.Kind == LoseReply || p.Dead() {
-		return lost
+		return noAnswer
 	}
 	return err
 }
 
-func (p *Process) next(call, subject string) Step {
+func (p *Process) nextStep(call, subject string) Step {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	step := Step{Process: p.Name, Index: p.index, Call: call, Subject: subject}
@@ -145,7 +148,7 @@
 	return step
 }
 
-func (p *Process) before(f Fault) {
+func (p *Process) injectBefore(f Fault) {
 	switch f.Kind {
 	case KillBefore:
 		p.Kill()
@@ -153,14 +156,14 @@
 		p.Pause(f.For)
 		p.awaitResume()
 	case StoreDown:
-		p.world.TakeDown(f.For)
+		p.cluster.TakeDown(f.For)
 	case CutOff:
 		p.CutOff(f.For)
 	default:
 	}
 }
 
-func (p *Process) after(f Fault) {
+func (p *Process) injectAfter(f Fault) {
 	switch f.Kind {
 	case KillAfter:
 		p.Kill()
@@ -171,8 +174,9 @@
 	}
 }
 
-// silence waits as a caller does whose answer never comes.
-func silence(ctx context.Context) {
+// awaitTimeout blocks until CallTimeout has passed or ctx ends, like a call that gets
+// no answer.
+func awaitTimeout(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(CallTimeout):
@@ -183,7 +187,7 @@
 func (p *Process) Get(ctx context.Context, key string) (platform.Row, error) {
 	var row platform.Row
 	err := p.Call(ctx, "get", key, false, func() (err error) {
-		row, err = p.world.Rows.Get(ctx, key)
+		row, err = p.cluster.Rows.Get(ctx, key)
 		return err
 	})
 	if err != nil {
@@ -196,7 +200,7 @@
 func (p *Process) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	var rows []platform.Row
 	err := p.Call(ctx, "scan", prefix, false, func() (err error) {
-		rows, err = p.world.Rows.Scan(ctx, prefix, after, limit)
+		rows, err = p.cluster.Rows.Scan(ctx, prefix, after, limit)
 		return err
 	})
 	if err != nil {
@@ -208,6 +212,6 @@
 // Commit implements platform.Tables.
 func (p *Process) Commit(ctx context.Context, txn platform.Txn) error {
 	return p.Call(ctx, "commit", txn.Writes[0].Key, true, func() error {
-		return p.world.Rows.Commit(ctx, txn)
+		return p.cluster.Rows.Commit(ctx, txn)
 	})
 }
--- a/internal/platform/platformtest/kept.go
+++ b/internal/platform/platformtest/store.go
@@ -9,14 +9,14 @@
 	"dogwoodpond/internal/kept/memory"
 )
 
-// KeptStore is the partitioned store as one process reaches it. Each call is a step
-// of the process.
+// KeptStore is the partitioned store as seen by one process. Each call is a step of
+// the process.
 type KeptStore struct {
 	process *Process
 	rows    *memory.Store
 }
 
-// Kept returns a store's rows as the process reaches them.
+// Kept returns the store as seen by the process.
 func (p *Process) Kept(rows *memory.Store) *KeptStore { return &KeptStore{process: p, rows: rows} }
 
 // StoreNow implements kept.Clock.
@@ -26,7 +26,8 @@
 func (s *KeptStore) Commit(ctx context.Context, txn kept.Txn) (int64, error) {
 	var version atomic.Int64
 	err := s.process.Call(ctx, "commit", tableOf(txn), true, func() error {
-		// An effect that comes late comes whether or not its caller still waits.
+		// A delayed effect must not depend on ctx: it takes place even if the
+		// caller has stopped waiting.
 		v, err := s.rows.Commit(context.WithoutCancel(ctx), txn)
 		version.Store(v)
 		return err
--- a/internal/platform/value.go
+++ b/internal/platform/value.go
@@ -8,24 +8,25 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Decode reads the row's value as JSON; an absent row leaves into as it is. It
-// fails with *fault.Internal when the value is not what this program writes.
-func (r Row) Decode(into any) error {
+// Decode decodes the row's value from JSON into target; an absent row leaves target
+// unchanged. It fails with *fault.Internal if the value does not have the form that
+// this program writes.
+func (r Row) Decode(target any) error {
 	if !r.Exists() {
 		return nil
 	}
-	if err := json.Unmarshal(r.Value, into); err != nil {
+	if err := json.Unmarshal(r.Value, target); err != nil {
 		return errors.WithStack(&fault.Internal{Where: "row " + r.Key})
 	}
 	return nil
 }
 
-// EncodeValue returns a row's value as JSON. The types that rows keep always
-// marshal; one that does not is a defect of the program.
+// EncodeValue encodes the value of a row as JSON. It panics if this fails, which is
+// a bug in the program: the types stored in rows can always be encoded.
 func EncodeValue(value any) []byte {
-	text, err := json.Marshal(value)
+	encoded, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
 	}
-	return text
+	return encoded
 }
