--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Guards against a request that is promised not to have run and is written after all.
+// Guards against a request that is written although its caller was told that it did
+// not run.
 func TestWithdrawnRequestIsNeverWritten(t *testing.T) {
 	near, far := net.Pipe()
 	conn := NewConn(near)
@@ -17,7 +18,7 @@
 		t.Fatal("a request of which nothing was written can't be withdrawn")
 	}
 	if _, err := conn.Write([]byte("GET")); !errors.Is(err, errWithdrawn) {
-		t.Errorf("the write ended with %v", err)
+		t.Errorf("Write of a withdrawn request: %v", err)
 	}
 	_ = near.Close()
 	if got, _ := io.ReadAll(far); len(got) > 0 {
@@ -25,22 +26,23 @@
 	}
 }
 
-// Guards against a request that counts as one that may have run, and is billed, though its
-// peer had reset the kept connection and took none of it.
+// Guards against a request that counts as possibly executed, and is billed, although its
+// peer had reset the reused connection and received nothing.
 func TestRequestOfAFailedWriteIsNotWritten(t *testing.T) {
 	near, far := net.Pipe()
 	_ = far.Close()
 	conn := NewConn(near)
 	conn.Begin()
 	if n, err := conn.Write([]byte("GET")); n != 0 || err == nil {
-		t.Fatalf("%d bytes written to a closed peer, %v", n, err)
+		t.Fatalf("Write to a closed peer: %d bytes, %v", n, err)
 	}
 	if !conn.Withdraw() {
 		t.Error("a request of which nothing was written can't be withdrawn")
 	}
 }
 
-// Guards against a request that is promised not to have run though its peer has read it.
+// Guards against a caller that is told that its request did not run although the peer
+// has read it.
 func TestWrittenRequestIsNotWithdrawn(t *testing.T) {
 	near, far := net.Pipe()
 	go func() { _, _ = io.Copy(io.Discard, far) }()
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial opens connections whose requests end with them, and that know whether a
-// request was written.
+// Package dial opens connections that are reset when they are closed, and that record
+// whether the current request was written.
 package dial
 
 import (
@@ -13,14 +13,15 @@
 // Func opens a connection; it fits http.Transport.DialContext.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Resetting returns a dialer of connections, each a *Conn, that are reset when they are
-// closed.
+// Resetting returns a Func whose connections are of type *Conn and are reset when they
+// are closed.
 //
-// Closed in the usual way, what was written to a peer behind a cut stays with the
-// kernel, which delivers it seconds after the cut has healed, although the caller has
-// long given the request up: an item would run whose step has ended, and an order would
-// come behind that of the next holder of its lease. Nothing is lost by a reset as long
-// as a connection is closed only when its answer was read whole or is no longer wanted.
+// If a peer can't be reached because of a network failure, the kernel holds the data
+// written to it even after an orderly close, and delivers the data seconds after the
+// network failure has ended. By then the caller has long cancelled the request: an item
+// would run although its step has ended, or an order would arrive after that of the next
+// holder of the lease. A reset discards the data. It loses nothing as long as a
+// connection is closed only when its answer was read completely or is no longer needed.
 func Resetting(timeout time.Duration) Func {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
--- a/internal/dial/dialtest/dialtest.go
+++ b/internal/dial/dialtest/dialtest.go
@@ -1,4 +1,4 @@
-// Package dialtest tells tests how the connection of a request ended.
+// Package dialtest provides a peer that reports how the connection of a request ended.
 package dialtest
 
 import (
@@ -9,16 +9,17 @@
 	"testing"
 )
 
-// Silent is a peer that reads one request and never answers it.
+// Silent is an unresponsive peer: it reads one request and never answers it.
 type Silent struct {
 	Address string
-	// Received is closed once the request was read.
+	// Received is closed when the request has been read.
 	Received <-chan struct{}
-	// Ended gets the error with which the connection ended, nil for an orderly close.
+	// Ended receives the error with which the connection ended, nil after an orderly
+	// close.
 	Ended <-chan error
 }
 
-// NewSilent starts a silent peer on loopback.
+// NewSilent starts an unresponsive peer on the loopback interface.
 func NewSilent(t *testing.T) Silent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,11 +28,13 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	received, ended := make(chan struct{}), make(chan error, 1)
-	go func() { ended <- readOne(listener, received) }()
+	go func() { ended <- readRequest(listener, received) }()
 	return Silent{Address: listener.Addr().String(), Received: received, Ended: ended}
 }
 
-func readOne(listener net.Listener, received chan<- struct{}) error {
+// readRequest reads one request, closes received, and returns the error with which the
+// connection ended.
+func readRequest(listener net.Listener, received chan<- struct{}) error {
 	conn, err := listener.Accept()
 	if err != nil {
 		return err
--- a/internal/eventstream/reader.go
+++ b/internal/eventstream/reader.go
@@ -1,6 +1,6 @@
-// Package eventstream splits a stream of server-sent events into whole events
-// and keeps their bytes. Libraries hand out parsed events only; here an event is
-// passed on unchanged, or dropped when the stream broke off inside it.
+// Package eventstream splits a stream of server-sent events into complete events
+// and preserves their bytes. Libraries return only parsed events. Here an event must
+// be forwarded unchanged, or dropped if the stream ends inside it.
 package eventstream
 
 import (
@@ -14,24 +14,26 @@
 	"dogwoodpond/internal/fault"
 )
 
-// maxEvent bounds one event in bytes. Events of these services are a few
-// hundred bytes long.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event. Events of these services have a few
+// hundred bytes.
+const maxEventBytes = 1 << 20
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw are the event's bytes with the empty line that ends it.
+	// Raw holds the bytes of the event, with the empty line that ends it.
 	Raw []byte
-	// ID is the event's number; ok is false when it has none.
+	// ID is the number of the event. HasID is false if the event has no id field
+	// with a number.
 	ID    int64
 	HasID bool
-	// Data holds the data lines, separated by line feeds.
+	// Data holds the values of the data fields, separated by line feeds.
 	Data []byte
 
 	fields [][]byte
 }
 
-// Field returns the value of a field by its name, in lower case.
+// Field returns the value of the first field with the name. name must be in lower
+// case; the case of names in the stream is ignored.
 func (e *Event) Field(name string) (value string, ok bool) {
 	for _, line := range e.fields {
 		key, rest, found := bytes.Cut(line, []byte{':'})
@@ -42,7 +44,7 @@
 	return "", false
 }
 
-// Reader reads events one after another.
+// Reader reads the events of a stream.
 type Reader struct {
 	in *bufio.Reader
 }
@@ -50,25 +52,26 @@
 // NewReader returns a reader of a stream.
 func NewReader(in io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(in, 2048)} }
 
-// Next returns the next whole event. It fails with io.EOF after the last one,
-// and with io.ErrUnexpectedEOF when the stream ends inside an event.
+// Next returns the next complete event. It fails with io.EOF after the last one,
+// with io.ErrUnexpectedEOF if the stream ends inside an event, and with
+// *fault.BodyTooLarge if an event is too large.
 func (r *Reader) Next() (*Event, error) {
 	event := &Event{}
 	for {
 		line, err := r.in.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			line, err = r.longLine(line)
+			line, err = r.readLongLine(line)
 		}
 		if err != nil {
-			return nil, endOf(event, line, err)
+			return nil, endError(event, line, err)
 		}
 		event.Raw = append(event.Raw, line...)
-		if len(event.Raw) > maxEvent {
-			return nil, errors.WithStack(&fault.BodyTooLarge{Limit: maxEvent})
+		if len(event.Raw) > maxEventBytes {
+			return nil, errors.WithStack(&fault.BodyTooLarge{Limit: maxEventBytes})
 		}
 		content := bytes.TrimRight(line, "\r\n")
 		if len(content) > 0 {
-			event.add(content)
+			event.addField(content)
 			continue
 		}
 		if len(event.fields) > 0 {
@@ -78,28 +81,31 @@
 	}
 }
 
-// endOf tells a stream that ended between two events from one that broke off.
-func endOf(event *Event, line []byte, err error) error {
+// endError returns the error for a stream that failed with err after it read event
+// and line in part: io.ErrUnexpectedEOF if the stream ended inside an event, and err
+// otherwise.
+func endError(event *Event, line []byte, err error) error {
 	if err == io.EOF && (len(event.fields) > 0 || len(line) > 0) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// longLine reads on a line that is longer than the buffer.
-func (r *Reader) longLine(start []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that is longer than the buffer, and returns
+// the line.
+func (r *Reader) readLongLine(start []byte) ([]byte, error) {
 	line := bytes.Clone(start)
-	for len(line) <= maxEvent {
+	for len(line) <= maxEventBytes {
 		more, err := r.in.ReadSlice('\n')
 		line = append(line, more...)
 		if err != bufio.ErrBufferFull {
 			return line, err
 		}
 	}
-	return line, errors.WithStack(&fault.BodyTooLarge{Limit: maxEvent})
+	return line, errors.WithStack(&fault.BodyTooLarge{Limit: maxEventBytes})
 }
 
-func (e *Event) add(line []byte) {
+func (e *Event) addField(line []byte) {
 	line = bytes.Clone(line)
 	e.fields = append(e.fields, line)
 	key, value, _ := bytes.Cut(line, []byte{':'})
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -1,6 +1,5 @@
-// Package fleetview reads rows of the table service for operators: leases, steps
-// and usage reports. It decodes only the fields that operators see, and writes
-// nothing.
+// Package fleetview reads leases, steps and usage reports from the table service for
+// operators. It decodes only the fields that operators see, and never writes.
 package fleetview
 
 import (
@@ -16,14 +15,14 @@
 	"dogwoodpond/internal/usage"
 )
 
-// Prefixes of the rows.
+// Prefixes of the row keys.
 const (
 	leasePrefix = "lease/"
 	stepPrefix  = "progress/"
 )
 
-// scanPage is how many rows one scan asks for.
-const scanPage = 64
+// scanPageSize is the number of rows that one scan asks for.
+const scanPageSize = 64
 
 // Reader implements operator.Leases, operator.Steps and operator.Usage.
 type Reader struct {
@@ -31,8 +30,8 @@
 	window time.Duration
 }
 
-// NewReader returns a reader of the tables; window is the length of a usage
-// window, in whole seconds.
+// NewReader returns a reader of the tables. window is the length of a usage window
+// and must be a multiple of a second.
 func NewReader(tables platform.Tables, window time.Duration) *Reader {
 	return &Reader{tables: tables, window: window}
 }
@@ -40,7 +39,7 @@
 // Leases implements operator.Leases.
 func (r *Reader) Leases(ctx context.Context) ([]operator.Lease, error) {
 	leases := []operator.Lease{}
-	err := r.each(ctx, leasePrefix, "", func(row platform.Row) error {
+	err := r.forEachRow(ctx, leasePrefix, "", func(row platform.Row) error {
 		var lease operator.Lease
 		if err := row.Decode(&lease); err != nil {
 			return err
@@ -59,15 +58,15 @@
 		prefix += url.PathEscape(account) + "/"
 	}
 	steps := []operator.Step{}
-	err := r.each(ctx, prefix, "", func(row platform.Row) error {
+	err := r.forEachRow(ctx, prefix, "", func(row platform.Row) error {
 		var progress sample.Progress
 		if err := row.Decode(&progress); err != nil {
 			return err
 		}
-		owner, name, _ := strings.Cut(strings.TrimPrefix(row.Key, stepPrefix), "/")
+		accountPart, stepPart, _ := strings.Cut(strings.TrimPrefix(row.Key, stepPrefix), "/")
 		steps = append(steps, operator.Step{
-			Account:   unescape(owner),
-			Step:      unescape(name),
+			Account:   unescape(accountPart),
+			Step:      unescape(stepPart),
 			Model:     progress.Model,
 			Slots:     progress.Slots,
 			Committed: int64(progress.Count()),
@@ -78,13 +77,14 @@
 	return steps, err
 }
 
-// unescape reads a part of a step's key; a malformed one is shown as it is.
+// unescape unescapes a part of the key of a step. It returns a malformed part
+// unchanged.
 func unescape(part string) string {
-	name, err := url.PathUnescape(part)
+	unescaped, err := url.PathUnescape(part)
 	if err != nil {
 		return part
 	}
-	return name
+	return unescaped
 }
 
 // Reports implements operator.Usage.
@@ -97,47 +97,48 @@
 	return r.reports(ctx, usage.ReportPrefix, r.windowKey(from))
 }
 
-// windowKey starts the keys of the reports of the window that holds a time in
-// seconds since the Unix epoch.
+// windowKey returns the start of the keys of all reports of the window that contains
+// a time, in seconds since the Unix epoch.
 func (r *Reader) windowKey(seconds int64) string {
 	return fmt.Sprintf("%s%012d", usage.ReportPrefix, seconds/int64(r.window/time.Second))
 }
 
 func (r *Reader) reports(ctx context.Context, prefix, after string) ([]platform.UsageReport, error) {
 	reports := []platform.UsageReport{}
-	err := r.each(ctx, prefix, after, func(row platform.Row) error {
-		var kept usage.Report
-		if err := row.Decode(&kept); err != nil {
+	err := r.forEachRow(ctx, prefix, after, func(row platform.Row) error {
+		var report usage.Report
+		if err := row.Decode(&report); err != nil {
 			return err
 		}
 		reports = append(reports, platform.UsageReport{
-			Window:             int64(kept.Window) * int64(r.window/time.Second),
-			Account:            string(kept.Account),
-			Requests:           kept.Figures.Requests,
-			Tokens:             kept.Figures.Tokens,
-			CorrectionRequests: kept.Corrections.Requests,
-			CorrectionTokens:   kept.Corrections.Tokens,
-			Incomplete:         kept.Incomplete,
+			Window:             int64(report.Window) * int64(r.window/time.Second),
+			Account:            string(report.Account),
+			Requests:           report.Figures.Requests,
+			Tokens:             report.Figures.Tokens,
+			CorrectionRequests: report.Corrections.Requests,
+			CorrectionTokens:   report.Corrections.Tokens,
+			Incomplete:         report.Incomplete,
 		})
 		return nil
 	})
 	return reports, err
 }
 
-// each calls next for every row with the prefix after a key.
-func (r *Reader) each(ctx context.Context, prefix, after string, next func(platform.Row) error) error {
+// forEachRow calls visit for every row whose key starts with prefix and is greater
+// than after, in key order. It stops at the first error and returns it.
+func (r *Reader) forEachRow(ctx context.Context, prefix, after string, visit func(platform.Row) error) error {
 	for {
-		rows, err := r.tables.Scan(ctx, prefix, after, scanPage)
+		rows, err := r.tables.Scan(ctx, prefix, after, scanPageSize)
 		if err != nil {
 			return err
 		}
 		for _, row := range rows {
-			if err := next(row); err != nil {
+			if err := visit(row); err != nil {
 				return err
 			}
 			after = row.Key
 		}
-		if len(rows) < scanPage {
+		if len(rows) < scanPageSize {
 			return nil
 		}
 	}
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,7 +1,7 @@
-// Package logsink writes log lines without ever making their writer wait. A
-// reader of standard output that stands still would otherwise stop every request
-// that logs a line. Lines wait in a bounded buffer; what does not fit is dropped
-// and counted, and a line tells how many were lost once there is room again.
+// Package logsink writes log lines in the background, so that logging never blocks.
+// Otherwise a stalled reader of standard output would block every request that logs
+// a line. Lines are held in a bounded buffer. Lines that do not fit are dropped and
+// counted, and their number is logged when the buffer has space again.
 package logsink
 
 import (
@@ -17,11 +17,11 @@
 )
 
 const (
-	// maxBuffered bounds the lines that wait, in bytes. A busy VM writes some
-	// 20 KB a second, so a reader may pause for ten seconds.
-	maxBuffered = 256 << 10
-	// flushTime bounds the wait for the last lines when the process ends.
-	flushTime = 300 * time.Millisecond
+	// maxBufferBytes limits the buffered lines. A busy VM logs some 20 KB a second,
+	// so the reader may stall for ten seconds before lines are dropped.
+	maxBufferBytes = 256 << 10
+	// flushTimeout limits the wait for the last lines when the process ends.
+	flushTimeout = 300 * time.Millisecond
 )
 
 // Sink is a writer that never blocks. It is safe for concurrent use.
@@ -29,54 +29,57 @@
 	out     io.Writer
 	dropped atomic.Int64
 
-	mu      sync.Mutex
-	waiting []byte
-	lost    int64
-	wake    chan struct{}
-	idle    atomic.Bool
+	mu     sync.Mutex
+	buffer []byte
+	// unreported counts the dropped lines that no line has reported yet.
+	unreported int64
+	// notify signals run that there are lines to write.
+	notify chan struct{}
+	// idle is true while no accepted line is unwritten.
+	idle atomic.Bool
 }
 
 // New returns a sink that writes to out in the background.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, wake: make(chan struct{}, 1)}
+	s := &Sink{out: out, notify: make(chan struct{}, 1)}
 	s.idle.Store(true)
 	go s.run()
 	return s
 }
 
-// Write takes a line; it never fails.
+// Write accepts a line, or drops it if the buffer is full. It never blocks or fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
-	if len(s.waiting)+len(line) > maxBuffered {
-		s.lost++
+	if len(s.buffer)+len(line) > maxBufferBytes {
+		s.unreported++
 		s.mu.Unlock()
 		s.dropped.Add(1)
 		return len(line), nil
 	}
-	if s.lost > 0 {
-		s.waiting = fmt.Appendf(s.waiting, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", s.lost)
-		s.lost = 0
+	if s.unreported > 0 {
+		s.buffer = fmt.Appendf(s.buffer, "{\"level\":\"warn\",\"msg\":\"log lines dropped\",\"count\":%d}\n", s.unreported)
+		s.unreported = 0
 	}
-	s.waiting = append(s.waiting, line...)
+	s.buffer = append(s.buffer, line...)
 	s.idle.Store(false)
 	s.mu.Unlock()
 	select {
-	case s.wake <- struct{}{}:
+	case s.notify <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
 func (s *Sink) run() {
 	var spare []byte
-	for range s.wake {
+	for range s.notify {
 		for {
 			s.mu.Lock()
-			lines := s.waiting
-			s.waiting = spare[:0]
+			lines := s.buffer
+			s.buffer = spare[:0]
 			if len(lines) == 0 {
 				s.idle.Store(true)
 			}
@@ -84,22 +87,22 @@
 			if len(lines) == 0 {
 				break
 			}
-			// A failed write loses log lines only; there is nowhere to report it.
+			// A failed write only loses log lines, and there is no place to report it.
 			_, _ = s.out.Write(lines)
 			spare = lines
 		}
 	}
 }
 
-// Sync waits a little for the lines that were taken.
+// Sync waits until the accepted lines are written, at most flushTimeout.
 func (s *Sink) Sync() error {
-	for until := time.Now().Add(flushTime); time.Now().Before(until) && !s.idle.Load(); {
+	for deadline := time.Now().Add(flushTimeout); time.Now().Before(deadline) && !s.idle.Load(); {
 		time.Sleep(time.Millisecond)
 	}
 	return nil
 }
 
-// NewLogger returns a logger of JSON lines for a VM that writes to the sink.
+// NewLogger returns the logger of a VM. It writes JSON lines to the sink.
 func NewLogger(s *Sink, vm string) *zap.Logger {
 	encoder := zap.NewProductionEncoderConfig()
 	encoder.EncodeTime = zapcore.EpochMillisTimeEncoder
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Nobody reads standard output for a while, so that writing to it stands still.
-// Requests must go on, and whoever reads later must see that lines were lost.
-func TestUnreadOutputHoldsUpNobody(t *testing.T) {
+// Guards against requests that block on logging because the reader of standard output
+// has stalled, and against lines that are dropped without a report. Here the reader
+// starts only after 2 MB were logged.
+func TestStalledReaderDoesNotBlockWrite(t *testing.T) {
 	r, w := io.Pipe()
 	s := New(w)
 	line := []byte(strings.Repeat("x", 199) + "\n")
@@ -24,7 +25,7 @@
 	}()
 	<-written
 	if s.Dropped() == 0 {
-		t.Error("nothing was dropped, though 2 MB were written and nothing read")
+		t.Error("no line was dropped although 2 MB were written and nothing was read")
 	}
 	var got bytes.Buffer
 	var mu sync.Mutex
@@ -40,19 +41,19 @@
 			}
 		}
 	}()
-	for !strings.Contains(text(&mu, &got), "log lines dropped") {
+	for !strings.Contains(contents(&mu, &got), "log lines dropped") {
 		_, _ = s.Write(line)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func text(mu *sync.Mutex, b *bytes.Buffer) string {
+func contents(mu *sync.Mutex, b *bytes.Buffer) string {
 	mu.Lock()
 	defer mu.Unlock()
 	return b.String()
 }
 
-// BenchmarkWrite measures what a line costs whoever logs it.
+// BenchmarkWrite measures the cost of a log line for its caller.
 func BenchmarkWrite(b *testing.B) {
 	s := New(io.Discard)
 	log := NewLogger(s, "vm")
