--- a/internal/dispatch/account.go
+++ b/internal/dispatch/account.go
@@ -16,7 +16,8 @@
 	return w.Repeatable && a.reclaimable.allows(w.Contract.Reclaimable.Percent, w.Cost)
 }
 
-// tryAcquire counts a grant. It returns false if the account is at its running limit.
+// tryAcquire counts a grant. It returns false if the account is at its limit of running
+// requests.
 func (a *accountState) tryAcquire(w Work, reclaimable bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -30,7 +31,8 @@
 	return true
 }
 
-// release ends a grant and reports whether the account was at its running limit.
+// release ends a grant and reports whether the account was at its limit of running
+// requests.
 func (a *accountState) release(w Work, reclaimable bool, cost int64) (wasAtLimit bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/dispatch/apportion.go
+++ b/internal/dispatch/apportion.go
@@ -8,9 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// FlowDemand is the demand of one client account for one pool on one VM. Digests
-// carry hashes of the names to stay small. Two names with the same hash share one
-// demand, which makes their shares slightly unfair.
+// FlowDemand is the demand of one client account for one pool on one VM. The VMs
+// exchange their demands in digests, which contain hashes of the names to stay small.
+// Two names with the same hash share one demand, which makes their shares slightly
+// unfair.
 type FlowDemand struct {
 	Pool    uint32
 	Account uint32
@@ -24,7 +25,7 @@
 // slots returns the number of slots that the flow could use now.
 func (d FlowDemand) slots() int { return int(d.InFlight) + int(d.Waiting) }
 
-// Member is a VM among which the engines' slots are divided.
+// Member is one of the VMs among which the engines' slots are divided.
 type Member struct {
 	VM            string
 	FailureDomain string
@@ -73,8 +74,9 @@
 // by demand. A VM's slots are therefore on few engines, and a small change of
 // demand moves few slots.
 //
-// VMs with different views of the members compute different boundaries. The number
-// of slots claimed twice is then at most the sum of the differences.
+// VMs with different views of the members compute different boundaries between their
+// slots. The number of slots claimed twice is then at most the sum of the differences
+// between these boundaries.
 func apportion(self string, pool uint32, members []Member, engines []engineSlots) allocation {
 	engines = slices.SortedFunc(slices.Values(engines), func(a, b engineSlots) int { return cmp.Compare(a.upstream, b.upstream) })
 	total := 0
@@ -82,18 +84,18 @@
 		total += e.slots
 	}
 	cells := CellCount(len(members))
-	weights := make([]float64, cells)
+	vmsPerCell := make([]float64, cells)
 	var cellMembers []Member
 	ownCell := CellOf(self, cells)
 	for _, m := range members {
 		cell := CellOf(m.VM, cells)
-		weights[cell]++
+		vmsPerCell[cell]++
 		if cell == ownCell {
 			cellMembers = append(cellMembers, m)
 		}
 	}
 	slices.SortFunc(cellMembers, func(a, b Member) int { return cmp.Compare(a.VM, b.VM) })
-	start, size := slotRange(largestRemainder(weights, total), ownCell)
+	start, size := slotRange(largestRemainder(vmsPerCell, total), ownCell)
 	quotas := memberQuotas(pool, cellMembers, size)
 	index := slices.IndexFunc(cellMembers, func(m Member) bool { return m.VM == self })
 	if index < 0 {
--- a/internal/dispatch/apportion_test.go
+++ b/internal/dispatch/apportion_test.go
@@ -50,10 +50,10 @@
 // requests would wait in the engine, where no shares are known. VMs with the same
 // view must claim each slot exactly once.
 func TestVMsWithTheSameViewClaimEachSlotOnce(t *testing.T) {
-	check := func(vms, engineCount int, wants []uint32) string {
+	check := func(vms, engineCount int, demands []uint32) string {
 		members := vmsOf("a", vms)
 		for i := range members {
-			members[i].Flows = []FlowDemand{demandOf(fmt.Sprint(i%5), 100, wants[i])}
+			members[i].Flows = []FlowDemand{demandOf(fmt.Sprint(i%5), 100, demands[i])}
 		}
 		engines := enginesWithSlots(engineCount, 8)
 		sum := totalAllocations(members, func(Member) []Member { return members }, engines)
@@ -166,10 +166,10 @@
 // Guards against a wrong digest that makes one VM divide the slots differently from
 // the others. The number of slots claimed twice may be at most that VM's quota.
 func TestWrongDigestOvercommitsAtMostOneVMsQuota(t *testing.T) {
-	check := func(wrong uint32, wants []uint32) string {
+	check := func(wrong uint32, demands []uint32) string {
 		members := vmsOf("a", 6)
 		for i := range members {
-			members[i].Flows = []FlowDemand{demandOf(fmt.Sprint(i), 100, wants[i])}
+			members[i].Flows = []FlowDemand{demandOf(fmt.Sprint(i), 100, demands[i])}
 		}
 		wrongView := append([]Member(nil), members...)
 		wrongView[3].Flows = []FlowDemand{demandOf("3", 10000, wrong)}
@@ -295,7 +295,7 @@
 		id := fmt.Sprint("e", i)
 		borrowers := 0
 		for _, m := range members {
-			if mayBorrow(id, m.VM, members, 2) {
+			if isTopRanked(id, m.VM, members, 2) {
 				borrowers++
 			}
 		}
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -47,7 +47,8 @@
 	// borrowLoadNumerator/borrowLoadDenominator is the load of an engine from
 	// which on no VM may borrow its slots.
 	borrowLoadNumerator, borrowLoadDenominator = 3, 4
-	// reportTTL is the age up to which a report alone can decide on an engine.
+	// reportTTL is the age up to which a load report alone decides whether an engine
+	// gets work: by its model, its weight version and its spare capacity.
 	reportTTL = 3 * time.Second
 	// missesUntilUnreachable is how many load polls in a row must fail before an
 	// engine counts as unreachable.
@@ -107,7 +108,7 @@
 }
 
 // servesOtherModel reports whether a fresh report names another model or adapter. The
-// list lags: the engine was already moved to another pool and would reject the
+// list lags: such an engine was already moved to another pool and would reject the
 // work, which callers would see as failed attempts.
 func (p *poolQueue) servesOtherModel(u platform.Upstream, report upstream.Report, now time.Time) bool {
 	if u.Kind != platform.KindEngine || report.At.IsZero() || now.Sub(report.At) > reportTTL {
@@ -126,21 +127,21 @@
 
 // unreachable returns the engines that did not answer the last load polls. If
 // most did not answer, the fault is probably in this VM's own network, and it
-// returns none.
+// returns nil.
 func (p *poolQueue) unreachable() map[string]bool {
 	unresponsive := make(map[string]bool)
-	polled := 0
+	reported := 0
 	for _, u := range p.assignment.usable {
 		report, ok := p.scheduler.config.Loads.Get(u.ID)
 		if !ok {
 			continue
 		}
-		polled++
+		reported++
 		if report.Misses >= missesUntilUnreachable {
 			unresponsive[u.ID] = true
 		}
 	}
-	if len(unresponsive)*2 > polled {
+	if len(unresponsive)*2 > reported {
 		return nil
 	}
 	return unresponsive
@@ -217,15 +218,15 @@
 }
 
 // reachable returns the engines whose slots are divided: those that answer. The
-// list lags, so an engine can be dead and still listed. A VM whose quota is on such
-// an engine would have no other, and its callers would wait for an engine that
+// list lags, so an engine can be dead and still listed. A VM whose whole quota is on
+// such an engine could run nothing, and its callers would wait for an engine that
 // never answers while others are idle. The VMs that monitor the engine continue to
 // poll it, so that it is included again once it answers.
 //
 // An engine counts as unreachable if two VMs of its own failure domain report it, or
-// the only one. One VM with a broken network, a wrong digest, or a network failure between
-// failure domains must not take engines away from VMs that reach them. If no engine
-// of a failure domain seems to answer, all of them stay.
+// the only VM there does. One VM with a broken network, a wrong digest, or a network
+// failure between failure domains must not take engines away from VMs that reach them.
+// If no engine of a failure domain seems to answer, all of them stay.
 func reachable(list []platform.Upstream, members []Member) []platform.Upstream {
 	votes, domainVMs := countVotes(members)
 	if len(votes) == 0 {
@@ -233,7 +234,7 @@
 	}
 	isUnreachable := func(u platform.Upstream) bool {
 		domain := u.FailureDomain
-		return votes[vote{domain: domain, engine: engineID(u.ID)}] >= max(1, min(unreachableQuorum, domainVMs[domain]))
+		return votes[vote{domain: domain, engine: engineHash(u.ID)}] >= max(1, min(unreachableQuorum, domainVMs[domain]))
 	}
 	reachableCount := make(map[string]int)
 	for _, u := range list {
@@ -314,10 +315,12 @@
 	return sum
 }
 
+// borrowableEngines returns the engines from which a VM may borrow slots. Each engine
+// lets only a few VMs borrow: a fleet that sees one idle engine would overload it.
 func borrowableEngines(vm string, list []platform.Upstream, members []Member) map[string]bool {
 	borrowable := make(map[string]bool)
 	for _, u := range list {
-		if mayBorrow(u.ID, vm, members, max(1, u.Slots/borrowableDivisor)) {
+		if isTopRanked(u.ID, vm, members, max(1, u.Slots/borrowableDivisor)) {
 			borrowable[u.ID] = true
 		}
 	}
@@ -330,7 +333,7 @@
 	domainMembers := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.FailureDomain != domain })
 	monitored := make(map[string]bool)
 	for _, u := range list {
-		if u.FailureDomain == domain && mayBorrow(u.ID, vm, domainMembers, unreachableQuorum) {
+		if u.FailureDomain == domain && isTopRanked(u.ID, vm, domainMembers, unreachableQuorum) {
 			monitored[u.ID] = true
 		}
 	}
@@ -364,7 +367,7 @@
 	if sameDomain := a.FailureDomain == domain; sameDomain != (b.FailureDomain == domain) {
 		return sameDomain
 	}
-	return borrowWeight(a.ID, vm) > borrowWeight(b.ID, vm)
+	return engineRank(a.ID, vm) > engineRank(b.ID, vm)
 }
 
 // idlePollTimeout is how long after a pool's last request its engines are polled while no
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -26,8 +26,8 @@
 	return members, list
 }
 
-// Measures one recomputation of the quotas, which a VM does at most ten times a second
-// for each pool.
+// Measures one recomputation of an assignment, which a VM does for each pool once per
+// assignmentTTL and after each change of the list.
 func BenchmarkAssignmentAtTargetSize(b *testing.B) {
 	members, list := targetFleet()
 	d := assignment{upstreams: list, limits: make(allocation), borrowed: make(map[string]bool)}
--- a/internal/dispatch/fairqueue.go
+++ b/internal/dispatch/fairqueue.go
@@ -47,14 +47,14 @@
 const (
 	// ratioDecay is the factor by which older costs decay with each ended request.
 	ratioDecay = 0.95
-	// ratioPriorSamples is the weight, in estimates, of the initial ratio of 1.
+	// ratioPriorSamples is the weight of the initial ratio of 1, as a number of requests.
 	ratioPriorSamples = 5
 )
 
 // expectedCost returns the tokens that work will probably cost: its estimate, the
 // upper bound of its answer, times the fraction of such bounds that the account's
-// recent answers used. Charging the bound itself would put an account back by
-// tokens that it mostly does not get, and let others overtake it until its
+// recent answers used. Charging the bound itself would raise the account's start tag
+// for tokens that it mostly does not get, and let others overtake it until its
 // requests end.
 func (f *flow) expectedCost(estimate int64) float64 {
 	prior := ratioPriorSamples * float64(max(1, estimate))
@@ -108,11 +108,11 @@
 // takes no lock and does no I/O.
 type fairQueue struct {
 	flows map[contract.Account]*flow
-	// virtual is the start tag of the latest grant; it never decreases.
-	virtual float64
-	total   int
-	limit   int
-	arrival uint64
+	// virtualTime is the highest start tag of a grant so far.
+	virtualTime float64
+	total       int
+	limit       int
+	arrival     uint64
 }
 
 func newFairQueue(limit int) *fairQueue {
@@ -165,7 +165,7 @@
 func (q *fairQueue) push(f *flow, req *request) {
 	if f.queued() == 0 {
 		// An account without requests gets no credit for its idle time.
-		f.start = max(f.start, q.virtual)
+		f.start = max(f.start, q.virtualTime)
 	}
 	q.arrival++
 	req.arrival = q.arrival
@@ -213,7 +213,7 @@
 
 // removeIfIdle removes a flow whose state equals that of a new one.
 func (q *fairQueue) removeIfIdle(f *flow) {
-	if f.queued() == 0 && f.running == 0 && f.start <= q.virtual {
+	if f.queued() == 0 && f.running == 0 && f.start <= q.virtualTime {
 		delete(q.flows, f.account)
 	}
 }
@@ -257,7 +257,7 @@
 	f.remove(req)
 	q.total--
 	f.running++
-	q.virtual = max(q.virtual, f.start)
+	q.virtualTime = max(q.virtualTime, f.start)
 	req.charged = f.expectedCost(req.work.Cost)
 	f.start += req.charged / float64(f.share)
 }
--- a/internal/dispatch/fairqueue_test.go
+++ b/internal/dispatch/fairqueue_test.go
@@ -75,13 +75,13 @@
 func TestActualCostsReplaceEstimates(t *testing.T) {
 	q := newFairQueue(1000)
 	served := map[contract.Account]int64{}
-	trueCost := map[contract.Account]int64{"honest": 100, "early": 25}
-	for account := range trueCost {
+	actualCost := map[contract.Account]int64{"honest": 100, "early": 25}
+	for account := range actualCost {
 		q.add(newRequest(workOf(string(account), 100, 100)))
 	}
 	for range 500 {
 		next := q.next(acceptAll)
-		cost := trueCost[next.work.Account]
+		cost := actualCost[next.work.Account]
 		served[next.work.Account] += cost
 		q.settle(next, cost)
 		q.add(newRequest(workOf(string(next.work.Account), 100, 100)))
--- a/internal/dispatch/names.go
+++ b/internal/dispatch/names.go
@@ -8,5 +8,5 @@
 // ID returns the hash that stands for the pool in FlowDemand.
 func (p Pool) ID() uint32 { return p.hash() }
 
-// engineID returns the hash that stands for an engine in Member.Unreachable.
-func engineID(upstream string) uint32 { return hash32("engine/" + upstream) }
+// engineHash returns the hash that stands for an engine in Member.Unreachable.
+func engineHash(upstream string) uint32 { return hash32("engine/" + upstream) }
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -19,7 +19,8 @@
 	own bool
 	// sameDomain marks an upstream of this VM's failure domain.
 	sameDomain bool
-	// probe marks an ejected upstream whose next request decides whether it is restored.
+	// probe marks an ejected upstream whose next request decides whether it returns to
+	// rotation.
 	probe bool
 	// load is the expected number of requests per slot there.
 	load float64
@@ -28,13 +29,14 @@
 	version int64
 }
 
-// pick chooses among the candidates that accept the work and have free slots. It
-// prefers own quotas to borrowed slots, and then the VM's own failure domain. Work
+// pick chooses among the candidates that accept the work and have free slots, and
+// returns the index of the chosen one, or -1 if there is none. It prefers slots of the
+// VM's quota to borrowed ones, and then the VM's own failure domain. Work
 // with an affinity goes to the first such candidate in the order of its rendezvous
 // hash: requests with a shared prefix meet on one engine as long as the VM's quota
 // there lasts, and then all on the same next engine. Other work goes to the less
 // loaded of two random candidates. Always choosing the least loaded would send all
-// VMs to the same engine while its report lags. It returns -1 for none.
+// VMs to the same engine while its report lags.
 func pick(candidates []candidate, work Work, accepts func(candidate) bool) int {
 	var eligible []int
 	for i, c := range candidates {
@@ -81,23 +83,22 @@
 	return slices.DeleteFunc(eligible, func(i int) bool { return class(i) != best })
 }
 
-// rendezvous returns the rendezvous weight of a name for a key.
+// rendezvous returns the rank of a name for a key by rendezvous hashing.
 func rendezvous(key uint64, name string) uint64 {
 	d := xxhash.NewWithSeed(key)
 	_, _ = d.WriteString(name)
 	return d.Sum64()
 }
 
-// mayBorrow reports whether a VM may borrow slots of an engine. The maxBorrowers
-// VMs with the highest weights may, and every VM computes the same ones. The limit
-// keeps a fleet that sees one idle engine from overloading it.
-func mayBorrow(engine, vm string, members []Member, maxBorrowers int) bool {
-	own := borrowWeight(engine, vm)
-	ahead := 0
+// isTopRanked reports whether a VM is among the n members that rank highest for an
+// engine. Every VM computes the same ones.
+func isTopRanked(engine, vm string, members []Member, n int) bool {
+	own := engineRank(engine, vm)
+	higher := 0
 	for _, m := range members {
-		if m.VM != vm && borrowWeight(engine, m.VM) > own {
-			ahead++
-			if ahead >= maxBorrowers {
+		if m.VM != vm && engineRank(engine, m.VM) > own {
+			higher++
+			if higher >= n {
 				return false
 			}
 		}
@@ -105,4 +106,5 @@
 	return true
 }
 
-func borrowWeight(engine, vm string) uint64 { return rendezvous(xxhash.Sum64String(engine), vm) }
+// engineRank returns the rank of a VM for an engine.
+func engineRank(engine, vm string) uint64 { return rendezvous(xxhash.Sum64String(engine), vm) }
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -143,7 +143,8 @@
 	}
 }
 
-// place picks an upstream for work and counts the work for its account.
+// place picks an upstream for work and counts the work for its account. It returns the
+// index of the candidate, or -1 if the work can't start now.
 func (p *poolQueue) place(candidates []candidate, w Work) int {
 	account := p.scheduler.account(w.Account)
 	mayUseReclaimable := account.allowsReclaimable(w)
--- a/internal/dispatch/reachable_test.go
+++ b/internal/dispatch/reachable_test.go
@@ -19,7 +19,7 @@
 func memberReporting(vm, domain string, engines ...string) Member {
 	m := Member{VM: vm, FailureDomain: domain, Heard: true}
 	for _, e := range engines {
-		m.Unreachable = append(m.Unreachable, engineID(e))
+		m.Unreachable = append(m.Unreachable, engineHash(e))
 	}
 	return m
 }
@@ -45,10 +45,10 @@
 	}
 }
 
-// Guards against one VM's fault that takes engines away from all VMs: its own network
-// fails, a digest is wrong, or two failure domains are cut off from each other. Engines that other
-// VMs reach must stay.
-func TestSingleVMCanNotExcludeEngines(t *testing.T) {
+// Guards against a fault that takes engines away from VMs that reach them: one VM's
+// network fails, a digest is wrong, or two failure domains are cut off from each other.
+// If all engines of a failure domain are reported, all of them must stay.
+func TestSingleVMCannotExcludeEngines(t *testing.T) {
 	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
 	cases := []struct {
 		name    string
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -167,7 +167,8 @@
 	return a
 }
 
-// grantInOtherPools grants queued work in the other pools after an account left its limit.
+// grantInOtherPools grants queued work in the other pools after an account dropped below
+// its limit of running requests.
 func (s *Scheduler) grantInOtherPools(except *poolQueue) {
 	for _, p := range s.allPools() {
 		if p != except {
@@ -192,7 +193,7 @@
 	var list []uint32
 	for _, u := range s.Watched() {
 		if report, ok := s.config.Loads.Get(u.ID); ok && report.Misses >= missesUntilUnreachable {
-			list = append(list, engineID(u.ID))
+			list = append(list, engineHash(u.ID))
 		}
 	}
 	return list
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -104,8 +104,8 @@
 		if fair := smallAccountLatency(vm); fair > 2*time.Second {
 			t.Fatalf("the small account waited %v for an answer that takes 1s", fair)
 		}
-		if plain := smallAccountLatency(NewFIFO(vm.directory)); plain < 40*time.Second {
-			t.Fatalf("the small account waited only %v with FIFO, want at least 40s for the comparison to be valid", plain)
+		if fifo := smallAccountLatency(NewFIFO(vm.directory)); fifo < 40*time.Second {
+			t.Fatalf("the small account waited only %v with FIFO, want at least 40s for the comparison to be valid", fifo)
 		}
 	})
 }
--- a/internal/loading/loader.go
+++ b/internal/loading/loader.go
@@ -127,8 +127,8 @@
 }
 
 // serveTerm orders weight loads during one lease term, until ctx ends. It first waits
-// for the grace period of the lease: an order of the previous holder may still arrive,
-// and these engines don't compare epochs.
+// until no order of the previous holder can arrive any more, since these engines don't
+// compare epochs.
 func (l *Loader) serveTerm(ctx context.Context, guard lease.Guard) error {
 	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
 		return err
@@ -158,11 +158,11 @@
 	}
 	busy := l.busyEngines(engines)
 	limit := maxConcurrentLoads(len(engines)) - l.countLoading()
-	for _, order := range planLoads(engines, demands, engineCounts(demands, preceding, len(engines)), busy, limit) {
-		l.setBusy(order.Engine, true)
+	for _, planned := range planLoads(engines, demands, engineCounts(demands, preceding, len(engines)), busy, limit) {
+		l.setBusy(planned.Engine, true)
 		loads.Go(func() {
-			defer l.setBusy(order.Engine, false)
-			l.load(ctx, guard, order)
+			defer l.setBusy(planned.Engine, false)
+			l.load(ctx, guard, planned)
 		})
 	}
 }
@@ -220,23 +220,23 @@
 
 // load brings one engine to a version: it reads the engine's state, sends the order
 // with the sequence number just read, and polls until the engine has the version. An
-// order without an answer may be executed seconds later. It is sent again with the
+// order without a reply may be executed seconds later. It is sent again with the
 // same sequence number: the first copy that the engine accepts raises the number,
 // and the engine refuses the other copies.
-func (l *Loader) load(ctx context.Context, guard lease.Guard, order Order) {
+func (l *Loader) load(ctx context.Context, guard lease.Guard, planned Order) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
-	subject := event.Subject{Upstream: order.Engine.Info().ID, Epoch: guard.Epoch(), Count: order.Version, Detail: order.Model}
+	subject := event.Subject{Upstream: planned.Engine.Info().ID, Epoch: guard.Epoch(), Count: planned.Version, Detail: planned.Model}
 	for ctx.Err() == nil && !l.Roster.Evacuated(l.Domain) {
-		report, err := l.report(ctx, order.Engine)
+		report, err := l.report(ctx, planned.Engine)
 		if err != nil {
-			l.markSuspect(order.Engine)
-			l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": "+err.Error()))
+			l.markSuspect(planned.Engine)
+			l.Events.Emit(event.OrderFailed, withDetail(subject, planned.Model+": "+err.Error()))
 			return
 		}
-		l.noteVersions(order.Engine, report)
-		if report.Versions[order.Model] >= order.Version {
-			l.publish(ctx, order, false)
+		l.noteVersions(planned.Engine, report)
+		if report.Versions[planned.Model] >= planned.Version {
+			l.publish(ctx, planned, false)
 			l.Events.Emit(event.WeightsLoaded, subject)
 			return
 		}
@@ -244,25 +244,25 @@
 			wait.For(ctx, loadPollInterval)
 			continue
 		}
-		reply, err := l.order(ctx, guard, order, report.Sequence)
+		reply, err := l.sendOrder(ctx, guard, planned, report.Sequence)
 		if err != nil && fault.Is[*fault.LeaseLost](err) {
 			return
 		}
 		if err == nil && reply == Rejected {
-			l.markSuspect(order.Engine)
-			l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": rejected"))
+			l.markSuspect(planned.Engine)
+			l.Events.Emit(event.OrderFailed, withDetail(subject, planned.Model+": rejected"))
 			return
 		}
 		if err == nil && reply == Accepted {
 			l.Events.Emit(event.OrderGiven, subject)
-			order.Engine.NoteSwap(order.Model, time.Now().Add(expectedLoadTime))
-			l.publish(ctx, order, true)
+			planned.Engine.NoteSwap(planned.Model, time.Now().Add(expectedLoadTime))
+			l.publish(ctx, planned, true)
 			wait.For(ctx, expectedLoadTime)
 		}
 		wait.For(ctx, loadPollInterval)
 	}
-	l.markSuspect(order.Engine)
-	l.Events.Emit(event.OrderFailed, withDetail(subject, order.Model+": not done in time"))
+	l.markSuspect(planned.Engine)
+	l.Events.Emit(event.OrderFailed, withDetail(subject, planned.Model+": not done in time"))
 }
 
 func withDetail(s event.Subject, detail string) event.Subject {
@@ -276,16 +276,16 @@
 	return l.Engines.Report(ctx, e)
 }
 
-func (l *Loader) order(ctx context.Context, guard lease.Guard, order Order, sequence int64) (Reply, error) {
+func (l *Loader) sendOrder(ctx context.Context, guard lease.Guard, planned Order, sequence int64) (Reply, error) {
 	if err := guard.Check(); err != nil {
 		return Rejected, err
 	}
 	ctx, cancel := context.WithTimeout(fence.Context(ctx, guard), orderTimeout)
 	defer cancel()
-	return l.Engines.Order(ctx, order.Engine, Command{
-		Model:       order.Model,
-		Version:     order.Version,
-		KeepRunning: l.Demands.KeepRunning(order.Model),
+	return l.Engines.Order(ctx, planned.Engine, Command{
+		Model:       planned.Model,
+		Version:     planned.Version,
+		KeepRunning: l.Demands.KeepRunning(planned.Model),
 		Holder:      l.VM,
 		Epoch:       guard.Epoch(),
 		Expected:    sequence,
@@ -310,11 +310,11 @@
 
 // publish writes a weight load to the store, where the other VMs read it. A failure
 // only delays them until the platform's list shows the load.
-func (l *Loader) publish(ctx context.Context, order Order, loading bool) {
-	info := order.Engine.Info()
-	value, err := json.Marshal(loadRecord{Upstream: info.ID, Started: info.Started, Model: order.Model, Version: order.Version, Loading: loading})
+func (l *Loader) publish(ctx context.Context, planned Order, loading bool) {
+	info := planned.Engine.Info()
+	value, err := json.Marshal(loadRecord{Upstream: info.ID, Started: info.Started, Model: planned.Model, Version: planned.Version, Loading: loading})
 	if err == nil {
-		key := kept.Key{Table: table, Part: l.Domain, Name: info.ID + "/" + order.Model}
+		key := kept.Key{Table: table, Part: l.Domain, Name: info.ID + "/" + planned.Model}
 		_, err = l.Store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: value}}})
 	}
 	if err != nil {
--- a/internal/loading/loading_test.go
+++ b/internal/loading/loading_test.go
@@ -323,15 +323,15 @@
 func TestSharesFollowDemand(t *testing.T) {
 	demands := []Demand{{Model: "m", Work: 300}, {Model: "n", Work: 700}}
 	total := [2]int{}
-	before := 0
+	preceding := 0
 	for _, engines := range []int{4, 4, 3} {
-		got := engineCounts(demands, before, engines)
+		got := engineCounts(demands, preceding, engines)
 		if got[0]+got[1] != engines || got[0] < 1 || got[1] < 1 {
 			t.Errorf("distribution of %d engines: %v", engines, got)
 		}
 		total[0] += got[0]
 		total[1] += got[1]
-		before += engines
+		preceding += engines
 	}
 	if total[0] < 3 || total[0] > 4 {
 		t.Errorf("distribution of 11 engines: %v", total)
@@ -359,8 +359,8 @@
 	list := f.roster.Service("lm")
 	demands := []Demand{{Model: "m", Named: 9, Slack: 1, Work: 1}, {Model: "n", Named: 9, Slack: 1, Work: 1}, {Model: "o", Named: 9, Slack: 1, Work: 1}}
 	models := map[string]bool{}
-	for _, order := range planLoads(list, demands, engineCounts(demands, 0, 9), nil, 3) {
-		models[order.Model] = true
+	for _, planned := range planLoads(list, demands, engineCounts(demands, 0, 9), nil, 3) {
+		models[planned.Model] = true
 	}
 	if len(models) != 3 {
 		t.Errorf("models of the first three loads: %v, want all three", models)
--- a/internal/loading/plan.go
+++ b/internal/loading/plan.go
@@ -150,8 +150,8 @@
 }
 
 // planLoads returns at most limit weight loads that should start now. counts[i] is the
-// number of engines for the model of demands[i]. Busy engines get no load and count as
-// up to date. Engines that are too old for the next step come first, one of each model
+// number of engines for the model of demands[i]. The engines in busy get no load and count
+// as up to date. Engines that are too old for the next step come first, one of each model
 // before the second of any, so that a model with a single usable engine can at least begin
 // its step. The other loads follow until half of a model's engines have the announced version.
 func planLoads(engines []*target.Entry, demands []Demand, counts []int, busy map[*target.Entry]bool, limit int) []Order {
@@ -167,11 +167,11 @@
 		due = append(due, dueLoads(d, modelEngines, busy)...)
 	}
 	sort.SliceStable(due, func(i, j int) bool { return due[i].precedes(due[j]) })
-	var orders []Order
+	var planned []Order
 	for _, r := range due[:min(len(due), max(limit, 0))] {
-		orders = append(orders, r.Order)
+		planned = append(planned, r.Order)
 	}
-	return orders
+	return planned
 }
 
 // rankedLoad is a weight load with the properties that decide its rank.
--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -103,10 +103,10 @@
 	return accepted, rejected, nil
 }
 
-// handleCommitted processes the result of a commit. After a failure the batch
+// handleCommitResult processes the result of a commit. After a failure the batch
 // is put back for the next commit. If the failed commit took effect after all,
 // the progress shows it by then, so that no sample is committed twice.
-func (o *owner) handleCommitted(c commitResult, before sample.Progress, now time.Time) sample.Progress {
+func (o *owner) handleCommitResult(c commitResult, before sample.Progress, now time.Time) sample.Progress {
 	o.committing = false
 	o.nextCommitAt = now.Add(commitInterval)
 	if c.err != nil {
--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -46,7 +46,7 @@
 			pull.Number = progress.Pull + 1
 		}
 		if progress.Committed > pull.After {
-			return m.registerPull(ctx, r, progress.Model, pull)
+			return m.registerAndDeliver(ctx, r, progress.Model, pull)
 		}
 		if !time.Now().Before(deadline) {
 			return nil, nil
@@ -59,7 +59,7 @@
 	}
 }
 
-func (m *Manager) registerPull(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
+func (m *Manager) registerAndDeliver(ctx context.Context, r stepRef, model string, pull sample.Pull) ([]sample.Sample, error) {
 	_, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
 		if err := p.CheckCursor(pull.After); err != nil {
 			return p, false, err
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -27,9 +27,9 @@
 )
 
 const (
-	testAccount contract.Account = "strathallan"
-	testModel                    = "berry-1"
-	testTerm                     = 10 * time.Second
+	testAccount   contract.Account = "strathallan"
+	testModel                      = "berry-1"
+	testLeaseTerm                  = 10 * time.Second
 )
 
 // faultsByCall maps the index of a VM's call, counted from 0, to the fault that
@@ -60,7 +60,7 @@
 
 // Campaign implements Leases with real leases.
 func (v *testVM) Campaign(ctx context.Context, name string, held func(context.Context, Guard) (bool, error)) error {
-	manager := lease.NewManager(v, v.Name, testTerm, v.manager.events)
+	manager := lease.NewManager(v, v.Name, testLeaseTerm, v.manager.events)
 	return manager.Campaign(ctx, name, func(ctx context.Context, g lease.Guard) (bool, error) {
 		return held(ctx, uncheckedGuard{g})
 	})
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -19,7 +19,8 @@
 	"dogwoodpond/internal/usage"
 )
 
-// Guard checks an owner's lease directly before each write.
+// Guard is the lease of an owner. The owner calls Check directly before each
+// write.
 type Guard interface {
 	// Check fails with *fault.LeaseLost when the lease is no longer held.
 	Check() error
@@ -141,11 +142,11 @@
 }
 
 func (m *Manager) reopen(ctx context.Context, r stepRef, definition sample.Definition) (sample.Status, error) {
-	first, err := m.store.definition(ctx, r)
+	existing, err := m.store.definition(ctx, r)
 	if err != nil {
 		return sample.Status{}, err
 	}
-	if !sameDefinition(first, definition) {
+	if !sameDefinition(existing, definition) {
 		return sample.Status{}, errors.WithStack(&fault.StepMismatch{Step: r.step})
 	}
 	progress, _, err := m.store.progress(ctx, r)
@@ -180,14 +181,14 @@
 		return err
 	}
 	live := m.liveVMs()
-	wanted := make(map[stepRef]bool, len(open))
+	isOpen := make(map[stepRef]bool, len(open))
 	for _, r := range open {
-		wanted[r] = true
+		isOpen[r] = true
 		if isCandidate(r.path(), m.vm, live) {
 			m.startCampaign(r)
 		}
 	}
-	m.cancelObsolete(wanted, began)
+	m.cancelObsolete(isOpen, began)
 	return nil
 }
 
@@ -200,14 +201,14 @@
 	return live
 }
 
-// cancelObsolete cancels the campaigns for steps that are no longer open. It
-// leaves campaigns that began after the search, since the search may have
-// missed their steps.
-func (m *Manager) cancelObsolete(wanted map[stepRef]bool, searched time.Time) {
+// cancelObsolete cancels the campaigns for steps that are no longer open.
+// Campaigns that began after the start of the search continue, since the search
+// may have missed their steps.
+func (m *Manager) cancelObsolete(isOpen map[stepRef]bool, searchBegan time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for r, c := range m.campaigns {
-		if !wanted[r] && c.began.Before(searched) {
+		if !isOpen[r] && c.began.Before(searchBegan) {
 			c.cancel()
 		}
 	}
--- a/internal/rollout/matrix_test.go
+++ b/internal/rollout/matrix_test.go
@@ -75,9 +75,9 @@
 const (
 	// shortPause is long enough for another VM to take over the step and work
 	// on it.
-	shortPause = testTerm + testTerm/4 + 2300*time.Millisecond
+	shortPause = testLeaseTerm + testLeaseTerm/4 + 2300*time.Millisecond
 	// longPause is long enough for the other VM to finish the step.
-	longPause = 4 * testTerm
+	longPause = 4 * testLeaseTerm
 	// lateDelay delays the effect of a call until its caller has timed out.
 	lateDelay = 4700 * time.Millisecond
 )
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -68,7 +68,8 @@
 	nextCommitAt time.Time
 	// nextWorkersRefreshAt is when to read the list of workers again.
 	nextWorkersRefreshAt time.Time
-	// minVersion is the oldest version whose samples are within the bound.
+	// minVersion is the oldest version whose samples are within the staleness
+	// bound.
 	minVersion int64
 }
 
@@ -122,12 +123,12 @@
 		case out := <-o.outcomes:
 			o.handleOutcome(ctx, out, time.Now())
 		case s := <-o.scores:
-			o.handleScored(s, time.Now())
+			o.handleScoringResult(s, time.Now())
 		case c := <-o.commits:
 			if fault.Is[*fault.LeaseLost](c.err) {
 				return false, c.err
 			}
-			progress = o.handleCommitted(c, progress, time.Now())
+			progress = o.handleCommitResult(c, progress, time.Now())
 		case <-ticker.C:
 		}
 	}
@@ -245,9 +246,9 @@
 	return s
 }
 
-// handleFailure decides by the error which part backs off after a failed
-// attempt. An unresponsive worker or one without capacity backs off as a whole
-// and gets a lower limit. After any other error only the slot backs off.
+// handleFailure processes a failed attempt. When the worker was unresponsive or
+// had no capacity, the owner halves its limit and starts no attempts at it for a
+// backoff. After any other error only the slot backs off.
 func (o *owner) handleFailure(out outcome, now time.Time) {
 	w := out.attempt.worker
 	code := fault.CodeOf(out.err)
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -263,10 +263,10 @@
 	return f(ctx, request)
 }
 
-// A peer that runs attempts for the owner crashes, hangs and is removed from
-// the platform's list later, or is unreachable from the owner alone and stays
-// on the list; or it is full or draining. Its slots must be generated
-// elsewhere, or the step would never end.
+// A peer that runs attempts for the owner crashes or freezes and is removed from
+// the platform's list later, is cut off from the owner alone and stays on the
+// list, is full, or drains. Its slots must be generated elsewhere, or the step
+// would never end.
 func TestPeerFails(t *testing.T) {
 	failures := map[string]runnerFunc{
 		"crashes": func(context.Context, generate.Request) (generate.Result, error) {
@@ -377,8 +377,9 @@
 	})
 }
 
-// All engines are slow, so that every slot looks like a straggler. Hedging all
-// of them would double the load of engines that are already busy.
+// All engines become slow after one fast answer, so that every other slot looks
+// like a straggler. Hedging all of them would double the load of engines that
+// are already busy.
 func TestHedgesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
--- a/internal/rollout/pull_test.go
+++ b/internal/rollout/pull_test.go
@@ -47,7 +47,7 @@
 			time.Sleep(time.Second)
 			// The operator widens the bound, so that the old samples are within
 			// it.
-			widen(c)
+			widenBound(c)
 			tr.receive(tr.pull())
 			switch err := <-answer; {
 			case fault.Is[*fault.PullOvertaken](err):
@@ -66,8 +66,8 @@
 	}
 }
 
-// widen puts a contract in force by which samples may be ten versions behind.
-func widen(c *cluster) {
+// widenBound puts a contract in force that allows samples a version lag of ten.
+func widenBound(c *cluster) {
 	c.staleness = contract.Staleness{MaxVersions: 10}
 	terms := contract.DefaultContract(testAccount)
 	terms.Staleness = c.staleness
--- a/internal/rollout/scorer_test.go
+++ b/internal/rollout/scorer_test.go
@@ -16,15 +16,15 @@
 	"dogwoodpond/internal/service"
 )
 
-// oneService is a fake dispatcher that grants every request the same upstream.
-type oneService struct {
+// fakeDispatcher is a fake dispatcher that grants every request the same upstream.
+type fakeDispatcher struct {
 	address string
 	last    dispatch.Work
 	failed  bool
 }
 
 // Acquire implements dispatch.Dispatcher.
-func (o *oneService) Acquire(_ context.Context, work dispatch.Work) (dispatch.Grant, error) {
+func (o *fakeDispatcher) Acquire(_ context.Context, work dispatch.Work) (dispatch.Grant, error) {
 	o.last = work
 	return dispatch.Grant{
 		Upstream: platform.Upstream{ID: "judge-1", Address: o.address},
@@ -73,7 +73,7 @@
 				t.Fatal(err)
 			}
 			view.Advance(next)
-			dispatcher := &oneService{address: strings.TrimPrefix(server.URL, "http://")}
+			dispatcher := &fakeDispatcher{address: strings.TrimPrefix(server.URL, "http://")}
 			scorer := NewServiceScorer(view, dispatcher, service.NewClient())
 			want := ScoreRequest{Step: "s", Slot: sample.Slot{Group: "g", Index: 1, Position: 3}, Prompt: "p", Text: "t"}
 			score, err := scorer.Score(t.Context(), testAccount, "judge", want)
@@ -91,7 +91,7 @@
 			}
 		})
 	}
-	scorer := NewServiceScorer(contract.NewView(), &oneService{}, service.NewClient())
+	scorer := NewServiceScorer(contract.NewView(), &fakeDispatcher{}, service.NewClient())
 	if _, err := scorer.Score(t.Context(), testAccount, "judge", ScoreRequest{}); !fault.Is[*fault.AccountUnknown](err) {
 		t.Errorf("an account without a contract gave %v", err)
 	}
--- a/internal/rollout/scoring.go
+++ b/internal/rollout/scoring.go
@@ -59,7 +59,7 @@
 	}
 }
 
-func (o *owner) handleScored(s scoringResult, now time.Time) {
+func (o *owner) handleScoringResult(s scoringResult, now time.Time) {
 	if s.err != nil {
 		o.reject(rejection{position: s.generated.sample.Slot.Position, err: s.err}, now)
 		return
--- a/internal/rollout/validator.go
+++ b/internal/rollout/validator.go
@@ -104,5 +104,5 @@
 }
 
 // oldestAcceptable returns the oldest version whose samples are within the
-// bound.
+// bound in versions.
 func (v validator) oldestAcceptable() int64 { return max(0, v.latest-v.bound.Versions) }
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -31,7 +31,7 @@
 	// sample is validated for its commit. Its delivery requires a new read.
 	maxReadAge = time.Second
 	// historyLength is how many versions of a model are remembered. A sample
-	// that is further behind exceeds any sensible bound.
+	// with a larger version lag exceeds any sensible bound.
 	historyLength = 1024
 )
 
@@ -54,7 +54,9 @@
 	latest int64
 	// confirmedAt is the start of the last read that returned latest.
 	confirmedAt time.Time
-	superseded  map[int64]time.Time
+	// superseded maps a version to the earliest time at which the next one can
+	// have been published.
+	superseded map[int64]time.Time
 }
 
 // NewHistory returns an empty history.
@@ -141,8 +143,8 @@
 	return at, known
 }
 
-// Run reads the weight store periodically until ctx ends, so that the reads are
-// never far apart.
+// Run reads the weight store periodically until ctx ends, so that the start of
+// the previous read is never long before the publication of a new version.
 func (h *History) Run(ctx context.Context, period func() time.Duration) {
 	for {
 		// A failed read leaves the history unchanged. Validation refreshes it.
--- a/internal/rollout/workerset.go
+++ b/internal/rollout/workerset.go
@@ -106,7 +106,7 @@
 	return best
 }
 
-// rank returns the weight of a VM for a name in rendezvous hashing.
+// rank returns the rank of a VM for a name by rendezvous hashing.
 func rank(name, vm string) uint64 { return xxhash.Sum64String(name + "\x00" + vm) }
 
 // candidatesPerStep is how many VMs campaign for a step.
--- a/internal/supply/orderer.go
+++ b/internal/supply/orderer.go
@@ -85,8 +85,8 @@
 }
 
 // serveTerm sends orders during one lease term, until ctx ends or the lease is lost. It
-// first waits for the grace period of the lease: an order of the previous holder may
-// still arrive, and the platform does not compare epochs.
+// first waits until no order of the previous holder can arrive any more, since the
+// platform does not compare epochs.
 func (o *Orderer) serveTerm(ctx context.Context, guard lease.Guard) error {
 	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
 		return err
--- a/internal/supply/plan.go
+++ b/internal/supply/plan.go
@@ -18,7 +18,7 @@
 	numKinds
 )
 
-// String returns the name of the kind for logs.
+// String returns the name of the kind for events.
 func (k Kind) String() string { return [...]string{"fixed", "reclaimable"}[k] }
 
 // Set is a number of upstreams of each kind.
@@ -49,9 +49,9 @@
 	Slots int
 }
 
-// Counts returns how many upstreams of each kind each of a number of failure domains
-// should have; ok is false when no need is known. All domains together have the slots that
-// the items need, and each has engines for each model. Some of the engines beyond these
+// Counts returns how many upstreams of each kind one failure domain should have when
+// domains failure domains serve the need together; ok is false when no need is known. All
+// domains together have the slots that the items need, and each has engines for each model. Some of the engines beyond these
 // slots may be reclaimable: when they are taken away, steps still have their slots and
 // nearly all models their engines.
 func Counts(n Need, domains int, scale *route.Scale) (out Set, ok bool) {
--- a/internal/weights/updater.go
+++ b/internal/weights/updater.go
@@ -24,7 +24,7 @@
 	Order(ctx context.Context, address string, order engine.Order) error
 }
 
-// Roller sends the weight orders of one failure domain.
+// Roller orders the weight loads of one failure domain.
 type Roller struct {
 	engines Engines
 	events  *event.Recorder
@@ -51,38 +51,38 @@
 // Tick starts the weight loads that are due, given the current state of the engines.
 // engines must not contain an engine without a report, since an order depends on its
 // version and incarnation. Tick does not wait for the loads to end; Wait does.
-func (r *Roller) Tick(ctx context.Context, guard fence.Guard, engines []Engine, latest map[string]int64) {
-	for _, planned := range Next(r.markLoading(engines), latest) {
-		if !r.limiter.Allow() {
+func (u *Roller) Tick(ctx context.Context, guard fence.Guard, engines []Engine, latest map[string]int64) {
+	for _, planned := range Next(u.markLoading(engines), latest) {
+		if !u.limiter.Allow() {
 			return
 		}
-		r.setLoading(planned.Engine.ID, true)
-		r.running.Go(func() {
-			defer r.setLoading(planned.Engine.ID, false)
-			r.load(ctx, guard, planned)
+		u.setLoading(planned.Engine.ID, true)
+		u.running.Go(func() {
+			defer u.setLoading(planned.Engine.ID, false)
+			u.load(ctx, guard, planned)
 		})
 	}
 }
 
 // Wait waits for the weight loads that Tick started.
-func (r *Roller) Wait() { r.running.Wait() }
+func (u *Roller) Wait() { u.running.Wait() }
 
 // markLoading returns a copy of engines in which Loading is set for those with an order
 // in progress.
-func (r *Roller) markLoading(engines []Engine) []Engine {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (u *Roller) markLoading(engines []Engine) []Engine {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	marked := slices.Clone(engines)
 	for i := range marked {
-		marked[i].Loading = r.loading[marked[i].ID]
+		marked[i].Loading = u.loading[marked[i].ID]
 	}
 	return marked
 }
 
-func (r *Roller) setLoading(id string, loading bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.loading[id] = loading
+func (u *Roller) setLoading(id string, loading bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.loading[id] = loading
 }
 
 const (
@@ -93,7 +93,7 @@
 // load orders one engine to load a version. When the answer leaves the outcome unknown,
 // load reads the engine's report before it repeats the order with the same ID. If the
 // engine still serves the old version at the end, a later Tick starts another load.
-func (r *Roller) load(ctx context.Context, guard fence.Guard, planned Target) {
+func (u *Roller) load(ctx context.Context, guard fence.Guard, planned Target) {
 	e := planned.Engine
 	order := engine.Order{
 		ID:      fmt.Sprintf("weights/%s/%s/%d", e.ID, e.Incarnation, planned.Version),
@@ -106,22 +106,22 @@
 		if guard.Check() != nil {
 			return
 		}
-		r.events.Emit(event.OrderGiven, subject)
-		err := r.engines.Order(fence.Context(ctx, guard), e.Address, order)
-		if err == nil || r.serves(ctx, planned) {
-			r.events.Emit(event.WeightsLoaded, subject)
+		u.events.Emit(event.OrderGiven, subject)
+		err := u.engines.Order(fence.Context(ctx, guard), e.Address, order)
+		if err == nil || u.serves(ctx, planned) {
+			u.events.Emit(event.WeightsLoaded, subject)
 			return
 		}
 		failed := subject
 		failed.Detail = string(fault.CodeOf(err))
-		r.events.Emit(event.OrderFailed, failed)
+		u.events.Emit(event.OrderFailed, failed)
 		if fault.Is[*fault.OrderFenced](err) || !wait.For(ctx, orderBackoff) {
 			return
 		}
 	}
 }
 
-func (r *Roller) serves(ctx context.Context, planned Target) bool {
-	load, err := r.engines.Load(ctx, planned.Engine.Address)
+func (u *Roller) serves(ctx context.Context, planned Target) bool {
+	load, err := u.engines.Load(ctx, planned.Engine.Address)
 	return err == nil && load.Model == planned.Engine.Model && load.WeightVersion >= planned.Version
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,5 +1,5 @@
 // Package weights brings new weight versions to the engines of a failure domain. It loads
-// as many engines concurrently as the running requests leave free, within the rate limit
+// as many engines concurrently as the present requests leave free, within the rate limit
 // of the weight store, and runs under the failure domain's lease.
 package weights
 
@@ -16,7 +16,8 @@
 	Incarnation string
 	// Version is the weight version that the engine serves.
 	Version int64
-	// Busy is the number of requests that the engine runs, Slots the number that it can run.
+	// Busy is the number of requests that the engine runs or has queued, Slots the number
+	// that it can run at once.
 	Busy, Slots int
 	// Loading is true while an order for the engine is in progress.
 	Loading bool
@@ -70,7 +71,7 @@
 }
 
 // maxConcurrentLoads returns how many engines of a pool may load at once: those that the
-// running requests do not need, and at least one wave.
+// present requests do not need, and at least one wave.
 func maxConcurrentLoads(pool []Engine) int {
 	busy, slots := 0, 0
 	for _, e := range pool {
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -108,24 +108,24 @@
 func (*fakeGuard) Epoch() uint64       { return 7 }
 func (*fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newRoller(p *fakePool) *Roller {
+func newTestUpdater(p *fakePool) *Roller {
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	return NewRoller(p, events, 100)
 }
 
 // updateAll calls Tick until every engine serves version 2 and returns how long that took.
 // It stops after a minute.
-func updateAll(t *testing.T, r *Roller, p *fakePool, guard *fakeGuard) time.Duration {
+func updateAll(t *testing.T, u *Roller, p *fakePool, guard *fakeGuard) time.Duration {
 	t.Helper()
 	started := time.Now()
 	for time.Since(started) < time.Minute && !p.allServe(2) {
 		// Loads end at the same instants at which Tick is called. They must end first:
 		// otherwise, in about one run of 400, a wave is seen to end half a second later.
 		synctest.Wait()
-		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
+		u.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
 		time.Sleep(500 * time.Millisecond)
 	}
-	r.Wait()
+	u.Wait()
 	return time.Since(started)
 }
 
@@ -145,7 +145,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				p := newFakePool(16)
 				p.busy = c.busy
-				took := updateAll(t, newRoller(p), p, &fakeGuard{})
+				took := updateAll(t, newTestUpdater(p), p, &fakeGuard{})
 				if p.maxLoading > c.maxLoading {
 					t.Errorf("%d engines loaded at once, want at most %d", p.maxLoading, c.maxLoading)
 				}
@@ -170,7 +170,7 @@
 			}
 			return nil
 		}
-		updateAll(t, newRoller(p), p, &fakeGuard{})
+		updateAll(t, newTestUpdater(p), p, &fakeGuard{})
 		if !p.allServe(2) {
 			t.Error("not all engines serve version 2")
 		}
@@ -189,7 +189,7 @@
 			p.versions[address] = order.Version
 			return errors.WithStack(&fault.UpstreamFailed{Upstream: address, Reason: "no answer"})
 		}
-		updateAll(t, newRoller(p), p, &fakeGuard{})
+		updateAll(t, newTestUpdater(p), p, &fakeGuard{})
 		for id, n := range p.orders {
 			if n != 1 {
 				t.Errorf("order %s was sent %d times, want once", id, n)
@@ -205,16 +205,16 @@
 		p := newFakePool(8)
 		p.busy = 8
 		guard := &fakeGuard{}
-		r := newRoller(p)
-		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
+		u := newTestUpdater(p)
+		u.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
 		synctest.Wait()
 		p.mu.Lock()
 		before := p.loading
 		p.mu.Unlock()
 		guard.lost = true
 		time.Sleep(2 * loadTime) // The next wave could start now.
-		r.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
-		r.Wait()
+		u.Tick(t.Context(), guard, p.engines(), map[string]int64{"berry-1": 2})
+		u.Wait()
 		if got := len(p.orders); got != before {
 			t.Errorf("%d orders were executed, want the %d from before the loss", got, before)
 		}
