--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -31,12 +31,11 @@
 
 // pick chooses among the candidates that accept the work and have free slots, and
 // returns the index of the chosen one, or -1 if there is none. It prefers slots of the
-// VM's quota to borrowed ones, and then the VM's own failure domain. Work
-// with an affinity goes to the first such candidate in the order of its rendezvous
-// hash: requests with a shared prefix meet on one engine as long as the VM's quota
-// there lasts, and then all on the same next engine. Other work goes to the less
-// loaded of two random candidates. Always choosing the least loaded would send all
-// VMs to the same engine while its report lags.
+// VM's quota to borrowed ones, and then the VM's own failure domain. Work with an
+// affinity goes to the candidate that ranks highest for it: requests with a shared
+// prefix meet on one engine as long as the VM's quota there lasts, and then all on the
+// same next engine. Other work goes to the less loaded of two random candidates. Always
+// choosing the least loaded would send all VMs to the same engine while its report lags.
 func pick(candidates []candidate, work Work, accepts func(candidate) bool) int {
 	var eligible []int
 	for i, c := range candidates {
--- a/internal/loading/loader.go
+++ b/internal/loading/loader.go
@@ -85,7 +85,7 @@
 // *fault.UpstreamFailed; an order that failed may still be executed later.
 type Engines interface {
 	Report(ctx context.Context, e *target.Entry) (Report, error)
-	Order(ctx context.Context, e *target.Entry, command Command) (Reply, error)
+	Order(ctx context.Context, e *target.Entry, order Command) (Reply, error)
 }
 
 // Demands reports the demand for the models, in a fixed order.
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -68,8 +68,8 @@
 	nextCommitAt time.Time
 	// nextWorkersRefreshAt is when to read the list of workers again.
 	nextWorkersRefreshAt time.Time
-	// minVersion is the oldest version whose samples are within the staleness
-	// bound.
+	// minVersion is the oldest version whose samples are within the bound in
+	// versions.
 	minVersion int64
 }
 
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -66,7 +66,7 @@
 
 // A search must not find a finished step: otherwise its reads of the store
 // would grow with the number of steps.
-func TestFinishedStepIsNotSearched(t *testing.T) {
+func TestSearchOmitsFinishedSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, noBound)
 		defer c.stop()
--- a/internal/supply/plan.go
+++ b/internal/supply/plan.go
@@ -32,9 +32,8 @@
 	// An engine takes no requests while it loads new weights; with a single engine, the
 	// domain could not serve the model during a weight load.
 	enginesPerModel = 2
-	// reclaimableDivisor is the number of engines of which one may be reclaimable: after
-	// the loss of all reclaimable engines of a domain, its steps must still have their
-	// slots.
+	// reclaimableDivisor bounds the reclaimable engines of a domain to one in that many:
+	// after the loss of all of them, its steps must still have their slots.
 	reclaimableDivisor = 5
 )
 
@@ -51,9 +50,9 @@
 
 // Counts returns how many upstreams of each kind one failure domain should have when
 // domains failure domains serve the need together; ok is false when no need is known. All
-// domains together have the slots that the items need, and each has engines for each model. Some of the engines beyond these
-// slots may be reclaimable: when they are taken away, steps still have their slots and
-// nearly all models their engines.
+// domains together have the slots that the items need, and each has engines for each
+// model. Some of the engines beyond these slots may be reclaimable: when they are taken
+// away, steps still have their slots and nearly all models their engines.
 func Counts(n Need, domains int, scale *route.Scale) (out Set, ok bool) {
 	if n.Items <= 0 || n.Slots <= 0 || domains <= 0 {
 		return out, false
