--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -51,12 +51,12 @@
 // contract that nobody decided.
 func TestRacingEditsOfOneContractConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := faultinject.NewCluster(faultinject.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		const racers = 8
 		failures := make([]error, racers)
 		var group sync.WaitGroup
 		for i := range racers {
-			p := w.Start(context.Background(), fmt.Sprint("vm-", i))
+			p := cluster.Start(context.Background(), fmt.Sprint("vm-", i))
 			group.Go(func() {
 				_, failures[i] = testEditor(p).Apply(p.Context, editShare(fmt.Sprint(i), "farm", 0, i+1))
 			})
@@ -70,7 +70,7 @@
 				t.Errorf("a racing edit failed with %v", err)
 			}
 		}
-		if got := len(history(t, w.Rows)); accepted != 1 || got != 1 {
+		if got := len(history(t, cluster.Rows)); accepted != 1 || got != 1 {
 			t.Errorf("%d edits accepted, %d in the history, want 1", accepted, got)
 		}
 	})
@@ -80,11 +80,11 @@
 // each other, so all must be accepted, each at a revision of its own.
 func TestRacingEditsOfDifferentContractsAllPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := faultinject.NewCluster(faultinject.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		const racers = 8
 		var group sync.WaitGroup
 		for i := range racers {
-			p := w.Start(context.Background(), fmt.Sprint("vm-", i))
+			p := cluster.Start(context.Background(), fmt.Sprint("vm-", i))
 			group.Go(func() {
 				account := contract.Account(fmt.Sprint("farm-", i))
 				if _, err := testEditor(p).Apply(p.Context, editShare(fmt.Sprint(i), account, 0, 1)); err != nil {
@@ -93,7 +93,7 @@
 			})
 		}
 		group.Wait()
-		if got := len(history(t, w.Rows)); got != racers {
+		if got := len(history(t, cluster.Rows)); got != racers {
 			t.Errorf("%d edits in the history, want %d", got, racers)
 		}
 	})
@@ -104,12 +104,12 @@
 // undo the other one.
 func TestRepeatedEditReturnsTheFirstAnswer(t *testing.T) {
 	ctx := context.Background()
-	w := faultinject.NewCluster(faultinject.NoFaults)
-	first, err := testEditor(w.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
+	first, err := testEditor(cluster.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	editor := testEditor(w.Start(ctx, "vm-2"))
+	editor := testEditor(cluster.Start(ctx, "vm-2"))
 	if _, err := editor.Apply(ctx, editShare("b", "farm", first.Revision, 2)); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	if err != nil || again.Revision != first.Revision || !again.When.Equal(first.When) {
 		t.Errorf("the repeat returned %+v, %v; the first answer was %+v", again, err, first)
 	}
-	if got := len(history(t, w.Rows)); got != 2 {
+	if got := len(history(t, cluster.Rows)); got != 2 {
 		t.Errorf("%d edits in the history, want 2", got)
 	}
 	_, err = editor.Apply(ctx, editShare("a", "farm", 2, 3))
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -20,7 +20,7 @@
 // machine is a store, an operator at each VM, and the VMs' views. Its actions
 // are those of spec/edit.pml, over the functions of this package.
 type machine struct {
-	world    *faultinject.Cluster
+	cluster  *faultinject.Cluster
 	editors  [machineVMs]*Editor
 	syncers  [machineVMs]*Syncer
 	pending  [machineVMs]*contract.Edit
@@ -39,7 +39,7 @@
 
 func newMachine() *machine {
 	m := &machine{}
-	m.world = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
+	m.cluster = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 		if s.Call != "commit" {
 			return faultinject.Fault{}
 		}
@@ -54,7 +54,7 @@
 }
 
 func (m *machine) restart(id int) {
-	p := m.world.Start(context.Background(), fmt.Sprint("vm-", id))
+	p := m.cluster.Start(context.Background(), fmt.Sprint("vm-", id))
 	m.editors[id] = testEditor(p)
 	m.syncers[id] = testSyncer(p, nil)
 	m.pending[id] = nil
@@ -89,7 +89,7 @@
 
 // audit checks the history and what every VM says of itself.
 func (m *machine) audit() {
-	entries, _ := testEditor(m.world.Rows).History(context.Background(), 0, 1000)
+	entries, _ := testEditor(m.cluster.Rows).History(context.Background(), 0, 1000)
 	ids := map[string]bool{}
 	for i, entry := range entries {
 		if entry.Revision != contract.Revision(i+1) || ids[entry.EditID] {
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -42,13 +42,13 @@
 	faultinject.RunMatrix(t, faultinject.Protocol{
 		Name:      "edit",
 		Durations: faultinject.UniformDurations(15 * time.Second),
-		Run: func(w *faultinject.Cluster) error {
+		Run: func(cluster *faultinject.Cluster) error {
 			ctx, stop := context.WithCancel(context.Background())
 			var group sync.WaitGroup
 			var answered atomic.Int32
 			for _, name := range []string{"vm-1", "vm-2"} {
 				edit := editShare("edit-"+name, contract.Account("farm of "+name), 0, matrixShare)
-				w.Supervise(ctx, &group, name, func(p *faultinject.Process) { insist(p, edit, &answered) })
+				cluster.Supervise(ctx, &group, name, func(p *faultinject.Process) { insist(p, edit, &answered) })
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(matrixLength)
@@ -57,7 +57,7 @@
 			if answered.Load() != 2 {
 				return errors.Newf("%d of 2 operators got an answer", answered.Load())
 			}
-			entries, err := testEditor(w.Rows).History(context.Background(), 0, 100)
+			entries, err := testEditor(cluster.Rows).History(context.Background(), 0, 100)
 			if err != nil {
 				return err
 			}
@@ -147,20 +147,20 @@
 	faultinject.RunMatrix(t, faultinject.Protocol{
 		Name:      "sync",
 		Durations: faultinject.UniformDurations(15 * time.Second),
-		Run: func(w *faultinject.Cluster) error {
+		Run: func(cluster *faultinject.Cluster) error {
 			var group sync.WaitGroup
 			defer group.Wait()
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			followers := []*follower{{}, {}}
 			for i, name := range []string{"vm-1", "vm-2"} {
-				w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
+				cluster.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 					followers[i].run(p, followers[1-i])
 				})
 				time.Sleep(time.Millisecond)
 			}
 			accepted := map[contract.Revision]time.Time{}
-			editor := testEditor(w.Rows)
+			editor := testEditor(cluster.Rows)
 			for i := range 60 {
 				if i%5 == 0 && i < 30 {
 					entry, err := editor.Apply(ctx, editShare(string(rune('a'+i)), contract.Account(rune('a'+i)), 0, matrixShare))
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -56,16 +56,16 @@
 func TestStartWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := faultinject.NewCluster(faultinject.NoFaults)
-		edit(t, w.Rows, 1, 3)
-		old := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
+		edit(t, cluster.Rows, 1, 3)
+		old := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		old.sync(ctx)
-		edit(t, w.Rows, 4, 1)
-		knows := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
+		edit(t, cluster.Rows, 4, 1)
+		knows := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
 		knows.sync(ctx)
-		w.TakeStoreDown(time.Hour)
+		cluster.TakeStoreDown(time.Hour)
 		time.Sleep(time.Minute)
-		starts := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{old, knows})
+		starts := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{old, knows})
 		starts.sync(ctx)
 		if got := starts.view.Load().Revision; got != 4 {
 			t.Errorf("revision %d in force, want 4", got)
@@ -82,13 +82,13 @@
 func TestNewVMsDontConfirmEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := faultinject.NewCluster(faultinject.NoFaults)
-		edit(t, w.Rows, 1, 2)
-		known := testSyncer(w.Start(ctx, "vm-1"), nil)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
+		edit(t, cluster.Rows, 1, 2)
+		known := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 		known.sync(ctx)
-		w.TakeStoreDown(24 * time.Hour)
-		fresh := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
-		second := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{fresh})
+		cluster.TakeStoreDown(24 * time.Hour)
+		fresh := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
+		second := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{fresh})
 		fresh.peers = peerSyncers{second}
 		known.peers = peerSyncers{fresh}
 		for range 10 {
@@ -111,13 +111,13 @@
 func TestKnowledgeOfACutOffDomainAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := faultinject.NewCluster(faultinject.NoFaults)
-		a := testSyncer(w.Start(ctx, "vm-1"), nil)
-		b := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{a})
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
+		a := testSyncer(cluster.Start(ctx, "vm-1"), nil)
+		b := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{a})
 		a.peers = peerSyncers{b}
 		a.sync(ctx)
 		b.sync(ctx)
-		w.TakeStoreDown(24 * time.Hour)
+		cluster.TakeStoreDown(24 * time.Hour)
 		start := time.Now()
 		for range 20 {
 			time.Sleep(10 * time.Second)
@@ -134,12 +134,12 @@
 // over would bring a withdrawn key back.
 func TestOldSnapshotDoesNotRevert(t *testing.T) {
 	ctx := context.Background()
-	w := faultinject.NewCluster(faultinject.NoFaults)
-	edit(t, w.Rows, 1, 1)
-	s := testSyncer(w.Rows, nil)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
+	edit(t, cluster.Rows, 1, 1)
+	s := testSyncer(cluster.Rows, nil)
 	s.sync(ctx)
 	old := s.view.Load()
-	edit(t, w.Rows, 2, 1)
+	edit(t, cluster.Rows, 2, 1)
 	s.sync(ctx)
 	s.advance(old)
 	if got := s.view.Load().Revision; got != 2 {
@@ -151,23 +151,23 @@
 // minutes; reading the rows while edits go on could mix two revisions.
 func TestBootstrapReadsOneRevision(t *testing.T) {
 	ctx := context.Background()
-	w := faultinject.NewCluster(faultinject.NoFaults)
-	edit(t, w.Rows, 1, 2*logPage)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
+	edit(t, cluster.Rows, 1, 2*logPage)
 	racing := 0
-	w.SetScript(func(s faultinject.Step) faultinject.Fault {
+	cluster.SetScript(func(s faultinject.Step) faultinject.Fault {
 		if s.Process == "vm-1" && s.Call == "scan" && s.Subject == keyPrefix && racing < 2 {
 			racing++
-			edit(t, w.Rows, 2*logPage+racing, 1)
+			edit(t, cluster.Rows, 2*logPage+racing, 1)
 		}
 		return faultinject.Fault{}
 	})
-	s := testSyncer(w.Start(ctx, "vm-1"), nil)
+	s := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 	s.sync(ctx)
 	view := s.view.Load()
 	if want := 2*logPage + 2; int(view.Revision) != want || len(view.Contracts) != want {
 		t.Errorf("revision %d with %d contracts, want %d", view.Revision, len(view.Contracts), want)
 	}
-	for _, step := range w.Steps() {
+	for _, step := range cluster.Steps() {
 		if step.Subject == logPrefix {
 			t.Error("the log was replayed")
 		}
@@ -195,12 +195,12 @@
 // when the view becomes stale and when it is confirmed again.
 func TestStaleViewIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := faultinject.NewCluster(faultinject.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		ctx, stop := context.WithCancel(context.Background())
-		s := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
+		s := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		go s.Run(ctx)
 		time.Sleep(10 * time.Second)
-		w.TakeStoreDown(2 * staleAfter)
+		cluster.TakeStoreDown(2 * staleAfter)
 		time.Sleep(3 * staleAfter)
 		stop()
 		synctest.Wait()
--- a/internal/control/demands.go
+++ b/internal/control/demands.go
@@ -33,11 +33,11 @@
 }
 
 // Demand implements Demands. The result is sorted by account and pool.
-func (f *DomainDemands) Demand() []provision.Demand {
-	sums, scale := f.sum()
+func (d *DomainDemands) Demand() []provision.Demand {
+	sums, scale := d.sum()
 	var demands []provision.Demand
-	for _, pool := range f.enginePools() {
-		for account := range f.view.Load().Contracts {
+	for _, pool := range d.enginePools() {
+		for account := range d.view.Load().Contracts {
 			flow, ok := sums[flowKey{pool: pool.Hash(), account: dispatch.AccountHash(account)}]
 			if !ok {
 				continue
@@ -59,11 +59,11 @@
 
 // sum returns the summed flows of the VMs whose demand is known, and the ratio of
 // all VMs of the failure domain to these.
-func (f *DomainDemands) sum() (sums map[flowKey]dispatch.FlowDemand, scale float64) {
+func (d *DomainDemands) sum() (sums map[flowKey]dispatch.FlowDemand, scale float64) {
 	sums = make(map[flowKey]dispatch.FlowDemand)
 	known, all := 0, 0
-	for _, m := range f.members() {
-		if m.FailureDomain != f.domain {
+	for _, m := range d.members() {
+		if m.FailureDomain != d.domain {
 			continue
 		}
 		all++
@@ -83,9 +83,9 @@
 }
 
 // enginePools returns the engine pools of the directory without duplicates.
-func (f *DomainDemands) enginePools() []dispatch.Pool {
+func (d *DomainDemands) enginePools() []dispatch.Pool {
 	var pools []dispatch.Pool
-	for _, u := range f.directory.Load() {
+	for _, u := range d.directory.Load() {
 		pool := dispatch.Pool{Kind: platformapi.KindEngine, Model: u.Model, Adapter: u.Adapter}
 		if u.Kind == platformapi.KindEngine && !slices.Contains(pools, pool) {
 			pools = append(pools, pool)
--- a/internal/control/demands_test.go
+++ b/internal/control/demands_test.go
@@ -9,9 +9,9 @@
 	"dogwoodpond/internal/upstream"
 )
 
-func flow(account contract.Account, inFlight, waiting uint32) dispatch.FlowDemand {
+func flow(account contract.Account, inFlight, queued uint32) dispatch.FlowDemand {
 	pool := dispatch.Pool{Kind: platformapi.KindEngine, Model: "berry-1"}
-	return dispatch.FlowDemand{Pool: pool.Hash(), Account: dispatch.AccountHash(account), InFlight: inFlight, Queued: waiting}
+	return dispatch.FlowDemand{Pool: pool.Hash(), Account: dispatch.AccountHash(account), InFlight: inFlight, Queued: queued}
 }
 
 func newDemands(t *testing.T, members ...dispatch.Member) *DomainDemands {
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -159,7 +159,7 @@
 
 func newClaims(tables *platformapi.Client) *request.Claims { return request.NewClaims(tables) }
 
-func newHistory(weights *platformapi.Client) *rollout.VersionHistory {
+func newVersionHistory(weights *platformapi.Client) *rollout.VersionHistory {
 	return rollout.NewVersionHistory(weights)
 }
 
--- a/internal/daemon/wire_gen.go
+++ b/internal/daemon/wire_gen.go
@@ -43,19 +43,19 @@
 	server := newPeerServer(recorder, view, daemonHooks, local, gossip)
 	serviceClient := service.NewClient()
 	claims := newClaims(client)
-	history := newHistory(client)
+	versionHistory := newVersionHistory(client)
 	manager := newLeases(s, client, gossip, recorder)
 	meter := newMeter(s, client, gossip, recorder)
-	rolloutManager := newRollouts(s, client, local, scheduler, serviceClient, gossip, peerClient, history, manager, meter, view, recorder, registry)
+	rolloutManager := newRollouts(s, client, local, scheduler, serviceClient, gossip, peerClient, versionHistory, manager, meter, view, recorder, registry)
 	entryServer := newEntry(s, view, syncer, local, dispatcher, policy, serviceClient, claims, rolloutManager, meter, recorder, registry, metricsMetrics, daemonHooks)
 	editor := newEditor(client, recorder)
 	fleet := peer.NewFleet(gossip, peerClient, view, recorder)
 	operatorServer := newOperator(s, client, view, editor, fleet, directory, recorder, daemonHooks)
-	roller := newWeightUpdater(s, engineClient, recorder)
+	updater := newWeightUpdater(s, engineClient, recorder)
 	mover := newMover(engineClient, recorder)
 	provisioner := newProvisioner(s, client, recorder)
 	closer := newCloser(s, client, recorder, gossip, view)
-	controller := newController(s, manager, client, engineClient, view, directory, roller, mover, provisioner, closer, daemonHooks)
+	controller := newController(s, manager, client, engineClient, view, directory, updater, mover, provisioner, closer, daemonHooks)
 	poller := newPoller(engineClient, loads, scheduler)
 	daemon := &Daemon{
 		settings:   s,
@@ -75,7 +75,7 @@
 		controller: controller,
 		scheduler:  scheduler,
 		poller:     poller,
-		history:    history,
+		history:    versionHistory,
 	}
 	return daemon, nil
 }
--- a/internal/dispatch/apportion.go
+++ b/internal/dispatch/apportion.go
@@ -17,7 +17,7 @@
 	Account uint32
 	// Share is the account's share by contract.
 	Share uint32
-	// InFlight and Waiting count requests.
+	// InFlight and Queued count requests.
 	InFlight uint32
 	Queued   uint32
 }
--- a/internal/enginepool/pools_test.go
+++ b/internal/enginepool/enginepool_test.go
@@ -33,7 +33,7 @@
 	return list
 }
 
-// nextMove calls p.Next with a constant queue until it returns a move, at most ticks times.
+// nextMove calls p.NextMove with a constant queue until it returns a move, at most ticks times.
 func nextMove(p *Planner, engines []Engine, queued map[Pool]int, ticks int) (Move, bool) {
 	for range ticks {
 		if move, ok := p.NextMove(engines, queued); ok {
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -245,7 +245,7 @@
 // for a place within waiting and for the answer within sending.
 func (s *Server) sendService(waiting, sending context.Context, gate *sendGate, c caller, wanted wantedCall) (service.Answer, error) {
 	execution := fault.NotRun
-	delays := retry.NewBackoff()
+	backoff := retry.NewBackoff()
 	var exclude []string
 	for attempt := 1; ; attempt++ {
 		answer, upstreamID, err := s.attemptService(waiting, sending, gate, c, wanted, exclude, attempt)
@@ -271,7 +271,7 @@
 		default:
 			exclude = append(exclude, upstreamID)
 		}
-		if !delays.Wait(waiting) {
+		if !backoff.Wait(waiting) {
 			return service.Answer{}, fault.WithExecution(endedFailure(waiting), execution)
 		}
 	}
--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -341,7 +341,7 @@
 func (*ConfigurationStale) Code() Code { return CodeConfigurationStale }
 
 // StoreUnavailable reports a table or object call that did not get an answer. EffectUnknown is true when the call may have taken effect.
-// Back is true when the store has answered other calls since, so that a repeat may follow at once.
+// Recovered is true when the store has answered other calls since, so that a repeat may follow at once.
 type StoreUnavailable struct {
 	Operation     string
 	EffectUnknown bool
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -83,7 +83,7 @@
 	// CountRun counts a run of a request of the account. at is the start of the run, which
 	// determines its usage window.
 	CountRun(account string, at time.Time)
-	// UncountRun subtracts a run that Began counted with the same at, because the upstream
+	// UncountRun subtracts a run that CountRun counted with the same at, because the upstream
 	// did not run the request.
 	UncountRun(account string, at time.Time)
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -35,19 +35,19 @@
 // fallback is the answer of the others.
 type fakeUpstreams struct {
 	mu sync.Mutex
-	// attempted and resumeAfter hold the upstream and ResumeAfter of each attempt.
-	attempted   []string
-	resumeAfter []string
-	cancels     int
-	byID        map[string]fakeAnswer
-	fallback    fakeAnswer
+	// attempted and lastEventIDs hold the upstream and LastEventID of each attempt.
+	attempted    []string
+	lastEventIDs []string
+	cancels      int
+	byID         map[string]fakeAnswer
+	fallback     fakeAnswer
 }
 
 func (u *fakeUpstreams) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
 	id := e.Info().ID
 	u.mu.Lock()
 	u.attempted = append(u.attempted, id)
-	u.resumeAfter = append(u.resumeAfter, request.LastEventID)
+	u.lastEventIDs = append(u.lastEventIDs, request.LastEventID)
 	a, ok := u.byID[id]
 	u.mu.Unlock()
 	if !ok {
@@ -368,8 +368,8 @@
 		if want := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"; err != nil || out.text != want || out.starts != 1 {
 			t.Errorf("text %q, %d starts, %v", out.text, out.starts, err)
 		}
-		if u.resumeAfter[1] != "2" {
-			t.Errorf("resumed after event %q, want 2", u.resumeAfter[1])
+		if u.lastEventIDs[1] != "2" {
+			t.Errorf("resumed after event %q, want 2", u.lastEventIDs[1])
 		}
 	})
 }
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -78,15 +78,15 @@
 	if snapshot == nil || snapshot.Services[service] == nil || snapshot.Services[service].Engine == nil {
 		return nil
 	}
-	uses := d.steps.ModelDemands()
+	demands := d.steps.ModelDemands()
 	var out []weightload.Demand
 	for _, model := range snapshot.Services[service].Engine.Models {
 		version, ok := d.named.Version(model)
 		if !ok {
 			continue
 		}
-		use := uses[model]
-		out = append(out, weightload.Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: slack(version, use), ExpectedTokens: use.ExpectedTokens})
+		demand := demands[model]
+		out = append(out, weightload.Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: slack(version, demand), ExpectedTokens: demand.ExpectedTokens})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Model < out[j].Model })
 	return out
@@ -99,11 +99,11 @@
 // slack returns how many versions behind the named one the next step may use. The
 // latest step may have been asked for under the version before, so the smaller
 // distance counts.
-func slack(named int64, use step.ModelDemand) int64 {
-	if use.Steps == 0 {
+func slack(named int64, demand step.ModelDemand) int64 {
+	if demand.Steps == 0 {
 		return usualSlack
 	}
-	return min(max(use.VersionLag, 0), named)
+	return min(max(demand.VersionLag, 0), named)
 }
 
 // KeepRunning implements weightload.Demands.
@@ -133,10 +133,10 @@
 
 // needOf adds up what the steps of an engine's models ask for.
 func (d *Demands) needOf(engine *route.Engine) scaling.Need {
-	uses := d.steps.ModelDemands()
+	demands := d.steps.ModelDemands()
 	need := scaling.Need{Slots: engine.Slots}
 	for _, model := range engine.Models {
-		if items := uses[model].MaxItems; items > 0 {
+		if items := demands[model].MaxItems; items > 0 {
 			need.Models++
 			need.Items += items
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,12 +67,12 @@
 	Members  *member.List
 	Steps    *step.Manager
 	Meter    *usagewindow.Meter
-	Closer   *usagewindow.Reporter
+	Reporter *usagewindow.Reporter
 	Loaders  []*weightload.Loader
 	Orderers []*scaling.Orderer
 	Callers  http.Handler
 	Metrics  http.Handler
-	Carry    relay.CallFunc
+	Relay    relay.CallFunc
 	// Follow holds the loops that follow the platform's lists.
 	Follow Loops
 	// Clock agrees with the fleet on the time.
@@ -156,7 +156,7 @@
 			case <-time.After(openPoll):
 			}
 		}
-		n.Closer.Run(ctx)
+		n.Reporter.Run(ctx)
 	})
 }
 
@@ -230,7 +230,7 @@
 	}
 	go func() { _ = s.callers.Serve(callers) }()
 	go func() { _ = s.ready.Serve(ready) }()
-	go func() { _ = relay.Serve(ctx, peers, n.Carry) }()
+	go func() { _ = relay.Serve(ctx, peers, n.Relay) }()
 	return s, n.listenMetrics(s)
 }
 
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -23,7 +23,7 @@
 )
 
 // Monitor tracks the outages of one dependency. In the zero value, the dependency is
-// available. A Watch is safe for concurrent use.
+// available. A Monitor is safe for concurrent use.
 type Monitor struct {
 	mu sync.Mutex
 	// startedAt is the start of the current or last outage.
@@ -38,15 +38,15 @@
 
 // NoteUnanswered records that the dependency did not answer a call, and reports whether this is
 // the start of an outage.
-func (w *Monitor) NoteUnanswered(now time.Time) (started bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.ended != nil {
+func (m *Monitor) NoteUnanswered(now time.Time) (started bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.ended != nil {
 		return false
 	}
-	w.startedAt, w.ended = now, make(chan struct{})
+	m.startedAt, m.ended = now, make(chan struct{})
 	select {
-	case w.beganSignal() <- struct{}{}:
+	case m.beganSignal() <- struct{}{}:
 	default:
 	}
 	return true
@@ -54,51 +54,51 @@
 
 // NoteAnswered records that the dependency answered a call, which took callDuration. If that
 // ends an outage, it returns the outage's duration and true.
-func (w *Monitor) NoteAnswered(now time.Time, callDuration time.Duration) (outageDuration time.Duration, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.ended == nil {
+func (m *Monitor) NoteAnswered(now time.Time, callDuration time.Duration) (outageDuration time.Duration, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.ended == nil {
 		return 0, false
 	}
-	w.grace = min(minGrace+graceFactor*callDuration, maxGrace)
-	close(w.ended)
-	w.ended = nil
-	return now.Sub(w.startedAt), true
+	m.grace = min(minGrace+graceFactor*callDuration, maxGrace)
+	close(m.ended)
+	m.ended = nil
+	return now.Sub(m.startedAt), true
 }
 
 // IsAvailable reports whether the dependency is available, that is, whether there is no outage.
-func (w *Monitor) IsAvailable() bool { return w.OutageEnded() == nil }
+func (m *Monitor) IsAvailable() bool { return m.OutageEnded() == nil }
 
 // OutageEnded returns a channel that is closed when the current outage ends, or nil if there is
 // no outage.
-func (w *Monitor) OutageEnded() <-chan struct{} {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.ended
+func (m *Monitor) OutageEnded() <-chan struct{} {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.ended
 }
 
-// beganSignal returns the channel began and creates it if necessary. w.mu must be held.
-func (w *Monitor) beganSignal() chan struct{} {
-	if w.began == nil {
-		w.began = make(chan struct{}, 1)
+// beganSignal returns the channel began and creates it if necessary. m.mu must be held.
+func (m *Monitor) beganSignal() chan struct{} {
+	if m.began == nil {
+		m.began = make(chan struct{}, 1)
 	}
-	return w.began
+	return m.began
 }
 
 // Probe calls probe at an interval during each outage, until ctx ends. Probes don't run
-// concurrently. probe must use a new connection, limit its duration, and call Answers if
+// concurrently. probe must use a new connection, limit its duration, and call NoteAnswered if
 // it gets an answer.
-func (w *Monitor) Probe(ctx context.Context, interval func() time.Duration, probe func(context.Context)) {
-	w.mu.Lock()
-	began := w.beganSignal()
-	w.mu.Unlock()
+func (m *Monitor) Probe(ctx context.Context, interval func() time.Duration, probe func(context.Context)) {
+	m.mu.Lock()
+	began := m.beganSignal()
+	m.mu.Unlock()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-began:
 		}
-		for probedAt := time.Now(); !w.IsAvailable() && wait.For(ctx, interval()-time.Since(probedAt)); {
+		for probedAt := time.Now(); !m.IsAvailable() && wait.For(ctx, interval()-time.Since(probedAt)); {
 			probedAt = time.Now()
 			probe(ctx)
 		}
@@ -108,8 +108,8 @@
 // CallContext returns a context for a call that is sent now. If there is an outage, the context
 // ends a grace period after the outage: the call is probably lost and should be retried
 // without waiting for its timeout.
-func (w *Monitor) CallContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	ended := w.OutageEnded()
+func (m *Monitor) CallContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	ended := m.OutageEnded()
 	ctx, cancel := context.WithCancel(ctx)
 	if ended == nil {
 		return ctx, cancel
@@ -118,7 +118,7 @@
 		select {
 		case <-ctx.Done():
 		case <-ended:
-			if wait.For(ctx, w.lastGrace()) {
+			if wait.For(ctx, m.lastGrace()) {
 				cancel()
 			}
 		}
@@ -126,8 +126,8 @@
 	return ctx, cancel
 }
 
-func (w *Monitor) lastGrace() time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.grace
+func (m *Monitor) lastGrace() time.Duration {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.grace
 }
--- a/internal/platformapi/faultinject/cluster.go
+++ b/internal/platformapi/faultinject/cluster.go
@@ -1,4 +1,4 @@
-// Package faultinject injects faults into calls to the platform. A World is a fake
+// Package faultinject injects faults into calls to the platform. A Cluster is a fake
 // platform with the processes that call it. Each call of a process is a Step, and a
 // Script chooses the Fault that is injected at it. RunMatrix records the steps of a
 // run without faults and injects every fault at each of them, so that no step is
@@ -42,18 +42,18 @@
 	LoseRequest
 	// LoseReply drops the reply after the effect.
 	LoseReply
-	// DelayEffect lets the caller time out, and delays the effect by For. A call that
+	// DelayEffect lets the caller time out, and delays the effect by Duration. A call that
 	// changes nothing has no effect at all.
 	DelayEffect
 	// KillBefore and KillAfter kill the process.
 	KillBefore
 	KillAfter
-	// PauseBefore and PauseAfter pause the process for For.
+	// PauseBefore and PauseAfter pause the process for Duration.
 	PauseBefore
 	PauseAfter
-	// StoreDown makes the store unreachable for all processes for For.
+	// StoreDown makes the store unreachable for all processes for Duration.
 	StoreDown
-	// CutOff makes the store and the peers unreachable for the process for For.
+	// CutOff makes the store and the peers unreachable for the process for Duration.
 	CutOff
 )
 
--- a/internal/platformapi/http.go
+++ b/internal/platformapi/http.go
@@ -110,12 +110,12 @@
 
 // Commit implements Tables.
 func (c *Client) Commit(ctx context.Context, txn Txn) error {
-	status, problem, err := c.send(ctx, c.http, PathCommit, txn)
+	status, refusal, err := c.send(ctx, c.http, PathCommit, txn)
 	switch {
 	case err != nil:
 		return err
 	case status == http.StatusPreconditionFailed:
-		return errors.WithStack(&fault.PreconditionFailed{Row: problem.Row, Want: problem.Want, Have: problem.Have})
+		return errors.WithStack(&fault.PreconditionFailed{Row: refusal.Row, Want: refusal.Want, Have: refusal.Have})
 	case status != http.StatusOK:
 		return errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: status >= http.StatusInternalServerError})
 	}
@@ -160,20 +160,20 @@
 
 // Order implements Upstreams.
 func (c *Client) Order(ctx context.Context, order Order) error {
-	status, problem, err := c.send(ctx, c.fencedHTTP, PathOrders, order)
+	status, refusal, err := c.send(ctx, c.fencedHTTP, PathOrders, order)
 	if err != nil {
 		return err
 	}
-	return fencedStatusError(status, problem, order.ID, "order")
+	return fencedStatusError(status, refusal, order.ID, "order")
 }
 
 // Report implements Billing.
 func (c *Client) Report(ctx context.Context, report UsageReport) error {
-	status, problem, err := c.send(ctx, c.fencedHTTP, PathReports, report)
+	status, refusal, err := c.send(ctx, c.fencedHTTP, PathReports, report)
 	if err != nil {
 		return err
 	}
-	return fencedStatusError(status, problem, report.Account, "report")
+	return fencedStatusError(status, refusal, report.Account, "report")
 }
 
 // Latest implements Weights.
@@ -181,9 +181,9 @@
 	return c.versions.fetch(ctx, c, PathWeights)
 }
 
-func fencedStatusError(status int, problem Refusal, id, operation string) error {
+func fencedStatusError(status int, refusal Refusal, id, operation string) error {
 	if status == http.StatusPreconditionFailed {
-		return errors.WithStack(&fault.OrderFenced{Order: id, Epoch: problem.Epoch})
+		return errors.WithStack(&fault.OrderFenced{Order: id, Epoch: refusal.Epoch})
 	}
 	return statusError(operation, status)
 }
@@ -233,12 +233,12 @@
 	if err != nil {
 		return 0, Refusal{}, err
 	}
-	var problem Refusal
+	var refusal Refusal
 	if status >= http.StatusBadRequest {
 		// The status alone decides if the body can't be decoded.
-		_ = json.Unmarshal(answer, &problem)
+		_ = json.Unmarshal(answer, &refusal)
 	}
-	return status, problem, nil
+	return status, refusal, nil
 }
 
 // call makes one HTTP call over the pooled connections.
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -75,7 +75,7 @@
 // *fault.ClaimInProgress when the request is running in this process,
 // *fault.ClaimUnknown when the key is claimed and the outcome is unknown, and
 // *fault.StoreUnavailable. The holder of a claim ends it by Finish, Withdraw or
-// Leave.
+// Abandon.
 func (c *Claims) Acquire(ctx context.Context, account contract.Account, idempotencyKey, fingerprint string) (Claim, error) {
 	claim := Claim{account: account, key: rowKey(account, idempotencyKey), fingerprint: fingerprint}
 	for range maxAcquireTries {
@@ -104,7 +104,7 @@
 	})
 }
 
-// readExisting returns the result of Take for a key that is already claimed.
+// readExisting returns the result of Acquire for a key that is already claimed.
 // withdrawn reports that the claim was withdrawn in the meantime, so that the
 // key can be claimed.
 func (c *Claims) readExisting(ctx context.Context, claim Claim, idempotencyKey string) (existing Claim, withdrawn bool, err error) {
@@ -136,7 +136,7 @@
 }
 
 const (
-	// maxAcquireTries limits how often Take tries to claim a key whose claims are
+	// maxAcquireTries limits how often Acquire tries to claim a key whose claims are
 	// withdrawn in the meantime.
 	maxAcquireTries = 3
 	// inProgressRetryAfter is the time after which a caller may repeat a request
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -42,7 +42,7 @@
 // about 500 bytes and is never removed. It is safe for concurrent use.
 type Circuits struct {
 	events *event.Recorder
-	// notClosed counts the open and half-open circuits. It is usually 0, and Open
+	// notClosed counts the open and half-open circuits. It is usually 0, and OpenUpstreams
 	// then need not iterate over the circuits.
 	notClosed atomic.Int64
 	circuits  sync.Map
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -70,7 +70,7 @@
 	policy *backoff.ExponentialBackOff
 }
 
-// NewBackoff returns the delays of one request.
+// NewBackoff returns the backoff of one request.
 func NewBackoff() *Backoff {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = initialBackoff
@@ -79,8 +79,8 @@
 }
 
 // Wait waits until the next attempt may start. It returns false if ctx ends first.
-func (d *Backoff) Wait(ctx context.Context) bool {
-	timer := time.NewTimer(d.policy.NextBackOff())
+func (b *Backoff) Wait(ctx context.Context) bool {
+	timer := time.NewTimer(b.policy.NextBackOff())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -134,15 +134,15 @@
 
 // Guards against synchronized retries: without jitter, requests that failed together
 // are retried at the same time and overload the upstream again.
-func TestDelaysGrowWithJitter(t *testing.T) {
+func TestBackoffGrowsWithJitter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := map[string]bool{}
 		for range 32 {
-			delays, started := NewBackoff(), time.Now()
+			backoff, started := NewBackoff(), time.Now()
 			last := time.Duration(0)
 			for range 12 {
 				before := time.Now()
-				if !delays.Wait(t.Context()) {
+				if !backoff.Wait(t.Context()) {
 					t.Fatal("Wait returned false although the context has not ended")
 				}
 				last = time.Since(before)
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -36,7 +36,7 @@
 )
 
 // VersionHistory records when each version was superseded, from this VM's reads of the
-// weight store. It implements Versions.
+// weight store. It implements WeightVersions.
 type VersionHistory struct {
 	weights platformapi.Weights
 
@@ -64,7 +64,7 @@
 	return &VersionHistory{weights: weights, models: make(map[string]*modelHistory)}
 }
 
-// Refresh implements Versions.
+// Refresh implements WeightVersions.
 func (h *VersionHistory) Refresh(ctx context.Context, since time.Time) error {
 	h.refreshMu.Lock()
 	defer h.refreshMu.Unlock()
@@ -120,7 +120,7 @@
 	return b
 }
 
-// Latest implements Versions.
+// Latest implements WeightVersions.
 func (h *VersionHistory) Latest(model string) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,7 +131,7 @@
 	return m.latest, true
 }
 
-// SupersededAt implements Versions.
+// SupersededAt implements WeightVersions.
 func (h *VersionHistory) SupersededAt(model string, version int64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/rollout/workers.go
+++ b/internal/rollout/workers.go
@@ -36,12 +36,12 @@
 type Fleet struct {
 	self    Worker
 	members Members
-	caller  PeerClient
+	client  PeerClient
 }
 
 // NewFleet returns a Fleet of the VM self and its peers.
-func NewFleet(self Worker, members Members, caller PeerClient) *Fleet {
-	return &Fleet{self: self, members: members, caller: caller}
+func NewFleet(self Worker, members Members, client PeerClient) *Fleet {
+	return &Fleet{self: self, members: members, client: client}
 }
 
 // Workers implements Workers. It omits VMs that are leaving: new attempts would
@@ -55,7 +55,7 @@
 		workers = append(workers, Worker{
 			VM:            vm.ID,
 			FailureDomain: vm.FailureDomain,
-			Runner:        peerRunner{address: vm.PeerAddress, caller: f.caller},
+			Runner:        peerRunner{address: vm.PeerAddress, client: f.client},
 		})
 	}
 	return workers
@@ -65,10 +65,10 @@
 // chunks of the stream.
 type peerRunner struct {
 	address string
-	caller  PeerClient
+	client  PeerClient
 }
 
 // Generate implements generate.Runner.
 func (p peerRunner) Generate(ctx context.Context, request generate.Request, _ generate.Sink) (generate.Result, error) {
-	return p.caller.Generate(ctx, p.address, request)
+	return p.client.Generate(ctx, p.address, request)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -154,7 +154,7 @@
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
-	// Accounts are sorted by name. Keyed is false when the configuration has no
+	// Accounts are sorted by name. HasAccounts is false when the configuration has no
 	// accounts at all; then no key is required.
 	Accounts    []Account
 	HasAccounts bool
@@ -167,14 +167,14 @@
 	hasResidencyLimits bool
 }
 
-// NewSnapshot indexes a configuration. keyed says whether it has accounts.
-func NewSnapshot(version int64, routes []*Route, services map[string]*Service, limits Limits, accounts []Account, keyed bool) *Snapshot {
+// NewSnapshot indexes a configuration. hasAccounts says whether it has accounts.
+func NewSnapshot(version int64, routes []*Route, services map[string]*Service, limits Limits, accounts []Account, hasAccounts bool) *Snapshot {
 	s := &Snapshot{
 		Version:     version,
 		Services:    services,
 		Limits:      limits,
 		Accounts:    accounts,
-		HasAccounts: keyed,
+		HasAccounts: hasAccounts,
 		byHost:      make(map[string][]*Route),
 		byKey:       make(map[string]string),
 		routes:      routes,
--- a/internal/rowstore/memory/memory.go
+++ b/internal/rowstore/memory/memory.go
@@ -1,4 +1,4 @@
-// Package memtables is an in-memory implementation of the partitioned store for tests. SetFault
+// Package memory is an in-memory implementation of the partitioned store for tests. SetFault
 // and SetDown inject faults: lost requests, lost answers, delayed effects and refusals.
 package memory
 
@@ -250,7 +250,7 @@
 }
 
 // changesAfter returns the changes of a table after a version, and a channel that is closed by
-// the next transaction, SetDown or Forget.
+// the next transaction, SetDown or TruncateHistory.
 func (s *Store) changesAfter(table string, after int64) (rowstore.Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/rowstore/retry.go
+++ b/internal/rowstore/retry.go
@@ -21,18 +21,18 @@
 }
 
 // Read implements Store.
-func (p RetryingStore) Read(ctx context.Context, table, partition, from, to string) (page Page, err error) {
-	err = p.retry(ctx, func() error {
-		page, err = p.Store.Read(ctx, table, partition, from, to)
+func (s RetryingStore) Read(ctx context.Context, table, partition, from, to string) (page Page, err error) {
+	err = s.retry(ctx, func() error {
+		page, err = s.Store.Read(ctx, table, partition, from, to)
 		return err
 	})
 	return page, err
 }
 
 // Parts implements Store.
-func (p RetryingStore) Parts(ctx context.Context, table, after string) (partitions []string, more bool, err error) {
-	err = p.retry(ctx, func() error {
-		partitions, more, err = p.Store.Parts(ctx, table, after)
+func (s RetryingStore) Parts(ctx context.Context, table, after string) (partitions []string, more bool, err error) {
+	err = s.retry(ctx, func() error {
+		partitions, more, err = s.Store.Parts(ctx, table, after)
 		return err
 	})
 	return partitions, more, err
@@ -40,14 +40,14 @@
 
 // retry calls read until it succeeds, fails with another error than
 // *fault.StoreUnavailable, or ctx ends.
-func (p RetryingStore) retry(ctx context.Context, read func() error) error {
+func (s RetryingStore) retry(ctx context.Context, read func() error) error {
 	for {
 		err := read()
 		if err == nil || !fault.Is[*fault.StoreUnavailable](err) {
 			return err
 		}
-		p.OnFailure(err)
-		if !wait.For(ctx, p.Backoff()) {
+		s.OnFailure(err)
+		if !wait.For(ctx, s.Backoff()) {
 			return err
 		}
 	}
--- a/internal/rowstore/watch.go
+++ b/internal/rowstore/watch.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// defaultRetryBackoff is the backoff after a failed read if Watcher.Retry is nil.
+	// defaultRetryBackoff is the backoff after a failed read if Watcher.RetryBackoff is nil.
 	defaultRetryBackoff = 100 * time.Millisecond
 	// fullReadInterval is the longest time between two full reads of a small table. Long
 	// polls can stop returning changes although the connection stays open, and can miss
@@ -34,14 +34,14 @@
 	// PollTimeout is the longest time that the store holds one long poll open. It bounds how long
 	// an unresponsive connection goes unnoticed.
 	PollTimeout time.Duration
-	// PollTimeoutFunc, if set, is called before each long poll and replaces Wait.
+	// PollTimeoutFunc, if set, is called before each long poll and replaces PollTimeout.
 	PollTimeoutFunc func() time.Duration
 	// Replace receives all rows after a full read, Apply the rows of a page of changes.
 	// A row may be delivered several times and out of order; its version decides which
 	// state is newer.
 	Replace func(rows []Row)
 	Apply   func(rows []Row)
-	// OnOutage, if set, is called at the first failed read of an outage. Regained, if set, is
+	// OnOutage, if set, is called at the first failed read of an outage. OnRecovery, if set, is
 	// called at the first successful read after it, with the duration of the outage.
 	OnOutage   func(error)
 	OnRecovery func(time.Duration)
--- a/internal/sample/property_test.go
+++ b/internal/sample/property_test.go
@@ -38,7 +38,7 @@
 }
 
 // namesEveryToken checks the spans token by token, so that it shares no logic
-// with Attribute.
+// with CheckAttribution.
 func namesEveryToken(spans []Span, tokens int, latest int64) bool {
 	type lastProcess struct {
 		incarnation string
--- a/internal/scoring/limiter.go
+++ b/internal/scoring/limiter.go
@@ -17,7 +17,7 @@
 // are first in, first out, and delay every caller's request. The limit depends on the load
 // that the upstreams report, so that it takes the calls of other VMs into account. One
 // call may always be open, so that callers' requests can't starve the steps.
-// Lanes is safe for concurrent use.
+// CallLimiter is safe for concurrent use.
 type CallLimiter struct {
 	mu   sync.Mutex
 	open map[string]int
--- a/internal/scoring/retry.go
+++ b/internal/scoring/retry.go
@@ -10,7 +10,7 @@
 )
 
 // Backoff has the limits of the backoff between two tries to score a sample. The backoff
-// doubles from First up to Longest.
+// doubles from Min up to Max.
 type Backoff struct{ Min, Max time.Duration }
 
 // RetryState counts the failed tries to score one sample. A try is one score call, which may
@@ -26,14 +26,14 @@
 }
 
 // NoteFailure records that a try failed with err, and returns the backoff until the next try.
-func (t *RetryState) NoteFailure(err error) time.Duration {
-	t.NegativeAnswers += forward.FailedAnswerCount(err)
+func (s *RetryState) NoteFailure(err error) time.Duration {
+	s.NegativeAnswers += forward.FailedAnswerCount(err)
 	const maxDoublings = 16
-	backoff := min(t.Min<<min(t.failedTries, maxDoublings), t.Max)
-	t.failedTries++
+	backoff := min(s.Min<<min(s.failedTries, maxDoublings), s.Max)
+	s.failedTries++
 	return backoff
 }
 
 // ShouldAbandon reports whether the sample is to be abandoned, because at least limit answers
 // said that the call failed. With a limit of 0, it returns false.
-func (t *RetryState) ShouldAbandon(limit int) bool { return limit > 0 && t.NegativeAnswers >= limit }
+func (s *RetryState) ShouldAbandon(limit int) bool { return limit > 0 && s.NegativeAnswers >= limit }
--- a/internal/scoring/scoring_test.go
+++ b/internal/scoring/scoring_test.go
@@ -116,10 +116,10 @@
 		if n := forward.FailedAnswerCount(err); n != 2 {
 			t.Errorf("%d failed answers, want 2: %v", n, err)
 		}
-		tries := RetryState{Backoff: Backoff{Min: time.Millisecond, Max: time.Second}}
-		tries.NoteFailure(err)
-		if !tries.ShouldAbandon(2) || tries.ShouldAbandon(3) {
-			t.Errorf("hopeless with limit 2: %t, with limit 3: %t", tries.ShouldAbandon(2), tries.ShouldAbandon(3))
+		state := RetryState{Backoff: Backoff{Min: time.Millisecond, Max: time.Second}}
+		state.NoteFailure(err)
+		if !state.ShouldAbandon(2) || state.ShouldAbandon(3) {
+			t.Errorf("to be abandoned with limit 2: %t, with limit 3: %t", state.ShouldAbandon(2), state.ShouldAbandon(3))
 		}
 	})
 }
@@ -166,17 +166,17 @@
 func (truncatedBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 func TestBackoffGrowsUpToLimit(t *testing.T) {
-	tries := RetryState{Backoff: Backoff{Min: 40 * time.Millisecond, Max: 640 * time.Millisecond}}
-	if first, second := tries.NoteFailure(nil), tries.NoteFailure(nil); second != 2*first {
+	state := RetryState{Backoff: Backoff{Min: 40 * time.Millisecond, Max: 640 * time.Millisecond}}
+	if first, second := state.NoteFailure(nil), state.NoteFailure(nil); second != 2*first {
 		t.Errorf("backoffs of %s and %s, want the second doubled", first, second)
 	}
 	for range 100 {
-		if backoff := tries.NoteFailure(nil); backoff <= 0 || backoff > 640*time.Millisecond {
+		if backoff := state.NoteFailure(nil); backoff <= 0 || backoff > 640*time.Millisecond {
 			t.Fatalf("backoff of %s, want at most 640ms", backoff)
 		}
 	}
-	if tries.ShouldAbandon(1) || tries.ShouldAbandon(0) {
-		t.Error("the sample is hopeless although no upstream answered that the call failed")
+	if state.ShouldAbandon(1) || state.ShouldAbandon(0) {
+		t.Error("the sample is to be abandoned although no upstream answered that the call failed")
 	}
 }
 
--- a/internal/step/cluster_test.go
+++ b/internal/step/cluster_test.go
@@ -44,7 +44,7 @@
 	configuration *route.Snapshot
 }
 
-// preferredOwner implements Config.Prefer.
+// preferredOwner implements Config.PreferredOwner.
 func (cl *cluster) preferredOwner(string, route.Residency) (Process, bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -86,7 +86,7 @@
 	v := &testVM{kill: kill, Manager: NewManager(Config{
 		CallBudget: budget.New(budget.Rates{}),
 		VM:         name, Incarnation: incarnation, Domain: domain, Store: cl.store, Clock: cl.store, Members: fakeMembers{cl, name, incarnation},
-		View: view, Roster: roster, Caller: cl.engines, Scorer: cl.scorer, Events: events, Retention: time.Minute,
+		View: view, Roster: roster, Transport: cl.engines, Scorer: cl.scorer, Events: events, Retention: time.Minute,
 		AnnouncedVersion: func(string) (int64, bool) { return 1, true },
 		PreferredOwner:   cl.preferredOwner,
 		StoreAvailable:   func() bool { return true },
--- a/internal/step/demand.go
+++ b/internal/step/demand.go
@@ -21,23 +21,23 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	latest := make(map[string]stateRecord)
-	uses := make(map[string]ModelDemand)
+	demands := make(map[string]ModelDemand)
 	for _, r := range m.states {
 		if r.Model == "" {
 			continue
 		}
-		u := uses[r.Model]
-		u.Steps++
-		u.MaxItems = max(u.MaxItems, r.Total)
-		uses[r.Model] = u
+		d := demands[r.Model]
+		d.Steps++
+		d.MaxItems = max(d.MaxItems, r.Total)
+		demands[r.Model] = d
 		if newest, ok := latest[r.Model]; !ok || r.SubmittedAt > newest.SubmittedAt {
 			latest[r.Model] = r
 		}
 	}
 	for model, r := range latest {
-		u := uses[model]
-		u.ExpectedTokens, u.VersionLag, u.SingleVersion = r.ExpectedTokens, r.VersionLag, r.SingleVersion
-		uses[model] = u
+		d := demands[model]
+		d.ExpectedTokens, d.VersionLag, d.SingleVersion = r.ExpectedTokens, r.VersionLag, r.SingleVersion
+		demands[model] = d
 	}
-	return uses
+	return demands
 }
--- a/internal/step/item.go
+++ b/internal/step/item.go
@@ -198,7 +198,7 @@
 		a.ended.Store(true)
 		a.stallTimer.Stop()
 	}()
-	response, err := a.run.m.Caller.Call(ctx, a.entry, a.request())
+	response, err := a.run.m.Transport.Call(ctx, a.entry, a.request())
 	if err != nil {
 		if fault.ExecutionOf(err) == fault.NotRun && !fault.Is[*fault.UpstreamFailed](err) {
 			return attemptRefused
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -53,14 +53,14 @@
 
 // Config holds the identity and the dependencies of a manager.
 type Config struct {
-	// VM and Life identify this process. Domain is its failure domain.
+	// VM and Incarnation identify this process. Domain is its failure domain.
 	VM, Incarnation, Domain string
 	Store                   rowstore.Store
 	Clock                   rowstore.Clock
 	Members                 Members
 	View                    *route.View
 	Roster                  *target.Roster
-	Caller                  target.Transport
+	Transport               target.Transport
 	Scorer                  Scorer
 	Events                  *event.Recorder
 	// AnnouncedVersion returns the version of a model that its trainer announced last.
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -66,7 +66,7 @@
 	m := NewManager(Config{
 		CallBudget: budget.New(budget.Rates{}),
 		VM:         name, Incarnation: incarnation, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
-		Caller: c.engines, Scorer: c.scorer, Events: events, Retention: time.Hour,
+		Transport: c.engines, Scorer: c.scorer, Events: events, Retention: time.Hour,
 		AnnouncedVersion: func(string) (int64, bool) { return 1, true },
 		PreferredOwner:   func(string, route.Residency) (Process, bool) { return Process{}, false },
 		StoreAvailable:   func() bool { return true },
@@ -197,7 +197,7 @@
 
 // runMatrixCase runs one case to its end. Faults are injected at vm-a and vm-b, but not at
 // vm-c.
-func runMatrixCase(w *faultinject.Cluster) error {
+func runMatrixCase(cluster *faultinject.Cluster) error {
 	c := &matrixCase{rows: memory.New(), vms: map[string]*Manager{}, engines: &fakeEngines{
 		behave: map[string]behaviour{"": unevenReply}, attempts: map[string][]string{}, finished: map[string]int{},
 	}}
@@ -206,7 +206,7 @@
 	var group sync.WaitGroup
 	for _, name := range []string{"vm-a", "vm-b"} {
 		incarnations := 0
-		w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
+		cluster.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 			incarnations++
 			c.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.OpenStore(c.rows)).Run(p.Context)
 		})
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -97,10 +97,10 @@
 		r.finishWithText(i, score)
 		return
 	}
-	tries, backoff := r.countScoreFailure(i, err)
-	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(tries.NegativeAnswers)
+	state, backoff := r.countScoreFailure(i, err)
+	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(state.NegativeAnswers)
 	r.m.Events.Emit(event.ScoreFailed, subject)
-	if tries.ShouldAbandon(max(by.Attempts, 1)) {
+	if state.ShouldAbandon(max(by.Attempts, 1)) {
 		r.abandon(i, "its call for a score failed at every attempt")
 		return
 	}
@@ -115,7 +115,7 @@
 	return r.progress[i].completedAt, r.progress[i].lastUpstream
 }
 
-// countScoreFailure counts a failed score call of an item. It returns the attempts so far and
+// countScoreFailure counts a failed score call of an item. It returns the failed tries so far and
 // the backoff before the next one.
 func (r *run) countScoreFailure(i int, err error) (scoring.RetryState, time.Duration) {
 	r.mu.Lock()
--- a/internal/target/choose.go
+++ b/internal/target/choose.go
@@ -36,16 +36,16 @@
 // Choose returns the upstream with the lowest cost for a plain request, or nil if there
 // is none. A suspect upstream is chosen only when no other is left: it may still serve the
 // request, which would otherwise be refused.
-func (r *Roster) Choose(w Criteria, now time.Time) *Entry {
-	usable := r.Usable(w.Service, now)
+func (r *Roster) Choose(c Criteria, now time.Time) *Entry {
+	usable := r.Usable(c.Service, now)
 	median := MedianUnitTime(usable, now)
 	var best *Entry
 	var least float64
 	for _, e := range usable {
-		if contains(w.Skip, e) || !w.Residency.Allows(e.Info().FailureDomain) || !e.Admits(now) {
+		if contains(c.Skip, e) || !c.Residency.Allows(e.Info().FailureDomain) || !e.Admits(now) {
 			continue
 		}
-		if cost := costOf(e, w.Domain, median, now); best == nil || cost < least {
+		if cost := costOf(e, c.Domain, median, now); best == nil || cost < least {
 			best, least = e, cost
 		}
 	}
@@ -55,13 +55,13 @@
 // Reserve chooses an upstream as Choose does and counts the request as in flight, like
 // TryBegin. If concurrent requests have used up the upstream's admission limit since it was
 // chosen, Reserve chooses again without it.
-func (r *Roster) Reserve(w Criteria) *Entry {
+func (r *Roster) Reserve(c Criteria) *Entry {
 	for {
-		e := r.Choose(w, time.Now())
+		e := r.Choose(c, time.Now())
 		if e == nil || e.TryBegin() {
 			return e
 		}
-		w.Skip = append(slices.Clip(w.Skip), e)
+		c.Skip = append(slices.Clip(c.Skip), e)
 	}
 }
 
--- a/internal/target/instance.go
+++ b/internal/target/instance.go
@@ -269,13 +269,13 @@
 	return now.Before(e.unavailableUntil[model])
 }
 
-// MedianUnitTime returns the lower median of the known values of Speed; 0 when there are
+// MedianUnitTime returns the lower median of the known values of UnitTime; 0 when there are
 // none.
 func MedianUnitTime(entries []*Entry, now time.Time) time.Duration {
 	return median(entries, func(e *Entry) time.Duration { return e.UnitTime(now) })
 }
 
-// MedianExpectedUnitTime returns the lower median of the known values of Pace; 0 when there are
+// MedianExpectedUnitTime returns the lower median of the known values of ExpectedUnitTime; 0 when there are
 // none.
 func MedianExpectedUnitTime(entries []*Entry, now time.Time) time.Duration {
 	return median(entries, func(e *Entry) time.Duration { return e.ExpectedUnitTime(now) })
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -136,16 +136,16 @@
 // all upstreams inside it are busy, failing or not listed.
 func TestReserveRespectsResidency(t *testing.T) {
 	r := newTestRoster(newInstance("away", "n"), newInstance("home", "s"))
-	want := Criteria{Service: "desk", Domain: "n", Residency: route.NewResidency([]string{"s"})}
+	criteria := Criteria{Service: "desk", Domain: "n", Residency: route.NewResidency([]string{"s"})}
 	for range 5 {
-		e := r.Reserve(want)
+		e := r.Reserve(criteria)
 		if e == nil || e.Info().ID != "home" {
 			t.Fatalf("the request is sent to %v", e)
 		}
 		e.NoteFailure(time.Now())
 	}
-	want.Skip = slices.DeleteFunc(slices.Clone(r.Upstreams("desk")), func(e *Entry) bool { return e.Info().ID == "away" })
-	if e := r.Reserve(want); e != nil {
+	criteria.Skip = slices.DeleteFunc(slices.Clone(r.Upstreams("desk")), func(e *Entry) bool { return e.Info().ID == "away" })
+	if e := r.Reserve(criteria); e != nil {
 		t.Errorf("the request is sent to %s", e.Info().ID)
 	}
 }
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -33,7 +33,7 @@
 
 // scene is one run of the matrix.
 type scene struct {
-	world   *faultinject.Cluster
+	cluster *faultinject.Cluster
 	billing *matrixBilling
 	meters  []*Meter
 	vms     []*faultinject.Process
@@ -76,14 +76,14 @@
 // a bubble.
 func play(t *testing.T, script faultinject.Script) *scene {
 	s := &scene{
-		world:   faultinject.NewCluster(script),
+		cluster: faultinject.NewCluster(script),
 		billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)},
 		used:    make([]Figures, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for _, name := range []string{"vm-1", "vm-2"} {
-		process := s.world.Start(ctx, name)
+		process := s.cluster.Start(ctx, name)
 		s.vms = append(s.vms, process)
 		s.meters = append(s.meters, newMeter(process, name))
 	}
@@ -93,7 +93,7 @@
 	// The first two closers both believe that they are in charge; the third comes
 	// later, as a VM does that takes over.
 	for i, name := range []string{"closer-1", "closer-2", "closer-3"} {
-		process := s.world.Start(ctx, name)
+		process := s.cluster.Start(ctx, name)
 		closer := newCloser(process, port{process: process, billing: s.billing}, s.listed)
 		running.Go(func() {
 			time.Sleep(closerStarts[i])
@@ -214,7 +214,7 @@
 		if err := s.check(); err != nil {
 			t.Fatalf("without faults: %v", err)
 		}
-		steps = s.world.Steps()
+		steps = s.cluster.Steps()
 	})
 	var cases [][]hit
 	for _, step := range steps {
--- a/internal/usagewindow/clock.go
+++ b/internal/usagewindow/clock.go
@@ -1,6 +1,6 @@
 // Package usagewindow counts the requests of client accounts in usage windows and reports
 // each window to billing. Windows are intervals of fleet time, which is the same on
-// all VMs (see Clock). Every VM writes its own totals of a window to a row of its own.
+// all VMs (see FleetClock). Every VM writes its own totals of a window to a row of its own.
 // The holder of a lease adds the totals up, stores the sum in another row, which never
 // changes, and only then reports it. A repeated report therefore has the same counts,
 // also when another VM sends it.
@@ -34,10 +34,10 @@
 // and its monotonic clock loses time while the VM is frozen; requests would then be
 // counted in the wrong windows.
 type FleetClock struct {
-	store  rowstore.Clock
-	offset atomic.Int64
-	since  atomic.Int64
-	agreed atomic.Bool
+	store       rowstore.Clock
+	offset      atomic.Int64
+	offsetSetAt atomic.Int64
+	hasOffset   atomic.Bool
 }
 
 // clockRow is the value of the row of the fleet's clock.
@@ -48,7 +48,7 @@
 	Since int64 `json:"since"`
 }
 
-// NewClock returns a clock that uses this VM's time of day until Agree succeeds.
+// NewClock returns a clock that uses this VM's time of day until SyncOffset succeeds.
 func NewClock(store rowstore.Clock) *FleetClock { return &FleetClock{store: store} }
 
 // SyncOffset reads the fleet's offset from the store, or sets it if there is none yet.
@@ -96,21 +96,21 @@
 
 func (c *FleetClock) set(value clockRow) {
 	c.offset.Store(value.Offset)
-	c.since.Store(value.Since)
-	c.agreed.Store(true)
+	c.offsetSetAt.Store(value.Since)
+	c.hasOffset.Store(true)
 }
 
 // OffsetSetAt returns the fleet time at which the offset was set, in Unix milliseconds. It
-// returns 0 until Agree succeeds, and if an earlier release stored the offset.
-func (c *FleetClock) OffsetSetAt() int64 { return c.since.Load() }
+// returns 0 until SyncOffset succeeds, and if an earlier release stored the offset.
+func (c *FleetClock) OffsetSetAt() int64 { return c.offsetSetAt.Load() }
 
 // HasOffset reports whether the fleet's offset is known.
-func (c *FleetClock) HasOffset() bool { return c.agreed.Load() }
+func (c *FleetClock) HasOffset() bool { return c.hasOffset.Load() }
 
 // FleetMillis converts at, a reading of this VM's clock, to fleet time in Unix
-// milliseconds. Until Agree succeeds, it returns the VM's time of day.
+// milliseconds. Until SyncOffset succeeds, it returns the VM's time of day.
 func (c *FleetClock) FleetMillis(at time.Time) int64 {
-	if now, ok := c.store.StoreNow(); ok && c.agreed.Load() {
+	if now, ok := c.store.StoreNow(); ok && c.hasOffset.Load() {
 		return now + c.offset.Load() - time.Since(at).Milliseconds()
 	}
 	return at.UnixMilli()
--- a/internal/usagewindow/matrix_test.go
+++ b/internal/usagewindow/matrix_test.go
@@ -64,7 +64,7 @@
 	}
 	members := member.New(member.VM{ID: name, FailureDomain: "x", Incarnation: name}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
 	meter := NewMeter(clock, store, name, windowLength, budget.New(budget.Rates{}), events)
-	closer := &Reporter{
+	reporter := &Reporter{
 		CallBudget: budget.New(budget.Rates{}),
 		VM:         name, WindowLength: windowLength, Clock: clock, Store: store, Billing: billingClient{p, s.fakeBilling}, Events: events,
 		Leases:      lease.NewManager(rowstore.NewTables(store, "lease"), name, 3*time.Second, events),
@@ -74,7 +74,7 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { members.Run(p.Context) })
 	loops.Go(func() { meter.Run(p.Context) })
-	loops.Go(func() { closer.Run(p.Context) })
+	loops.Go(func() { reporter.Run(p.Context) })
 	for time.Now().Before(until) && p.Context.Err() == nil {
 		at := time.Now()
 		meter.CountRun("acc", at)
@@ -129,14 +129,14 @@
 	return err != nil || len(rows) > 0
 }
 
-func runScenario(w *faultinject.Cluster) error {
+func runScenario(cluster *faultinject.Cluster) error {
 	s := &scenario{fakeBilling: &fakeBilling{}, rows: memory.New(), counted: make(map[int64]int64)}
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	until := time.Now().Add(countDuration)
 	for _, name := range []string{"vm-1", "vm-2"} {
 		incarnation := 0
-		w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
+		cluster.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 			incarnation++
 			s.runVM(p, name+"/"+string(rune('0'+incarnation)), until)
 		})
@@ -146,7 +146,7 @@
 	group.Wait()
 	// Late effects must end before the synctest bubble does.
 	time.Sleep(2 * faultDuration)
-	return s.check(w.FaultCount())
+	return s.check(cluster.FaultCount())
 }
 
 // Guards against two different reports of one window, requests that are billed twice, and
--- a/internal/usagewindow/meter.go
+++ b/internal/usagewindow/meter.go
@@ -61,7 +61,7 @@
 func (m *Meter) CountRun(account string, at time.Time) { m.add(account, at, 1) }
 
 // UncountRun subtracts a request that was counted when it was sent but that the upstream
-// did not execute. at is the time that was given to Began.
+// did not execute. at is the time that was given to CountRun.
 func (m *Meter) UncountRun(account string, at time.Time) { m.add(account, at, -1) }
 
 func (m *Meter) add(account string, at time.Time, n int64) {
--- a/internal/usagewindow/closer.go
+++ b/internal/usagewindow/reporter.go
@@ -59,7 +59,7 @@
 // Reporter closes windows and reports them to billing while its VM holds the lease.
 type Reporter struct {
 	VM           string
-	WindowLength time.Duration // of a window
+	WindowLength time.Duration
 	Clock        *FleetClock
 	Store        rowstore.Store
 	Billing      Billing
@@ -74,17 +74,17 @@
 }
 
 // Run campaigns for the lease until ctx ends.
-func (c *Reporter) Run(ctx context.Context) {
-	c.Leases.Serve(ctx, leaseName, c.reportWindows)
+func (r *Reporter) Run(ctx context.Context) {
+	r.Leases.Serve(ctx, leaseName, r.reportWindows)
 }
 
 // reportWindows closes and reports windows in order until ctx ends. A report that fails
 // is repeated at the next check, unless billing refused it permanently.
-func (c *Reporter) reportWindows(ctx context.Context, guard lease.Guard) error {
+func (r *Reporter) reportWindows(ctx context.Context, guard lease.Guard) error {
 	if err := lease.WaitOrderGracePeriod(ctx, guard, reportTimeout); err != nil {
 		return err
 	}
-	next, err := c.firstWindow(ctx)
+	next, err := r.firstWindow(ctx)
 	if err != nil {
 		return err
 	}
@@ -92,11 +92,11 @@
 	defer ticker.Stop()
 	warned := int64(-1) // the last window whose failed report emitted an event
 	for {
-		for c.isDue(next) {
-			err := c.close(ctx, guard, next)
-			if err != nil && !c.refused(err, next) {
+		for r.isDue(next) {
+			err := r.close(ctx, guard, next)
+			if err != nil && !r.refused(err, next) {
 				if warned != next {
-					c.Events.Emit(event.UsageIncomplete, event.Subject{Count: next, Epoch: guard.Epoch(), Detail: "not reported yet: " + err.Error()})
+					r.Events.Emit(event.UsageIncomplete, event.Subject{Count: next, Epoch: guard.Epoch(), Detail: "not reported yet: " + err.Error()})
 				}
 				warned = next
 				break
@@ -113,19 +113,19 @@
 
 // refused reports whether billing refused a window permanently, and emits an event if
 // it did. Later windows must not wait for such a window.
-func (c *Reporter) refused(err error, window int64) bool {
+func (r *Reporter) refused(err error, window int64) bool {
 	var refused *fault.PlatformRefused
 	if !errors.As(err, &refused) {
 		return false
 	}
-	c.Events.Emit(event.UsageIncomplete, event.Subject{Count: window, Detail: "refused for good: " + err.Error()})
+	r.Events.Emit(event.UsageIncomplete, event.Subject{Count: window, Detail: "refused for good: " + err.Error()})
 	return true
 }
 
 // firstWindow returns the first window to report: the one after the newest reported
 // window or, if none was reported, the oldest window.
-func (c *Reporter) firstWindow(ctx context.Context) (int64, error) {
-	page, err := c.Store.Read(ctx, reportTable, "", lastReportedName, lastReportedName+"\x00")
+func (r *Reporter) firstWindow(ctx context.Context) (int64, error) {
+	page, err := r.Store.Read(ctx, reportTable, "", lastReportedName, lastReportedName+"\x00")
 	if err != nil {
 		return 0, err
 	}
@@ -136,7 +136,7 @@
 		}
 		return last + 1, nil
 	}
-	return c.oldestWindow(ctx)
+	return r.oldestWindow(ctx)
 }
 
 // oldestWindow returns the first window that may have counts: the one in which the
@@ -145,14 +145,14 @@
 // died before it reported. If it began with the current window, earlier requests would
 // never be billed. Stored totals alone don't show the oldest window, since VMs may not
 // have written theirs yet.
-func (c *Reporter) oldestWindow(ctx context.Context) (int64, error) {
-	since := c.Clock.OffsetSetAt()
+func (r *Reporter) oldestWindow(ctx context.Context) (int64, error) {
+	since := r.Clock.OffsetSetAt()
 	if since == 0 {
-		since = c.Clock.FleetMillis(time.Now()) - c.WindowLength.Milliseconds()
+		since = r.Clock.FleetMillis(time.Now()) - r.WindowLength.Milliseconds()
 	}
-	oldest := since / c.WindowLength.Milliseconds()
+	oldest := since / r.WindowLength.Milliseconds()
 	for after := ""; ; {
-		parts, more, err := c.Store.Parts(ctx, totalsTable, after)
+		parts, more, err := r.Store.Parts(ctx, totalsTable, after)
 		if err != nil {
 			return 0, err
 		}
@@ -169,18 +169,18 @@
 }
 
 // isDue reports whether a window may be closed.
-func (c *Reporter) isDue(window int64) bool {
-	if !c.Clock.HasOffset() {
+func (r *Reporter) isDue(window int64) bool {
+	if !r.Clock.HasOffset() {
 		return false
 	}
-	sinceEnd := time.Duration(c.Clock.FleetMillis(time.Now())-(window+1)*c.WindowLength.Milliseconds()) * time.Millisecond
-	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(c.CallBudget)+closeDelay && c.NoneAwaited()
+	sinceEnd := time.Duration(r.Clock.FleetMillis(time.Now())-(window+1)*r.WindowLength.Milliseconds()) * time.Millisecond
+	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(r.CallBudget)+closeDelay && r.NoneAwaited()
 }
 
 // close stores the counts of a window, reports them, and records that the window is
 // reported.
-func (c *Reporter) close(ctx context.Context, guard lease.Guard, window int64) error {
-	counts, err := c.finalCounts(ctx, window)
+func (r *Reporter) close(ctx context.Context, guard lease.Guard, window int64) error {
+	counts, err := r.finalCounts(ctx, window)
 	if err != nil {
 		return err
 	}
@@ -189,48 +189,48 @@
 	}
 	callCtx, cancel := context.WithTimeout(fence.WithGuard(ctx, guard), reportTimeout)
 	defer cancel()
-	report := Report{Window: window, Counts: counts, Holder: c.VM, Epoch: guard.Epoch()}
-	if err := c.Billing.ReportUsage(callCtx, report); err != nil {
+	report := Report{Window: window, Counts: counts, Holder: r.VM, Epoch: guard.Epoch()}
+	if err := r.Billing.ReportUsage(callCtx, report); err != nil {
 		return err
 	}
-	c.Events.Emit(event.UsageReported, event.Subject{Count: window, Epoch: guard.Epoch()})
-	return c.storeLastReported(ctx, window)
+	r.Events.Emit(event.UsageReported, event.Subject{Count: window, Epoch: guard.Epoch()})
+	return r.storeLastReported(ctx, window)
 }
 
-func (c *Reporter) storeLastReported(ctx context.Context, window int64) error {
+func (r *Reporter) storeLastReported(ctx context.Context, window int64) error {
 	key := rowstore.Key{Table: reportTable, Name: lastReportedName}
-	_, err := c.Store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: []byte(strconv.FormatInt(window, 10))}}})
+	_, err := r.Store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: []byte(strconv.FormatInt(window, 10))}}})
 	return err
 }
 
 // finalCounts adds up the totals of a window, stores the sum and returns it. If a sum is
 // already stored, it returns that one instead, since stored sums never change.
-func (c *Reporter) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
+func (r *Reporter) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
 	name := windowName(window)
-	rows, err := rowstore.ReadAll(ctx, c.Store, totalsTable, name)
+	rows, err := rowstore.ReadAll(ctx, r.Store, totalsTable, name)
 	if err != nil {
 		return nil, err
 	}
 	counts := make(map[string]int64)
-	for _, account := range c.Accounts() {
+	for _, account := range r.Accounts() {
 		counts[account] = 0
 	}
 	for _, row := range rows {
 		var vmCounts map[string]int64
 		if err := json.Unmarshal(row.Value, &vmCounts); err != nil {
-			c.Events.Emit(event.RowUnreadable, event.Subject{Detail: row.String()})
+			r.Events.Emit(event.RowUnreadable, event.Subject{Detail: row.String()})
 			continue
 		}
 		for account, n := range vmCounts {
 			counts[account] += n
 		}
 	}
-	return c.storeCounts(ctx, name, counts)
+	return r.storeCounts(ctx, name, counts)
 }
 
 // storeCounts stores the counts of a window unless counts are already stored, and returns
 // the stored ones. name is the window's name as returned by windowName.
-func (c *Reporter) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
+func (r *Reporter) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
 	value, err := json.Marshal(counts)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "usage of window " + name})
@@ -238,7 +238,7 @@
 	key := rowstore.Key{Table: reportTable, Name: "w" + name}
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err = rowstore.CommitConfirmed(callCtx, c.Store, rowstore.Txn{
+	_, err = rowstore.CommitConfirmed(callCtx, r.Store, rowstore.Txn{
 		Expected: []rowstore.Expectation{{Key: key}},
 		Puts:     []rowstore.Put{{Key: key, Value: value}},
 	})
--- a/internal/usagewindow/window_test.go
+++ b/internal/usagewindow/usagewindow_test.go
@@ -55,7 +55,7 @@
 	return out
 }
 
-// vm is one VM, which runs a meter and a closer until kill is called.
+// vm is one VM, which runs a meter and a reporter until kill is called.
 type vm struct {
 	meter *Meter
 	clock *FleetClock
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	meter := NewMeter(clock, store, name+"/1", windowLength, budget.New(budget.Rates{}), events)
-	closer := &Reporter{
+	reporter := &Reporter{
 		CallBudget: budget.New(budget.Rates{}),
 		VM:         name, WindowLength: windowLength, Clock: clock, Store: store, Billing: b, Events: events,
 		Leases:      lease.NewManager(rowstore.NewTables(store, "lease"), name, 3*time.Second, events),
@@ -78,7 +78,7 @@
 	}
 	ctx, kill := context.WithCancel(t.Context())
 	go meter.Run(ctx)
-	go closer.Run(ctx)
+	go reporter.Run(ctx)
 	t.Cleanup(kill)
 	return vm{meter: meter, clock: clock, kill: kill}
 }
@@ -252,8 +252,8 @@
 	})
 }
 
-// agreeFleetClock sets the fleet's clock and returns the current window.
-func agreeFleetClock(t *testing.T, store *memory.Store) int64 {
+// syncFleetClock sets the fleet's clock and returns the current window.
+func syncFleetClock(t *testing.T, store *memory.Store) int64 {
 	clock := NewClock(store)
 	if err := clock.SyncOffset(t.Context(), store); err != nil {
 		t.Fatal(err)
@@ -266,7 +266,7 @@
 func TestFirstReporterBeginsWhenFleetClockWasSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
-		window := agreeFleetClock(t, store)
+		window := syncFleetClock(t, store)
 		time.Sleep(3 * windowLength)
 		startVM(t, store, b, "a")
 		time.Sleep(2 * windowLength)
@@ -284,7 +284,7 @@
 func TestFirstReporterBeginsWithTheOldestWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
-		window := agreeFleetClock(t, store)
+		window := syncFleetClock(t, store)
 		for n := range int64(4) {
 			store.Set(rowstore.Key{Table: totalsTable, Part: windowName(window + n), Name: "gone/1"}, `{"acc":3}`)
 		}
--- a/internal/weightload/loading_test.go
+++ b/internal/weightload/weightload_test.go
@@ -337,16 +337,16 @@
 		t.Errorf("distribution of 11 engines: %v", total)
 	}
 	for engines := range 30 {
-		for _, work := range []float64{0, 1, 5, 1000} {
+		for _, tokens := range []float64{0, 1, 5, 1000} {
 			sum := 0
-			for _, n := range engineCounts([]Demand{{ExpectedTokens: work}, {ExpectedTokens: 5}, {ExpectedTokens: 5}}, 7, engines) {
+			for _, n := range engineCounts([]Demand{{ExpectedTokens: tokens}, {ExpectedTokens: 5}, {ExpectedTokens: 5}}, 7, engines) {
 				if n < 0 {
 					t.Errorf("%d engines: a negative count", engines)
 				}
 				sum += n
 			}
 			if sum != engines {
-				t.Errorf("%d engines, work %v: the counts add up to %d", engines, work, sum)
+				t.Errorf("%d engines, %v tokens: the counts add up to %d", engines, tokens, sum)
 			}
 		}
 	}
