--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/gen"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const machineVMs = 2
@@ -20,12 +20,12 @@
 // machine is a store, an operator at each VM, and the VMs' views. Its actions
 // are those of spec/edit.pml, over the functions of this package.
 type machine struct {
-	world    *platformtest.World
+	cluster  *faultinject.Cluster
 	editors  [machineVMs]*Editor
 	syncers  [machineVMs]*Syncer
 	pending  [machineVMs]*contract.Edit
 	edits    int
-	fault    platformtest.Kind
+	fault    faultinject.Kind
 	accepted []time.Time // when each revision was accepted, at the latest
 	broken   string
 }
@@ -39,12 +39,12 @@
 
 func newMachine() *machine {
 	m := &machine{}
-	m.world = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+	m.cluster = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 		if s.Call != "commit" {
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		}
-		f := platformtest.Fault{Kind: m.fault, For: lateBy}
-		m.fault = platformtest.None
+		f := faultinject.Fault{Kind: m.fault, Duration: lateBy}
+		m.fault = faultinject.None
 		return f
 	})
 	for id := range machineVMs {
@@ -54,7 +54,7 @@
 }
 
 func (m *machine) restart(id int) {
-	p := m.world.Start(context.Background(), fmt.Sprint("vm-", id))
+	p := m.cluster.Start(context.Background(), fmt.Sprint("vm-", id))
 	m.editors[id] = testEditor(p)
 	m.syncers[id] = testSyncer(p, nil)
 	m.pending[id] = nil
@@ -89,7 +89,7 @@
 
 // audit checks the history and what every VM says of itself.
 func (m *machine) audit() {
-	entries, _ := testEditor(m.world.Rows).History(context.Background(), 0, 1000)
+	entries, _ := testEditor(m.cluster.Rows).History(context.Background(), 0, 1000)
 	ids := map[string]bool{}
 	for i, entry := range entries {
 		if entry.Revision != contract.Revision(i+1) || ids[entry.EditID] {
@@ -136,7 +136,7 @@
 )
 
 // machineFaults may hit the next commit of an action.
-var machineFaults = []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late}
+var machineFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
 
 // action is one command: a VM does something, and a fault hits its commit.
 type action struct {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -31,23 +31,23 @@
 	execution fault.Execution
 }
 
-// fakeUpstreams is a fake target.Caller. byID gives the answer of each upstream;
+// fakeUpstreams is a fake target.Transport. byID gives the answer of each upstream;
 // fallback is the answer of the others.
 type fakeUpstreams struct {
 	mu sync.Mutex
-	// attempted and resumeAfter hold the upstream and ResumeAfter of each attempt.
-	attempted   []string
-	resumeAfter []string
-	cancels     int
-	byID        map[string]fakeAnswer
-	fallback    fakeAnswer
+	// attempted and lastEventIDs hold the upstream and LastEventID of each attempt.
+	attempted    []string
+	lastEventIDs []string
+	cancels      int
+	byID         map[string]fakeAnswer
+	fallback     fakeAnswer
 }
 
 func (u *fakeUpstreams) Call(ctx context.Context, e *target.Entry, request *target.Request) (*target.Response, error) {
 	id := e.Info().ID
 	u.mu.Lock()
 	u.attempted = append(u.attempted, id)
-	u.resumeAfter = append(u.resumeAfter, request.ResumeAfter)
+	u.lastEventIDs = append(u.lastEventIDs, request.LastEventID)
 	a, ok := u.byID[id]
 	u.mu.Unlock()
 	if !ok {
@@ -83,13 +83,13 @@
 	runs int
 }
 
-func (m *fakeMeter) Began(string, time.Time) {
+func (m *fakeMeter) CountRun(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs++
 }
 
-func (m *fakeMeter) Refused(string, time.Time) {
+func (m *fakeMeter) UncountRun(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs--
@@ -103,7 +103,7 @@
 		list = append(list, target.Instance{ID: id, Service: "desk", Address: id, FailureDomain: "x", Slots: 4})
 	}
 	roster.Replace(list)
-	return &Forwarder{Roster: roster, Caller: u, Meter: &fakeMeter{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}
+	return &Forwarder{Roster: roster, Transport: u, Meter: &fakeMeter{}, Events: events, RetryBudget: retry.NewBudget(), Domain: "x"}
 }
 
 // An upstream accepts requests on open connections but never answers. Hedges still get
@@ -307,7 +307,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &fakeUpstreams{fallback: fakeAnswer{status: 500}}
 		_, err := do(t, u, newCall(route.Idempotent, 2))
-		got, found := AnswerOf(err)
+		got, found := ServerErrorAnswer(err)
 		if !found || got.Status != 500 || !strings.HasPrefix(string(got.Body), "answer of") {
 			t.Errorf("Do = %v", err)
 		}
@@ -368,8 +368,8 @@
 		if want := "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"; err != nil || out.text != want || out.starts != 1 {
 			t.Errorf("text %q, %d starts, %v", out.text, out.starts, err)
 		}
-		if u.resumeAfter[1] != "2" {
-			t.Errorf("resumed after event %q, want 2", u.resumeAfter[1])
+		if u.lastEventIDs[1] != "2" {
+			t.Errorf("resumed after event %q, want 2", u.lastEventIDs[1])
 		}
 	})
 }
