--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -13,34 +13,36 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Closer closes windows and hands their reports to billing. At most one runs at
-// a time under a lease; two at once could still not insert different reports,
-// since the rows forbid it.
+// Closer closes usage windows and sends their reports to billing. A lease allows one
+// closer at a time. If two run at once, the preconditions of their transactions still
+// keep them from inserting different reports.
 type Closer struct {
 	tables  platform.Tables
 	billing platform.Billing
 	events  *event.Recorder
 	config  CloserConfig
-	// silence remembers when each unsealed row was last seen to change.
-	silence map[string]sighting
-	// closing is the window that silence is about.
-	closing Window
+	// observed holds, by row key, the version of each row that is not final and since
+	// when this closer has seen that version.
+	observed map[string]observation
+	// observedWindow is the window whose rows are in observed.
+	observedWindow Window
 }
 
-// CloserConfig shapes a Closer.
+// CloserConfig configures a Closer.
 type CloserConfig struct {
 	// Length is the length of a window.
 	Length time.Duration
-	// Now returns the wall time; it decides when a window is over.
+	// Now returns the wall time; it decides when a window has ended.
 	Now func() time.Time
-	// Elapsed returns a monotonic time; it decides how long a row was silent.
+	// Elapsed returns a monotonic time; it measures how long a row has not changed.
 	Elapsed func() time.Duration
-	// Grace is how long after a window's end its closing starts.
+	// Grace is the time between the end of a window and the start of its closing.
 	Grace time.Duration
-	// DeadAfter is how long a row of a VM that is not listed must be silent
-	// before it counts as dead.
+	// DeadAfter is how long the row of a VM that is not listed, or that has another
+	// incarnation in the window, must not change before the VM is considered dead.
 	DeadAfter time.Duration
-	// GiveUp is how long a listed but silent VM is waited for.
+	// GiveUp is how long the row of a listed VM must not change before the VM is
+	// considered dead.
 	GiveUp time.Duration
 	// Accounts lists the client accounts that have a contract.
 	Accounts func() []contract.Account
@@ -48,18 +50,19 @@
 	Listed func(vm string) bool
 }
 
-// sighting is the version of a row and when it was first seen.
-type sighting struct {
+// observation is the version of a row and when it was first seen.
+type observation struct {
 	version uint64
-	at      time.Duration
+	since   time.Duration
 }
 
 // NewCloser returns a closer.
 func NewCloser(tables platform.Tables, billing platform.Billing, events *event.Recorder, config CloserConfig) *Closer {
-	return &Closer{tables: tables, billing: billing, events: events, config: config, silence: make(map[string]sighting)}
+	return &Closer{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
 }
 
-// Run closes and reports windows until ctx ends or the lease is lost.
+// Run closes and reports windows until ctx ends or the lease is lost. It waits for period
+// after a failed step and when nothing is due.
 func (c *Closer) Run(ctx context.Context, guard fence.Guard, period time.Duration) {
 	for ctx.Err() == nil && guard.Check() == nil {
 		more, err := c.Step(ctx, guard)
@@ -73,49 +76,49 @@
 	}
 }
 
-// Step takes the oldest open window one stage further. more is true when
-// another step may follow at once.
+// Step brings the oldest window that may not be reported yet to its next phase. more is
+// true if Step may be called again at once.
 func (c *Closer) Step(ctx context.Context, guard fence.Guard) (more bool, err error) {
-	cursor, at, err := readCursor(ctx, c.tables)
+	cursor, cursorRow, err := readCursor(ctx, c.tables)
 	if err != nil {
 		return false, err
 	}
-	window, due, err := c.next(ctx, cursor)
+	window, due, err := c.oldestUnreported(ctx, cursor)
 	if err != nil || !due {
 		return false, err
 	}
 	if cursor.Floor <= window {
 		cursor.Floor = window + 1
-		return true, c.setCursor(ctx, cursor, at)
+		return true, c.writeCursor(ctx, cursor, cursorRow)
 	}
-	row, err := c.tables.Get(ctx, windowKey(window))
+	windowRow, err := c.tables.Get(ctx, windowKey(window))
 	if err != nil {
 		return false, err
 	}
-	var stage windowRow
-	if row.Exists() {
-		if err := row.Decode(&stage); err != nil {
+	var state windowValue
+	if windowRow.Exists() {
+		if err := windowRow.Decode(&state); err != nil {
 			return false, err
 		}
 	}
-	switch stage.Phase {
+	switch state.Phase {
 	case "":
-		return c.close(ctx, window, row)
+		return c.close(ctx, window, windowRow)
 	case phaseClosed:
-		return true, c.report(ctx, guard, window, row)
+		return true, c.sendReports(ctx, guard, window, windowRow)
 	default:
-		return true, c.pass(ctx, cursor, at, window)
+		return true, c.passWindow(ctx, cursor, cursorRow, window)
 	}
 }
 
-// next returns the oldest window that may not be reported yet. due is false
-// when there is none or it is not over.
-func (c *Closer) next(ctx context.Context, cursor cursorRow) (w Window, due bool, err error) {
-	first, err := c.tables.Scan(ctx, rowPrefix, windowRows(cursor.Next), 1)
+// oldestUnreported returns the oldest window that may not be reported yet. due is false if there is
+// none, or if its end and the grace period have not passed.
+func (c *Closer) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
+	first, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Next), 1)
 	if err != nil || len(first) == 0 {
 		return 0, false, err
 	}
-	w, ok := windowOf(first[0].Key)
+	w, ok := parseWindow(first[0].Key)
 	if !ok {
 		return 0, false, errors.WithStack(&fault.Internal{Where: "row " + first[0].Key})
 	}
@@ -123,44 +126,46 @@
 	return w, c.config.Now().After(end.Add(c.config.Grace)), nil
 }
 
-func (c *Closer) setCursor(ctx context.Context, cursor cursorRow, at platform.Row) error {
+func (c *Closer) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platform.Row) error {
 	return platform.CommitSurely(ctx, c.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: cursorKey, Version: at.Version}},
+		Preconditions: []platform.Precondition{{Key: cursorKey, Version: cursorRow.Version}},
 		Writes:        []platform.Write{{Key: cursorKey, Value: platform.EncodeValue(cursor)}},
 	})
 }
 
-// pass goes on to the window behind a reported one and sweeps rows that are
-// old enough.
-func (c *Closer) pass(ctx context.Context, cursor cursorRow, at platform.Row, w Window) error {
+// passWindow moves the cursor to the window after the reported window w, and deletes a batch of
+// rows older than the retention.
+func (c *Closer) passWindow(ctx context.Context, cursor cursorValue, cursorRow platform.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := c.sweep(ctx, cursor)
 	if err != nil {
 		return err
 	}
 	cursor.Swept = swept
-	return c.setCursor(ctx, cursor, at)
+	return c.writeCursor(ctx, cursor, cursorRow)
 }
 
 const (
-	// retention is how long the rows of VMs are kept behind their reports. A VM
-	// whose write is under way for longer loses what its row lacked.
+	// retention is how long the rows of VMs are stored after their window is reported.
+	// If a write of a VM is delayed for longer, the usage that only this write contains
+	// is lost.
 	retention = 24 * time.Hour
-	// sweepBatch bounds the deletions of one transaction.
+	// sweepBatch is the largest number of deletions in one transaction.
 	sweepBatch = 128
 )
 
-// sweep deletes a batch of rows behind the retention and returns how far it is.
-func (c *Closer) sweep(ctx context.Context, cursor cursorRow) (Window, error) {
+// sweep deletes a batch of rows older than the retention. It returns the oldest window
+// whose rows may still exist.
+func (c *Closer) sweep(ctx context.Context, cursor cursorValue) (Window, error) {
 	end := cursor.Next - Window(retention/c.config.Length)
-	rows, err := c.tables.Scan(ctx, rowPrefix, windowRows(cursor.Swept), sweepBatch)
+	rows, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Swept), sweepBatch)
 	if err != nil {
 		return cursor.Swept, err
 	}
 	txn := platform.Txn{Nonce: platform.NewNonce()}
 	for _, row := range rows {
-		if w, ok := windowOf(row.Key); !ok || w >= end {
+		if w, ok := parseWindow(row.Key); !ok || w >= end {
 			break
 		}
 		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
@@ -174,7 +179,7 @@
 
 const scanPage = 512
 
-// scan returns all rows with a prefix.
+// scan returns all rows whose key starts with prefix.
 func scan(ctx context.Context, tables platform.Tables, prefix string) ([]platform.Row, error) {
 	var all []platform.Row
 	after := prefix
@@ -191,59 +196,61 @@
 	}
 }
 
-// close inserts the reports once every row is final or its VM is dead. It
-// reports false while it has to wait.
-func (c *Closer) close(ctx context.Context, w Window, windowAt platform.Row) (bool, error) {
-	kept, err := scan(ctx, c.tables, windowRows(w))
+// close inserts the reports once every row is final or its VM is considered dead. It
+// returns false while it has to wait for a VM.
+func (c *Closer) close(ctx context.Context, w Window, windowRow platform.Row) (bool, error) {
+	stored, err := scan(ctx, c.tables, vmRowsPrefix(w))
 	if err != nil {
 		return false, err
 	}
-	if c.closing != w {
-		c.closing = w
-		c.silence = make(map[string]sighting)
+	if c.observedWindow != w {
+		c.observedWindow = w
+		c.observed = make(map[string]observation)
 	}
-	rows := make([]Row, len(kept))
-	for i, row := range kept {
+	rows := make([]Row, len(stored))
+	for i, row := range stored {
 		if err := row.Decode(&rows[i]); err != nil {
 			return false, err
 		}
 	}
-	if c.waits(kept, rows) {
+	if c.mustWait(stored, rows) {
 		return false, nil
 	}
-	return true, c.insert(ctx, w, windowAt, kept, rows)
+	return true, c.insertReports(ctx, w, windowRow, stored, rows)
 }
 
-// waits reports whether some row may still be sealed by its VM.
-func (c *Closer) waits(kept []platform.Row, rows []Row) bool {
-	waiting := false
-	for i, row := range kept {
-		if !rows[i].final() && !c.dead(row, rows[i], rows) {
-			waiting = true
+// mustWait reports whether a row may still be sealed by its VM. It checks every row, since
+// isDead also records an observation.
+func (c *Closer) mustWait(stored []platform.Row, rows []Row) bool {
+	wait := false
+	for i, row := range stored {
+		if !rows[i].isFinal() && !c.isDead(row, rows[i], rows) {
+			wait = true
 		}
 	}
-	return waiting
+	return wait
 }
 
-// dead reports whether an unsealed row's VM counts as dead. Being wrong costs a
-// correction in a later window, never a wrong figure.
-func (c *Closer) dead(row platform.Row, r Row, all []Row) bool {
+// isDead reports whether the VM of a row that is not final is considered dead. If the VM is
+// alive after all, the usage that its row lacks is reported as a correction in a later
+// window; no report becomes wrong.
+func (c *Closer) isDead(row platform.Row, r Row, all []Row) bool {
 	now := c.config.Elapsed()
-	seen, ok := c.silence[row.Key]
+	seen, ok := c.observed[row.Key]
 	if !ok || seen.version != row.Version {
-		c.silence[row.Key] = sighting{version: row.Version, at: now}
+		c.observed[row.Key] = observation{version: row.Version, since: now}
 		return false
 	}
-	silent := now - seen.at
-	if !c.config.Listed(r.VM) || replaced(r, all) {
-		return silent >= c.config.DeadAfter
+	unchanged := now - seen.since
+	if !c.config.Listed(r.VM) || hasOtherIncarnation(r, all) {
+		return unchanged >= c.config.DeadAfter
 	}
-	return silent >= c.config.GiveUp
+	return unchanged >= c.config.GiveUp
 }
 
-// replaced reports whether a later incarnation of the VM has a row, too: a VM
-// has one process at a time, so a second row means that the first one died.
-func replaced(r Row, all []Row) bool {
+// hasOtherIncarnation reports whether another incarnation of the row's VM has a row too. A
+// VM runs one process at a time, so one of the two is dead.
+func hasOtherIncarnation(r Row, all []Row) bool {
 	for _, other := range all {
 		if other.VM == r.VM && other.Incarnation != r.Incarnation {
 			return true
@@ -252,16 +259,18 @@
 	return false
 }
 
-// insert closes the window: all rows as they were read, or nothing.
-func (c *Closer) insert(ctx context.Context, w Window, windowAt platform.Row, kept []platform.Row, rows []Row) error {
+// insertReports closes the window in one transaction: it marks the rows that are not final as
+// closed and inserts the reports. The transaction fails if a row has changed since it was
+// read.
+func (c *Closer) insertReports(ctx context.Context, w Window, windowRow platform.Row, stored []platform.Row, rows []Row) error {
 	txn := platform.Txn{
 		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
-		Writes:        []platform.Write{{Key: windowAt.Key, Value: platform.EncodeValue(windowRow{Phase: phaseClosed})}},
+		Preconditions: []platform.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
+		Writes:        []platform.Write{{Key: windowRow.Key, Value: platform.EncodeValue(windowValue{Phase: phaseClosed})}},
 	}
-	for i, row := range kept {
+	for i, row := range stored {
 		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
-		if !rows[i].final() {
+		if !rows[i].isFinal() {
 			closed := rows[i]
 			closed.Closed = true
 			txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Value: platform.EncodeValue(closed)})
@@ -275,32 +284,32 @@
 	return platform.CommitSurely(ctx, c.tables, txn)
 }
 
-// report hands every report row of the window to billing, exactly as inserted.
-// A repeat after a lost reply or by a successor sends the same figures.
-func (c *Closer) report(ctx context.Context, guard fence.Guard, w Window, windowAt platform.Row) error {
-	kept, err := scan(ctx, c.tables, reportPrefix(w))
+// sendReports sends every report row of the window to billing, exactly as inserted. A
+// retry, also by the next lease holder, sends the same counts.
+func (c *Closer) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platform.Row) error {
+	stored, err := scan(ctx, c.tables, reportPrefix(w))
 	if err != nil {
 		return err
 	}
-	for _, row := range kept {
+	for _, row := range stored {
 		var r Report
 		if err := row.Decode(&r); err != nil {
 			return err
 		}
-		if err := c.send(ctx, guard, r); err != nil {
+		if err := c.sendReport(ctx, guard, r); err != nil {
 			return err
 		}
 	}
 	return platform.CommitSurely(ctx, c.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
-		Writes:        []platform.Write{{Key: windowAt.Key, Value: platform.EncodeValue(windowRow{Phase: phaseReported})}},
+		Preconditions: []platform.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
+		Writes:        []platform.Write{{Key: windowRow.Key, Value: platform.EncodeValue(windowValue{Phase: phaseReported})}},
 	})
 }
 
-// send asks the lease directly before the report goes out, since the process
-// may have been paused since the last question.
-func (c *Closer) send(ctx context.Context, guard fence.Guard, r Report) error {
+// sendReport checks the lease directly before it sends the report, since the process may
+// have been paused since the last check.
+func (c *Closer) sendReport(ctx context.Context, guard fence.Guard, r Report) error {
 	if err := guard.Check(); err != nil {
 		return err
 	}
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -15,32 +15,33 @@
 	"dogwoodpond/internal/platform/platformtest"
 )
 
-// The figures of the matrix: two VMs serve during servedWindows, and everything
-// must be settled settleTime later.
+// In each case of the fault matrix two VMs serve during servedWindows. All usage must be
+// reported reportTime later.
 const (
 	servedWindows = 2
-	settleTime    = 2 * time.Minute
-	lateBy        = 8 * time.Second
-	faultLength   = 15 * time.Second
-	flushPeriod   = time.Second
+	reportTime    = 2 * time.Minute
+	callDelay     = 8 * time.Second
+	faultDuration = 15 * time.Second
+	flushInterval = time.Second
 	pairCases     = 1500
-	// shards is how many cases run at the same time.
+	// shards is the number of cases that run in parallel.
 	shards = 6
 )
 
-// closerStarts is when each closer starts.
+// closerStarts holds the delay before the start of each closer.
 var closerStarts = []time.Duration{0, 700 * time.Millisecond, time.Minute}
 
-// scene is one run of the matrix.
-type scene struct {
-	world   *platformtest.World
+// scenario is one case of the matrix.
+type scenario struct {
+	cluster *platformtest.World
 	billing *matrixBilling
 	meters  []*Meter
 	vms     []*platformtest.Process
 	used    []Figures
 }
 
-// matrixBilling accepts reports and notes contradictions.
+// matrixBilling accepts reports and records reports that differ from an earlier one for the
+// same account and window.
 type matrixBilling struct {
 	mu       sync.Mutex
 	accepted map[string]platform.UsageReport
@@ -59,59 +60,59 @@
 	b.accepted[key] = r
 }
 
-// port is billing as one process reaches it.
-type port struct {
+// processBilling is billing as called by one process.
+type processBilling struct {
 	process *platformtest.Process
 	billing *matrixBilling
 }
 
-func (p port) Report(ctx context.Context, r platform.UsageReport) error {
+func (p processBilling) Report(ctx context.Context, r platform.UsageReport) error {
 	return p.process.Call(ctx, "report", r.Account, true, func() error {
 		p.billing.accept(r)
 		return nil
 	})
 }
 
-// play runs the scene with a script of faults to its end. It must be called in
-// a bubble.
-func play(t *testing.T, script platformtest.Script) *scene {
-	s := &scene{
-		world:   platformtest.NewWorld(script),
+// runScenario runs a scenario with a script of faults. It must be called in a synctest
+// bubble.
+func runScenario(t *testing.T, script platformtest.Script) *scenario {
+	s := &scenario{
+		cluster: platformtest.NewWorld(script),
 		billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)},
 		used:    make([]Figures, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for _, name := range []string{"vm-1", "vm-2"} {
-		process := s.world.Start(ctx, name)
+		process := s.cluster.Start(ctx, name)
 		s.vms = append(s.vms, process)
 		s.meters = append(s.meters, newMeter(process, name))
 	}
 	for i := range s.vms {
 		running.Go(func() { s.serve(i) })
 	}
-	// The first two closers both believe that they are in charge; the third comes
-	// later, as a VM does that takes over.
+	// The first two closers run at the same time, as if both held the lease. The third
+	// starts later, like a new holder.
 	for i, name := range []string{"closer-1", "closer-2", "closer-3"} {
-		process := s.world.Start(ctx, name)
-		closer := newCloser(process, port{process: process, billing: s.billing}, s.listed)
+		process := s.cluster.Start(ctx, name)
+		closer := newCloser(process, processBilling{process: process, billing: s.billing}, s.listed)
 		running.Go(func() {
 			time.Sleep(closerStarts[i])
-			closer.Run(process.Context, held(i+1), 2*time.Second)
+			closer.Run(process.Context, heldLease(i+1), 2*time.Second)
 		})
 	}
-	time.Sleep(servedWindows*windowLength + settleTime)
+	time.Sleep(servedWindows*windowLength + reportTime)
 	cancel()
 	running.Wait()
 	return s
 }
 
-// serve counts requests on one VM and stops as planned.
-func (s *scene) serve(i int) {
+// serve counts requests on one VM and then shuts its meter down gracefully.
+func (s *scenario) serve(i int) {
 	process, meter := s.vms[i], s.meters[i]
 	ctx, stop := context.WithCancel(process.Context)
 	var flushing sync.WaitGroup
-	flushing.Go(func() { meter.Run(ctx, func() time.Duration { return flushPeriod }) })
+	flushing.Go(func() { meter.Run(ctx, func() time.Duration { return flushInterval }) })
 	for range 3 * servedWindows {
 		time.Sleep(windowLength / 3)
 		if process.Dead() {
@@ -127,11 +128,11 @@
 		if meter.Seal(process.Context) == nil {
 			return
 		}
-		time.Sleep(flushPeriod)
+		time.Sleep(flushInterval)
 	}
 }
 
-func (s *scene) listed(vm string) bool {
+func (s *scenario) listed(vm string) bool {
 	for _, p := range s.vms {
 		if p.Name == vm {
 			return !p.Dead()
@@ -140,10 +141,10 @@
 	return false
 }
 
-// check returns what is wrong with how the scene ended. Reports that take effect at
-// the same instant count: the bubble is idle before anything is judged. Later ones,
-// of a process that was killed meanwhile, still write while this reads.
-func (s *scene) check() error {
+// check returns an error if the accepted reports do not match the usage. It waits until the
+// bubble is idle, so reports that take effect at the same instant count. It locks billing,
+// since a delayed report of a killed process may still arrive during the check.
+func (s *scenario) check() error {
 	synctest.Wait()
 	s.billing.mu.Lock()
 	defer s.billing.mu.Unlock()
@@ -171,61 +172,60 @@
 	case !killed:
 		return fmt.Errorf("billed %+v, used %+v, and no VM was killed", billed, used)
 	case !incomplete:
-		return fmt.Errorf("billed %+v, used %+v, and no report says incomplete", billed, used)
+		return fmt.Errorf("billed %+v, used %+v, and no report is marked incomplete", billed, used)
 	default:
 		return nil
 	}
 }
 
-func faultOf(kind platformtest.Kind) platformtest.Fault {
-	f := platformtest.Fault{Kind: kind, For: faultLength}
+func newFault(kind platformtest.Kind) platformtest.Fault {
+	f := platformtest.Fault{Kind: kind, For: faultDuration}
 	if kind == platformtest.Late {
-		f.For = lateBy
+		f.For = callDelay
 	}
 	return f
 }
 
-// hit is a fault at a step.
-type hit struct {
+// injection is a fault that is injected into one call of a process.
+type injection struct {
 	process string
 	index   int
 	kind    platformtest.Kind
 }
 
-func script(hits ...hit) platformtest.Script {
+func script(injections ...injection) platformtest.Script {
 	return func(step platformtest.Step) platformtest.Fault {
-		for _, h := range hits {
+		for _, h := range injections {
 			if step.Process == h.process && step.Index == h.index {
-				return faultOf(h.kind)
+				return newFault(h.kind)
 			}
 		}
 		return platformtest.Fault{}
 	}
 }
 
-// Every call that meters and closers make in a run without faults is hit by
-// every fault, alone and in pairs. A customer notices a wrong rule as a bill
-// that counts a request twice, lacks one without saying so, or comes with two
-// different figures.
+// Injects every kind of fault into every call that meters and closers make in a run without
+// faults, one fault at a time and random pairs. Guards against bills that count a request
+// twice, lack one without being marked incomplete, or differ for the same window.
 func TestMatrixUsage(t *testing.T) {
 	var steps []platformtest.Step
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, platformtest.NoFaults)
+		s := runScenario(t, platformtest.NoFaults)
 		if err := s.check(); err != nil {
 			t.Fatalf("without faults: %v", err)
 		}
-		steps = s.world.Steps()
+		steps = s.cluster.Steps()
 	})
-	var cases [][]hit
+	var cases [][]injection
 	for _, step := range steps {
 		for _, kind := range platformtest.Kinds {
-			cases = append(cases, []hit{{step.Process, step.Index, kind}})
+			cases = append(cases, []injection{{step.Process, step.Index, kind}})
 		}
 	}
 	singles := len(cases)
 	random := rand.New(rand.NewPCG(1, 1))
 	for range pairCases {
-		cases = append(cases, []hit{cases[random.IntN(singles)][0], cases[random.IntN(singles)][0]})
+		cases = append(cases, []injection{cases[random.IntN(singles)][0], cases[random.IntN(singles)][0]})
 	}
 	var failed atomic.Int64
 	t.Run("cases", func(t *testing.T) {
@@ -242,23 +242,22 @@
 		len(steps), len(platformtest.Kinds), len(cases), pairCases, failed.Load())
 }
 
-// runCase plays one case and returns how many failed.
-func runCase(t *testing.T, hits []hit) (failed int64) {
+// runCase runs one case and returns 1 if it failed, else 0.
+func runCase(t *testing.T, injections []injection) (failed int64) {
 	synctest.Test(t, func(t *testing.T) {
-		if err := play(t, script(hits...)).check(); err != nil {
+		if err := runScenario(t, script(injections...)).check(); err != nil {
 			failed = 1
-			t.Errorf("%+v: %v", hits, err)
+			t.Errorf("%+v: %v", injections, err)
 		}
 	})
 	return failed
 }
 
-// A report that was delayed past its timeout takes effect at the very instant at
-// which the scene is judged. The verdict must neither race with it nor depend on
-// which of the two comes first.
-func TestReportAtTheInstantOfTheVerdict(t *testing.T) {
+// Reports that were delayed past their timeout take effect at the instant of the check. The
+// result of the check must not depend on which comes first, and there must be no data race.
+func TestCheckCountsSimultaneousReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)}}
+		s := &scenario{billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)}}
 		const delay = time.Second
 		for window := range int64(4) {
 			go func() {
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -12,10 +12,11 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Meter counts what this VM incarnation served and flushes the totals. Usage
-// goes to the newest window that the VM has opened; it opens the next one and
-// seals the last in one transaction. While the store is down the last window
-// stays open, so that nothing is counted where nobody would look for it.
+// Meter counts the usage that this incarnation of the VM serves, and writes the totals to
+// the store. Usage is counted in the open window, the newest one that the VM has opened.
+// One transaction seals the open window and opens the next one. While the store is
+// unavailable the last window stays open, so that no usage is counted in a window that has
+// no row.
 type Meter struct {
 	tables      platform.Tables
 	events      *event.Recorder
@@ -25,34 +26,35 @@
 	length      time.Duration
 
 	mu          sync.Mutex
-	figures     Totals
+	counts      Totals
 	corrections Totals
 	changed     bool
 
-	// The fields below belong to the flushing goroutine.
+	// The fields below are used only by the goroutine that flushes. opened is true if
+	// window is the open window, whose row has the given version.
 	opened  bool
 	window  Window
 	version uint64
-	// after is the oldest window that may be opened next: the one behind the
-	// last final row.
-	after Window
-	// opening is the window of an open whose outcome is not known, if pending.
-	// A commit without an answer may take effect later; were another window
-	// opened meanwhile, the same usage would stand in both. So the meter keeps
-	// to this window until its row is there or the closer's floor, which the
-	// commit depends on, has passed it.
-	opening Window
-	pending bool
+	// minWindow is the oldest window that may be opened next: the one after the last
+	// final row.
+	minWindow Window
+	// opening is the window of a commit that opens it and whose outcome is unknown, if
+	// openUnconfirmed is true. The commit may still take effect. If the meter opened
+	// another window meanwhile, both rows would contain the same usage. So it opens no
+	// other window until the row exists or the cursor's floor, which the commit depends
+	// on, is past the window.
+	opening         Window
+	openUnconfirmed bool
 }
 
-// MeterConfig holds what a Meter is built from.
+// MeterConfig configures a Meter.
 type MeterConfig struct {
 	Tables platform.Tables
 	Events *event.Recorder
 	VM     string
-	// Incarnation is unique for each process.
+	// Incarnation is unique to each process.
 	Incarnation string
-	// Now returns the wall time, which only decides into which window usage goes.
+	// Now returns the wall time; it only decides in which window usage is counted.
 	Now func() time.Time
 	// Length is the length of a window.
 	Length time.Duration
@@ -67,24 +69,24 @@
 		incarnation: c.Incarnation,
 		now:         c.Now,
 		length:      c.Length,
-		figures:     make(Totals),
+		counts:      make(Totals),
 		corrections: make(Totals),
 	}
 }
 
-// Add counts usage of an account.
+// Add adds to the usage of an account.
 func (m *Meter) Add(account contract.Account, f Figures) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.figures[account] = m.figures[account].Add(f)
+	m.counts[account] = m.counts[account].Add(f)
 	m.changed = true
 }
 
-// Run flushes until ctx ends. period is asked anew each time, since it grows
-// with the fleet.
+// Run flushes until ctx ends. It calls period before each wait, since the flush interval
+// grows with the fleet.
 func (m *Meter) Run(ctx context.Context, period func() time.Duration) {
 	for {
-		// A failed flush is repeated by the next one with newer totals.
+		// After a failure the next flush writes newer totals.
 		_ = m.Flush(ctx)
 		select {
 		case <-ctx.Done():
@@ -94,53 +96,54 @@
 	}
 }
 
-// jitter spreads the flushes of a fleet that was started at once.
+// jitter varies a flush interval by up to a quarter, so that VMs that were started together
+// don't flush together.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2+1)
 }
 
-// Flush writes the totals, or seals the window and opens the next.
+// Flush writes the totals to the row of the open window. It opens a window if none is open,
+// and seals the open one and opens the next when its time has ended.
 func (m *Meter) Flush(ctx context.Context) error {
-	due := m.due()
+	windowNow := m.windowNow()
 	if !m.opened {
-		return m.open(ctx, due)
+		return m.open(ctx, windowNow)
 	}
-	if due > m.window {
-		return m.advance(ctx, due)
+	if windowNow > m.window {
+		return m.advance(ctx, windowNow)
 	}
 	return m.write(ctx, false)
 }
 
-// due returns the window of the present time.
-func (m *Meter) due() Window { return Window(m.now().UnixNano() / int64(m.length)) }
+// windowNow returns the window that contains the current wall time.
+func (m *Meter) windowNow() Window { return Window(m.now().UnixNano() / int64(m.length)) }
 
-// Seal makes the current window's totals final, for a graceful shutdown.
+// Seal makes the totals of the open window final, for a graceful shutdown.
 func (m *Meter) Seal(ctx context.Context) error {
 	if !m.opened {
-		if m.empty() {
+		if m.isEmpty() {
 			return nil
 		}
-		if err := m.open(ctx, m.due()); err != nil {
+		if err := m.open(ctx, m.windowNow()); err != nil {
 			return err
 		}
 	}
 	return m.write(ctx, true)
 }
 
-func (m *Meter) empty() bool {
+func (m *Meter) isEmpty() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.figures) == 0 && len(m.corrections) == 0
+	return len(m.counts) == 0 && len(m.corrections) == 0
 }
 
-// take returns the totals as they are now and whether they changed since the
-// last call.
-func (m *Meter) take() (figures, corrections Totals, changed bool) {
+// snapshot returns copies of the totals and whether they changed since the last call.
+func (m *Meter) snapshot() (counts, corrections Totals, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	changed = m.changed
 	m.changed = false
-	return maps.Clone(m.figures), maps.Clone(m.corrections), changed
+	return maps.Clone(m.counts), maps.Clone(m.corrections), changed
 }
 
 func (m *Meter) markChanged() {
@@ -149,37 +152,37 @@
 	m.changed = true
 }
 
-func (m *Meter) row(figures, corrections Totals, sealed bool) Row {
-	return Row{VM: m.vm, Incarnation: m.incarnation, Figures: figures, Corrections: corrections, Sealed: sealed}
+func (m *Meter) newRow(counts, corrections Totals, sealed bool) Row {
+	return Row{VM: m.vm, Incarnation: m.incarnation, Figures: counts, Corrections: corrections, Sealed: sealed}
 }
 
-// open opens a window for the counts that are there already. A window below the
-// closer's floor must not be opened, since its report might miss the row; then
-// the floor is taken.
+// open opens a window and writes the present totals to its row. A window below the cursor's
+// floor must not be opened, since its report might lack the row; open uses at least the
+// floor.
 func (m *Meter) open(ctx context.Context, window Window) error {
-	cursor, at, err := readCursor(ctx, m.tables)
+	cursor, cursorRow, err := readCursor(ctx, m.tables)
 	if err != nil {
 		return err
 	}
-	if m.pending {
+	if m.openUnconfirmed {
 		if err := m.adopt(ctx, m.opening); err != nil || m.opened {
 			return err
 		}
 	}
-	window = max(window, cursor.Floor, m.after)
-	if m.pending && cursor.Floor <= m.opening {
+	window = max(window, cursor.Floor, m.minWindow)
+	if m.openUnconfirmed && cursor.Floor <= m.opening {
 		window = m.opening
 	}
-	m.opening, m.pending = window, true
-	figures, corrections, _ := m.take()
+	m.opening, m.openUnconfirmed = window, true
+	counts, corrections, _ := m.snapshot()
 	key := rowKey(window, m.vm, m.incarnation)
 	err = platform.CommitSurely(ctx, m.tables, platform.Txn{
 		Nonce: platform.NewNonce(),
 		Preconditions: []platform.Precondition{
 			{Key: key},
-			{Key: cursorKey, Version: at.Version},
+			{Key: cursorKey, Version: cursorRow.Version},
 		},
-		Writes: []platform.Write{{Key: key, Value: platform.EncodeValue(m.row(figures, corrections, false))}},
+		Writes: []platform.Write{{Key: key, Value: platform.EncodeValue(m.newRow(counts, corrections, false))}},
 	})
 	if err != nil {
 		m.markChanged()
@@ -188,22 +191,22 @@
 	return m.adopt(ctx, window)
 }
 
-// adopt makes a window the current one if this incarnation's row is there. A
-// final row must not be written any more, since its report may already be with
-// billing; then only what it lacks is carried over.
+// adopt makes w the open window if this incarnation has a row in it. If the row is final
+// the window is not opened, since its report may have been sent to billing; the totals keep
+// only the usage that the row lacks.
 func (m *Meter) adopt(ctx context.Context, w Window) error {
 	row, err := m.tables.Get(ctx, rowKey(w, m.vm, m.incarnation))
 	if err != nil || !row.Exists() {
 		return err
 	}
-	var kept Row
-	if err := row.Decode(&kept); err != nil {
+	var stored Row
+	if err := row.Decode(&stored); err != nil {
 		return err
 	}
-	m.pending = false
+	m.openUnconfirmed = false
 	m.window, m.version = w, row.Version
-	if kept.final() {
-		m.carryOver(kept)
+	if stored.isFinal() {
+		m.subtractFinal(stored)
 		return nil
 	}
 	m.opened = true
@@ -211,10 +214,10 @@
 	return nil
 }
 
-// write replaces the current row by newer totals. The precondition on the
-// version keeps a delayed older write from replacing a newer one.
+// write writes the totals to the row of the open window. The precondition on the version
+// keeps a delayed write of older totals from replacing newer ones.
 func (m *Meter) write(ctx context.Context, sealed bool) error {
-	figures, corrections, changed := m.take()
+	counts, corrections, changed := m.snapshot()
 	if !changed && !sealed {
 		return nil
 	}
@@ -222,30 +225,30 @@
 	err := platform.CommitSurely(ctx, m.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
 		Preconditions: []platform.Precondition{{Key: key, Version: m.version}},
-		Writes:        []platform.Write{{Key: key, Value: platform.EncodeValue(m.row(figures, corrections, sealed))}},
+		Writes:        []platform.Write{{Key: key, Value: platform.EncodeValue(m.newRow(counts, corrections, sealed))}},
 	})
 	if err != nil {
 		m.markChanged()
-		m.settle(ctx)
+		m.reconcile(ctx)
 		return err
 	}
 	m.version++
 	if sealed {
-		m.sealed(figures, corrections)
+		m.noteSealed(counts, corrections)
 	}
 	return nil
 }
 
-// advance seals the current window and opens the next in one transaction: no
-// moment is without an open window, and no usage falls between two.
+// advance seals the open window and opens the next one in one transaction, so that a window
+// is open at every moment and no usage is lost between two.
 func (m *Meter) advance(ctx context.Context, next Window) error {
-	cursor, at, err := readCursor(ctx, m.tables)
+	cursor, cursorRow, err := readCursor(ctx, m.tables)
 	if err != nil {
 		return err
 	}
 	next = max(next, cursor.Floor)
-	figures, corrections, _ := m.take()
-	sealed := m.row(figures, corrections, true)
+	counts, corrections, _ := m.snapshot()
+	sealed := m.newRow(counts, corrections, true)
 	sealed.Next = next
 	oldKey := rowKey(m.window, m.vm, m.incarnation)
 	newKey := rowKey(next, m.vm, m.incarnation)
@@ -254,80 +257,83 @@
 		Preconditions: []platform.Precondition{
 			{Key: oldKey, Version: m.version},
 			{Key: newKey},
-			{Key: cursorKey, Version: at.Version},
+			{Key: cursorKey, Version: cursorRow.Version},
 		},
 		Writes: []platform.Write{
 			{Key: oldKey, Value: platform.EncodeValue(sealed)},
-			{Key: newKey, Value: platform.EncodeValue(m.row(Totals{}, Totals{}, false))},
+			{Key: newKey, Value: platform.EncodeValue(m.newRow(Totals{}, Totals{}, false))},
 		},
 	})
 	if err != nil {
 		m.markChanged()
-		m.settle(ctx)
+		m.reconcile(ctx)
 		return err
 	}
 	m.window, m.version = next, 1
-	m.sealed(figures, corrections)
+	m.noteSealed(counts, corrections)
 	return nil
 }
 
-// sealed forgets the totals that a sealed row holds.
-func (m *Meter) sealed(figures, corrections Totals) {
+// noteSealed subtracts the totals that the sealed row contains.
+func (m *Meter) noteSealed(counts, corrections Totals) {
 	m.mu.Lock()
-	m.figures = m.figures.sub(figures)
+	m.counts = m.counts.sub(counts)
 	m.corrections = m.corrections.sub(corrections)
 	m.changed = true
 	m.mu.Unlock()
 	m.events.Emit(event.WindowSealed, event.Subject{Count: int64(m.window)})
 }
 
-// settle finds out what a refused or unanswered write left behind. If the row
-// is final, what it lacks becomes a correction in the next window.
-func (m *Meter) settle(ctx context.Context) {
+// reconcile reads the row after a write that failed or was not answered. If the row is
+// final, the totals keep only the usage that it lacks.
+func (m *Meter) reconcile(ctx context.Context) {
 	row, err := m.tables.Get(ctx, rowKey(m.window, m.vm, m.incarnation))
 	if err != nil {
 		return
 	}
 	if !row.Exists() {
-		m.swept()
+		m.noteSwept()
 		return
 	}
-	var kept Row
-	if row.Decode(&kept) != nil {
+	var stored Row
+	if row.Decode(&stored) != nil {
 		return
 	}
 	m.version = row.Version
-	if kept.final() {
-		m.carryOver(kept)
+	if stored.isFinal() {
+		m.subtractFinal(stored)
 	}
 }
 
-// carryOver leaves in the totals only what a final row lacks.
-func (m *Meter) carryOver(kept Row) {
+// subtractFinal leaves in the totals only the usage that a final row lacks. If the closer
+// closed the row, that usage becomes a correction in the next window.
+
+func (m *Meter) subtractFinal(stored Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	missed := m.figures.sub(kept.Figures)
-	m.corrections = m.corrections.sub(kept.Corrections)
-	m.figures = missed
-	if kept.Next != 0 {
-		m.opening, m.pending = kept.Next, true
+	missing := m.counts.sub(stored.Figures)
+	m.corrections = m.corrections.sub(stored.Corrections)
+	m.counts = missing
+	if stored.Next != 0 {
+		m.opening, m.openUnconfirmed = stored.Next, true
 	}
-	if kept.Closed {
-		m.corrections = m.corrections.add(missed)
-		m.figures = make(Totals)
+	if stored.Closed {
+		m.corrections = m.corrections.add(missing)
+		m.counts = make(Totals)
 	}
 	m.changed = true
 	m.opened = false
-	m.after = m.window + 1
+	m.minWindow = m.window + 1
 }
 
-// swept gives up on a row that was deleted because it is a day old. What it
-// held is not known any more; counting it again might bill it twice.
-func (m *Meter) swept() {
+// noteSwept drops the totals after their row was deleted, which happens one day after its
+// report. It is not known any more which usage the row contained, and counting it again
+// might bill it twice.
+func (m *Meter) noteSwept() {
 	m.mu.Lock()
-	m.figures, m.corrections = make(Totals), make(Totals)
+	m.counts, m.corrections = make(Totals), make(Totals)
 	m.mu.Unlock()
 	m.opened = false
-	m.after = m.window + 1
+	m.minWindow = m.window + 1
 	m.events.Emit(event.UsageIncomplete, event.Subject{Count: int64(m.window), Detail: "row swept"})
 }
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -10,22 +10,25 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Prefixes of the rows in the table service. ReportPrefix is exported for the
-// operators' view.
+// Prefixes of row keys in the store. ReportPrefix is exported for the operators' view of
+// the reports.
 const (
 	rowPrefix    = "usage/"
 	windowPrefix = "window/"
 	ReportPrefix = "report/"
-	// cursorKey holds how far the closer is.
+	// cursorKey is the key of the row that records the closer's progress.
 	cursorKey = "usagecursor"
 )
 
-func windowRows(w Window) string { return fmt.Sprintf("%s%012d/", rowPrefix, w) }
+// vmRowsPrefix returns the prefix of the keys of all VMs' rows in a window.
+func vmRowsPrefix(w Window) string { return fmt.Sprintf("%s%012d/", rowPrefix, w) }
 
+// rowKey returns the key of an incarnation's row in a window.
 func rowKey(w Window, vm, incarnation string) string {
-	return windowRows(w) + vm + "/" + incarnation
+	return vmRowsPrefix(w) + vm + "/" + incarnation
 }
 
+// windowKey returns the key of the row that holds a window's phase.
 func windowKey(w Window) string { return fmt.Sprintf("%s%012d", windowPrefix, w) }
 
 func reportPrefix(w Window) string { return fmt.Sprintf("%s%012d/", ReportPrefix, w) }
@@ -34,53 +37,53 @@
 	return reportPrefix(w) + string(account)
 }
 
-// windowOf reads the window from a row's key.
-func windowOf(key string) (Window, bool) {
+// parseWindow returns the window in the key of a VM's row.
+func parseWindow(key string) (Window, bool) {
 	var w Window
 	_, err := fmt.Sscanf(key, rowPrefix+"%d/", &w)
 	return w, err == nil
 }
 
-// phase is how far the closing of a window is.
+// phase is the progress of closing a window; it is empty until the window is closed.
 type phase string
 
 const (
-	// phaseClosed: the reports are inserted.
+	// phaseClosed: the rows are final and the reports are inserted.
 	phaseClosed phase = "closed"
 	// phaseReported: billing has accepted every report.
 	phaseReported phase = "reported"
 )
 
-// windowRow is the value of a window's row.
-type windowRow struct {
+// windowValue is the value of the row windowKey.
+type windowValue struct {
 	Phase phase `json:"phase"`
 }
 
-// cursorRow is the value of the row cursorKey. Floor is never below Next.
-type cursorRow struct {
+// cursorValue is the value of the row cursorKey. Floor is never below Next.
+type cursorValue struct {
 	// Next is the oldest window that may not be reported yet.
 	Next Window `json:"next"`
-	// Floor is the oldest window that a VM may still open. Raising it before
-	// the rows are scanned makes the scan complete.
+	// Floor is the oldest window that a VM may still open. The closer raises it before
+	// it scans the rows of a window, so that no row is added after the scan.
 	Floor Window `json:"floor"`
-	// Swept is the oldest window whose rows may still be there.
+	// Swept is the oldest window whose rows may still exist.
 	Swept Window `json:"swept"`
 }
 
-// readCursor returns the cursor and its row; before the first window it is zero.
-func readCursor(ctx context.Context, tables platform.Tables) (cursorRow, platform.Row, error) {
+// readCursor returns the cursor and its row; without a row the cursor is zero.
+func readCursor(ctx context.Context, tables platform.Tables) (cursorValue, platform.Row, error) {
 	row, err := tables.Get(ctx, cursorKey)
 	if err != nil {
-		return cursorRow{}, row, err
+		return cursorValue{}, row, err
 	}
-	var cursor cursorRow
+	var cursor cursorValue
 	if row.Exists() {
 		err = row.Decode(&cursor)
 	}
 	return cursor, row, err
 }
 
-// union lists all accounts once, in order.
+// union returns the accounts and those of the totals, sorted and without duplicates.
 func union(accounts []contract.Account, more ...Totals) []contract.Account {
 	set := make(map[contract.Account]bool)
 	for _, a := range accounts {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,13 +1,13 @@
-// Package usage is the aggregate of usage windows. Each VM keeps absolute
-// totals of its own incarnation in one row a window; a closer, under a lease,
-// makes from these rows exactly one immutable report for each client account
-// and window, and hands it to billing.
+// Package usage counts what client accounts use and reports it to billing by usage window.
+// Each incarnation of a VM writes its absolute totals to one row per window. A closer,
+// which holds a lease, derives from these rows exactly one immutable report for each client
+// account and window, and sends it to billing.
 //
-// A window is closed in two transactions. The first marks it as closing, after
-// which no VM can open it, so that the set of rows is complete. The second
-// demands that every row is as it was read, closes the rows of VMs that died,
-// and inserts the reports. What a VM that was taken for dead counted besides
-// goes into its next window as a named correction.
+// A window is closed in two transactions. The first raises the cursor's floor above the
+// window, after which no VM can open it, so that the set of rows is complete. The second
+// has the precondition that no row has changed since it was read; it closes the rows of
+// dead VMs and inserts the reports. If a VM that was considered dead counted more than its
+// row contains, it reports the rest as a correction in its next window.
 package usage
 
 import (
@@ -16,26 +16,26 @@
 	"dogwoodpond/internal/contract"
 )
 
-// Figures is what one client account used.
+// Figures counts the usage of one client account.
 type Figures struct {
 	Requests int64 `json:"requests"`
 	Tokens   int64 `json:"tokens"`
 }
 
-// Add returns the sum.
+// Add returns the sum of f and g.
 func (f Figures) Add(g Figures) Figures {
 	return Figures{Requests: f.Requests + g.Requests, Tokens: f.Tokens + g.Tokens}
 }
 
-// Sub returns the difference.
+// Sub returns f minus g.
 func (f Figures) Sub(g Figures) Figures {
 	return Figures{Requests: f.Requests - g.Requests, Tokens: f.Tokens - g.Tokens}
 }
 
-// Totals holds figures by client account.
+// Totals holds the usage by client account.
 type Totals map[contract.Account]Figures
 
-// add returns the sums of two totals.
+// add returns the sum of both totals for each account.
 func (t Totals) add(u Totals) Totals {
 	sum := maps.Clone(t)
 	if sum == nil {
@@ -47,67 +47,68 @@
 	return sum
 }
 
-// sub returns the differences that are not zero.
+// sub returns t minus u for the accounts of t where the difference is not zero.
 func (t Totals) sub(u Totals) Totals {
-	rest := make(Totals)
+	difference := make(Totals)
 	for account, f := range t {
 		if d := f.Sub(u[account]); d != (Figures{}) {
-			rest[account] = d
+			difference[account] = d
 		}
 	}
-	return rest
+	return difference
 }
 
-// Window numbers the windows: the wall time divided by the window's length.
+// Window is the number of a usage window: its start in wall time divided by the length of a
+// window.
 type Window int64
 
-// Row is the value of one VM incarnation's row in a window.
+// Row is the value of the row of one VM incarnation in a window.
 type Row struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
-	// Figures were used while the window was the VM's current one.
+	// Figures is the usage while the window was the VM's open window.
 	Figures Totals `json:"figures"`
-	// Corrections were used in earlier windows and missed their reports.
+	// Corrections is usage of earlier windows that their reports lack.
 	Corrections Totals `json:"corrections,omitempty"`
-	// Sealed rows are final, said by the VM.
+	// Sealed is true if the VM made the row final.
 	Sealed bool `json:"sealed"`
-	// Next is the window that was opened by the transaction that sealed the row.
+	// Next is the window that the transaction which sealed the row opened.
 	Next Window `json:"next,omitempty"`
-	// Closed rows are final, said by the closer, who took the VM for dead.
+	// Closed is true if the closer made the row final, since it considered the VM dead.
 	Closed bool `json:"closed"`
 }
 
-// final reports whether the row's figures can't change any more.
-func (r Row) final() bool { return r.Sealed || r.Closed }
+// isFinal reports whether the row's counts can't change any more.
+func (r Row) isFinal() bool { return r.Sealed || r.Closed }
 
-// Report is the figures of one account in one window. A report row never
-// changes once inserted.
+// Report is the usage of one account in one window. A report row never changes after it was
+// inserted.
 type Report struct {
 	Window      Window           `json:"window"`
 	Account     contract.Account `json:"account"`
 	Figures     Figures          `json:"figures"`
 	Corrections Figures          `json:"corrections"`
-	// Incomplete is true when a VM died before it had sealed its row: what it
-	// had not flushed is missing.
+	// Incomplete is true if a VM did not seal its row. The usage that it had not flushed
+	// is missing.
 	Incomplete bool `json:"incomplete"`
 }
 
-// Reports makes one report for each account, known by its contract or by a row.
-// The result depends on its arguments only, in whatever order the rows come.
+// Reports returns one report for each account in accounts or in a row. The result does not
+// depend on the order of the rows.
 func Reports(window Window, rows []Row, accounts []contract.Account) []Report {
-	figures, corrections := Totals{}, Totals{}
+	counts, corrections := Totals{}, Totals{}
 	incomplete := false
 	for _, r := range rows {
-		figures = figures.add(r.Figures)
+		counts = counts.add(r.Figures)
 		corrections = corrections.add(r.Corrections)
 		incomplete = incomplete || !r.Sealed
 	}
 	var reports []Report
-	for _, account := range union(accounts, figures, corrections) {
+	for _, account := range union(accounts, counts, corrections) {
 		reports = append(reports, Report{
 			Window:      window,
 			Account:     account,
-			Figures:     figures[account],
+			Figures:     counts[account],
 			Corrections: corrections[account],
 			Incomplete:  incomplete,
 		})
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -23,44 +23,43 @@
 	tree         = contract.Account("tree")
 )
 
-// unreliable loses a share of the replies before or after the effect, and lets
-// a share of the commits take effect only later.
-type unreliable struct {
+// unreliableTables loses some requests and some replies, and delays some commits.
+type unreliableTables struct {
 	platform.Tables
-	random  *rand.Rand
-	percent int
-	late    []platform.Txn
-	// meanwhile, if set, runs another actor now and then in the middle of a
-	// caller's sequence of calls.
-	meanwhile func()
+	random       *rand.Rand
+	faultPercent int
+	delayed      []platform.Txn
+	// concurrent, if set, acts for another client. It is sometimes called between two
+	// calls of a caller.
+	concurrent func()
 }
 
-// interleave runs the other actor, which is not interleaved itself.
-func (u *unreliable) interleave() {
-	other := u.meanwhile
+// interleave sometimes calls concurrent, but not within itself.
+func (u *unreliableTables) interleave() {
+	other := u.concurrent
 	if other == nil || u.random.IntN(4) != 0 {
 		return
 	}
-	u.meanwhile = nil
+	u.concurrent = nil
 	other()
-	u.meanwhile = other
+	u.concurrent = other
 }
 
-func (u *unreliable) hit() bool { return u.random.IntN(100) < u.percent }
+func (u *unreliableTables) injectFault() bool { return u.random.IntN(100) < u.faultPercent }
 
-func (u *unreliable) Get(ctx context.Context, key string) (platform.Row, error) {
+func (u *unreliableTables) Get(ctx context.Context, key string) (platform.Row, error) {
 	u.interleave()
-	u.land(ctx)
-	if u.hit() {
+	u.applyDelayed(ctx)
+	if u.injectFault() {
 		return platform.Row{}, errors.WithStack(&fault.StoreUnavailable{Operation: "get"})
 	}
 	return u.Tables.Get(ctx, key)
 }
 
-func (u *unreliable) Commit(ctx context.Context, txn platform.Txn) error {
+func (u *unreliableTables) Commit(ctx context.Context, txn platform.Txn) error {
 	u.interleave()
-	u.land(ctx)
-	if !u.hit() {
+	u.applyDelayed(ctx)
+	if !u.injectFault() {
 		return u.Tables.Commit(ctx, txn)
 	}
 	switch u.random.IntN(3) {
@@ -68,21 +67,22 @@
 	case 1: // The reply is lost.
 		_ = u.Tables.Commit(ctx, txn)
 	default: // The request is delayed.
-		u.late = append(u.late, txn)
+		u.delayed = append(u.delayed, txn)
 	}
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 }
 
-// land lets one delayed commit take effect, now and then.
-func (u *unreliable) land(ctx context.Context) {
-	if len(u.late) > 0 && u.random.IntN(4) == 0 {
-		txn := u.late[0]
-		u.late = u.late[1:]
+// applyDelayed sometimes applies one delayed commit.
+func (u *unreliableTables) applyDelayed(ctx context.Context) {
+	if len(u.delayed) > 0 && u.random.IntN(4) == 0 {
+		txn := u.delayed[0]
+		u.delayed = u.delayed[1:]
 		_ = u.Tables.Commit(ctx, txn)
 	}
 }
 
-// billing counts what was accepted and refuses other figures for a window.
+// billing stores the accepted reports. The test fails if a report differs from an earlier
+// one for the same account and window.
 type billing struct {
 	t        *testing.T
 	accepted map[string]platform.UsageReport
@@ -102,24 +102,24 @@
 	return nil
 }
 
-// sum adds up everything that was reported for an account.
-func (b *billing) sum(account contract.Account) (figures Figures, incomplete bool) {
+// sum returns the usage in all reports for an account, and whether one is incomplete.
+func (b *billing) sum(account contract.Account) (counts Figures, incomplete bool) {
 	for _, r := range b.accepted {
 		if r.Account == string(account) {
-			figures.Requests += r.Requests + r.CorrectionRequests
-			figures.Tokens += r.Tokens + r.CorrectionTokens
+			counts.Requests += r.Requests + r.CorrectionRequests
+			counts.Tokens += r.Tokens + r.CorrectionTokens
 			incomplete = incomplete || r.Incomplete
 		}
 	}
-	return figures, incomplete
+	return counts, incomplete
 }
 
-// held is a lease that is always held.
-type held uint64
+// heldLease is a lease that is always held; its value is the epoch.
+type heldLease uint64
 
-func (held) Check() error        { return nil }
-func (h held) Epoch() uint64     { return uint64(h) }
-func (held) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (heldLease) Check() error        { return nil }
+func (h heldLease) Epoch() uint64     { return uint64(h) }
+func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
 func newEvents() *event.Recorder {
 	return event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
@@ -154,11 +154,11 @@
 	return &billing{t: t, accepted: make(map[string]platform.UsageReport), lose: func() bool { return false }}
 }
 
-// drive runs the closer until it has nothing more to do at the present time.
+// drive runs the closer until it has nothing more to do at the current time.
 func drive(t *testing.T, c *Closer) {
 	t.Helper()
 	for {
-		more, err := c.Step(t.Context(), held(1))
+		more, err := c.Step(t.Context(), heldLease(1))
 		if err != nil {
 			t.Fatalf("Step: %v", err)
 		}
@@ -179,7 +179,7 @@
 
 func allListed(string) bool { return true }
 
-func TestWindowOfTwoVMsIsReportedOnceAndWhole(t *testing.T) {
+func TestWindowOfTwoVMsIsReportedOnceWithAllUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memory.NewTables(), newBilling(t)
 		one, two := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
@@ -200,9 +200,10 @@
 	})
 }
 
-// A VM is killed between two flushes. What it had not flushed is gone, and the
-// customer's bill must not pass as whole.
-func TestReportOfKilledVMSaysIncomplete(t *testing.T) {
+// A VM is killed between two flushes, and the usage that it had not flushed is lost. The
+// report must be marked incomplete, so that the client account's bill does not pass as
+// complete.
+func TestReportOfKilledVMIsIncomplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memory.NewTables(), newBilling(t)
 		killed, other := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
@@ -216,7 +217,7 @@
 		time.Sleep(2 * time.Second)
 		drive(t, closer)
 		if len(b.accepted) != 0 {
-			t.Fatal("reported before the silent VM could count as dead")
+			t.Fatal("reported before the killed VM could be considered dead")
 		}
 		time.Sleep(6 * time.Second)
 		drive(t, closer)
@@ -227,17 +228,17 @@
 	})
 }
 
-// A VM is cut off from the platform for so long that its window is closed
-// without it. When it is back, a report with other figures for the same window
-// would be a second, different bill; the rest must come as a correction.
+// A VM is cut off from the platform for so long that the closer closes its row. The usage
+// that the row lacks must be reported as a correction in a later window: another report for
+// the closed window would be a second, different bill.
 func TestCutOffVMCorrectsTheNextWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memory.NewTables(), newBilling(t)
-		cut := newMeter(tables, "vm-1")
-		flush(t, cut)
-		cut.Add(berry, Figures{Requests: 1, Tokens: 10})
-		flush(t, cut)
-		cut.Add(berry, Figures{Requests: 4, Tokens: 40})
+		cutOff := newMeter(tables, "vm-1")
+		flush(t, cutOff)
+		cutOff.Add(berry, Figures{Requests: 1, Tokens: 10})
+		flush(t, cutOff)
+		cutOff.Add(berry, Figures{Requests: 4, Tokens: 40})
 		time.Sleep(windowLength)
 		closer := newCloser(tables, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
@@ -245,24 +246,24 @@
 		time.Sleep(6 * time.Second)
 		drive(t, closer)
 		if got, _ := b.sum(berry); got.Requests != 1 {
-			t.Fatalf("the first window has %+v, want the one flushed request", got)
+			t.Fatalf("reported %+v for the first window, want the one flushed request", got)
 		}
-		_ = cut.Flush(t.Context())
-		flush(t, cut)
-		if err := cut.Seal(t.Context()); err != nil {
+		_ = cutOff.Flush(t.Context())
+		flush(t, cutOff)
+		if err := cutOff.Seal(t.Context()); err != nil {
 			t.Fatalf("Seal: %v", err)
 		}
 		time.Sleep(2 * windowLength)
 		drive(t, closer)
 		if got, _ := b.sum(berry); got != (Figures{Requests: 5, Tokens: 50}) {
-			t.Errorf("reported %+v in all, want 5 requests and 50 tokens", got)
+			t.Errorf("reported %+v in total, want 5 requests and 50 tokens", got)
 		}
 	})
 }
 
-// A VM that was paused seals its row just between the closer's scan and the
-// insertion of the reports. The report would lack what the seal added, and the
-// VM would not know; the customer would never be billed for it.
+// A VM that was paused seals its row between the closer's scan and the insertion of the
+// reports. If the insertion succeeded, the report would lack the usage that the sealed row
+// contains, and this usage would never be billed.
 func TestSealBetweenScanAndInsertIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memory.NewTables(), newBilling(t)
@@ -270,35 +271,35 @@
 		flush(t, paused)
 		time.Sleep(windowLength)
 		paused.Add(berry, Figures{Requests: 1, Tokens: 10})
-		between := &hooked{Tables: tables}
+		between := &hookedTables{Tables: tables}
 		closer := newCloser(between, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
 		drive(t, closer)
 		time.Sleep(6 * time.Second)
 		between.beforeCommit = func() { flush(t, paused) }
-		_, _ = closer.Step(t.Context(), held(1))
+		_, _ = closer.Step(t.Context(), heldLease(1))
 		drive(t, closer)
 		if got, _ := b.sum(berry); got != (Figures{Requests: 1, Tokens: 10}) {
-			t.Errorf("reported %+v, want the request that was sealed meanwhile", got)
+			t.Errorf("reported %+v, want the request in the sealed row", got)
 		}
 	})
 }
 
-// The store takes the commit that opens a VM's first window, but is so slow that
-// the VM gives up on it and the next window begins. Were that one opened instead,
-// the same usage would stand in both windows once the slow commit takes effect.
-func TestUnansweredOpenIsNotCountedTwice(t *testing.T) {
+// The commit that opens a VM's first window times out, and takes effect after the next
+// window has begun. If the VM opened the next window instead, both windows would contain
+// the same usage.
+func TestOpenWithUnknownOutcomeIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := &holding{Tables: memory.NewTables(), hold: true}, newBilling(t)
+		tables, b := &delayingTables{Tables: memory.NewTables(), delay: true}, newBilling(t)
 		one := newMeter(tables, "vm-1")
 		one.Add(berry, Figures{Requests: 1, Tokens: 10})
 		if err := one.Flush(t.Context()); err == nil {
-			t.Fatal("the flush was answered")
+			t.Fatal("Flush succeeded although the commit was not answered")
 		}
 		time.Sleep(windowLength)
-		tables.hold = false
+		tables.delay = false
 		flush(t, one)
-		tables.land(t)
+		tables.applyDelayed(t)
 		flush(t, one)
 		if err := one.Seal(t.Context()); err != nil {
 			t.Fatalf("Seal: %v", err)
@@ -314,36 +315,36 @@
 	})
 }
 
-// holding takes commits without an answer until they land.
-type holding struct {
+// delayingTables delays commits while delay is set; their callers get no answer.
+type delayingTables struct {
 	platform.Tables
-	hold bool
-	held []platform.Txn
+	delay   bool
+	delayed []platform.Txn
 }
 
-func (h *holding) Commit(ctx context.Context, txn platform.Txn) error {
-	if !h.hold {
+func (h *delayingTables) Commit(ctx context.Context, txn platform.Txn) error {
+	if !h.delay {
 		return h.Tables.Commit(ctx, txn)
 	}
-	h.held = append(h.held, txn)
+	h.delayed = append(h.delayed, txn)
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 }
 
-// land lets the held commits take effect, as far as their preconditions hold.
-func (h *holding) land(t *testing.T) {
+// applyDelayed applies the delayed commits whose preconditions hold.
+func (h *delayingTables) applyDelayed(t *testing.T) {
 	t.Helper()
-	for _, txn := range h.held {
+	for _, txn := range h.delayed {
 		_ = h.Tables.Commit(t.Context(), txn)
 	}
 }
 
-// hooked runs a function once before the next commit.
-type hooked struct {
+// hookedTables calls beforeCommit once, before the next commit.
+type hookedTables struct {
 	platform.Tables
 	beforeCommit func()
 }
 
-func (h *hooked) Commit(ctx context.Context, txn platform.Txn) error {
+func (h *hookedTables) Commit(ctx context.Context, txn platform.Txn) error {
 	if hook := h.beforeCommit; hook != nil {
 		h.beforeCommit = nil
 		hook()
@@ -351,8 +352,8 @@
 	return h.Tables.Commit(ctx, txn)
 }
 
-// A VM whose clock is slow opens a window that has just been reported. Its row
-// would never be billed, so the window must be refused and a later one taken.
+// A VM with a slow clock tries to open a window that was already reported. The usage in its
+// row would never be billed, so the VM must open a later window instead.
 func TestReportedWindowCanNotBeOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memory.NewTables(), newBilling(t)
@@ -380,10 +381,10 @@
 	})
 }
 
-// The store loses requests and replies and delays commits, two closers both
-// work, billing loses replies, and VMs are wrongly taken for dead, all at
-// random. Whatever happens, no window is reported with two figures, and once
-// the store is well again every request is billed exactly once.
+// At random, the store loses requests and replies and delays commits, two closers run at
+// once, billing loses replies, and VMs that are alive are considered dead. Still no two
+// reports for an account and window differ, and once the store is reliable again every
+// request is billed exactly once.
 func TestEveryRequestIsBilledOnceOverAnUnreliableStore(t *testing.T) {
 	const seeds = 300
 	for seed := range uint64(seeds) {
@@ -393,17 +394,16 @@
 
 func billOverUnreliableStore(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	tables := &unreliable{Tables: memory.NewTables(), random: random, percent: 20}
+	tables := &unreliableTables{Tables: memory.NewTables(), random: random, faultPercent: 20}
 	b := newBilling(t)
 	b.lose = func() bool { return random.IntN(5) == 0 }
 	listed := func(string) bool { return random.IntN(2) == 0 }
 	closers := []*Closer{newCloser(tables, b, listed), newCloser(tables, b, listed)}
 	meters := []*Meter{newMeter(tables, "vm-1"), newMeter(tables, "vm-2"), newMeter(tables, "vm-3")}
-	// A meter is driven by one goroutine, so the interleaved actor is a VM of its
-	// own.
+	// A meter must be used by one goroutine only, so the concurrent client is another VM.
 	other := newMeter(tables, "vm-4")
 	var used Figures
-	tables.meanwhile = func() {
+	tables.concurrent = func() {
 		f := Figures{Requests: 1, Tokens: int64(random.IntN(100))}
 		other.Add(berry, f)
 		used = used.Add(f)
@@ -419,25 +419,25 @@
 		case 1:
 			_ = m.Flush(t.Context())
 		case 2:
-			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), held(1))
+			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), heldLease(1))
 		default:
 			time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 		}
 	}
-	tables.percent = 0
-	tables.meanwhile = nil
+	tables.faultPercent = 0
+	tables.concurrent = nil
 	b.lose = func() bool { return false }
-	for len(tables.late) > 0 {
-		tables.land(t.Context())
+	for len(tables.delayed) > 0 {
+		tables.applyDelayed(t.Context())
 	}
 	for _, m := range append(meters, other) {
-		sealSurely(t, m, seed)
+		sealEmpty(t, m, seed)
 	}
 	for range 40 {
 		time.Sleep(windowLength)
 		for _, c := range closers {
 			for range 8 {
-				_, _ = c.Step(t.Context(), held(1))
+				_, _ = c.Step(t.Context(), heldLease(1))
 			}
 		}
 	}
@@ -446,12 +446,12 @@
 	}
 }
 
-func sealSurely(t *testing.T, m *Meter, seed uint64) {
+func sealEmpty(t *testing.T, m *Meter, seed uint64) {
 	t.Helper()
 	for range 5 {
-		if m.Seal(t.Context()) == nil && m.empty() {
+		if m.Seal(t.Context()) == nil && m.isEmpty() {
 			return
 		}
 	}
-	t.Errorf("seed %d: the meter could not seal", seed)
+	t.Errorf("seed %d: the meter is not sealed and empty after all tries", seed)
 }
