--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -10,35 +10,35 @@
 const (
 	contractPrefix = "contract/"
 	keyPrefix      = "key/"
-	// subjectPage is how many contracts or keys are read at once.
-	subjectPage = 512
-	// snapshotTries bounds how often a snapshot is read again when edits race.
-	snapshotTries = 4
+	// subjectPageSize is the number of contracts or keys that one scan returns at most.
+	subjectPageSize = 512
+	// maxSnapshotTries is the largest number of scans of all subjects while edits are
+	// committed at the same time.
+	maxSnapshotTries = 4
 )
 
-// readHead returns the newest accepted revision.
+// readHead reads the newest accepted revision.
 func readHead(ctx context.Context, tables platform.Tables) (head, error) {
-	var at head
+	var newest head
 	row, err := tables.Get(ctx, headKey)
 	if err != nil {
-		return at, err
+		return newest, err
 	}
-	err = row.Decode(&at)
-	return at, err
+	err = row.Decode(&newest)
+	return newest, err
 }
 
-// readSnapshot reads all contracts and keys, or nil when edits kept racing with
-// it. Scans are not one transaction: a page may hold an edit that an earlier
-// page lacks, and the snapshot would mix two revisions, for example the grant
-// of a key without the contract that was made before. But every edit moves the
-// head, so a head that stands still over all scans shows that they saw one
-// state.
+// readSnapshot reads all contracts and keys. It returns nil if an edit was committed during
+// each of its tries. The scans are not one transaction: a page may contain an edit that an
+// earlier page lacks, and the snapshot would mix two revisions, for example contain a key
+// without the contract that was written before it. Every edit increments the head's
+// revision, so if the head is the same before and after the scans, they read one revision.
 func readSnapshot(ctx context.Context, tables platform.Tables) (*contract.Snapshot, error) {
 	before, err := readHead(ctx, tables)
 	if err != nil {
 		return nil, err
 	}
-	for range snapshotTries {
+	for range maxSnapshotTries {
 		snapshot, err := scanSubjects(ctx, tables)
 		if err != nil {
 			return nil, err
@@ -69,7 +69,7 @@
 func scanInto(ctx context.Context, tables platform.Tables, prefix string, snapshot *contract.Snapshot) error {
 	after := ""
 	for {
-		rows, err := tables.Scan(ctx, prefix, after, subjectPage)
+		rows, err := tables.Scan(ctx, prefix, after, subjectPageSize)
 		if err != nil {
 			return err
 		}
@@ -78,16 +78,16 @@
 			if err := row.Decode(&subject); err != nil {
 				return err
 			}
-			add(snapshot, subject)
+			addSubject(snapshot, subject)
 			after = row.Key
 		}
-		if len(rows) < subjectPage {
+		if len(rows) < subjectPageSize {
 			return nil
 		}
 	}
 }
 
-func add(snapshot *contract.Snapshot, subject contract.Subject) {
+func addSubject(snapshot *contract.Snapshot, subject contract.Subject) {
 	if subject.Contract != nil {
 		snapshot.Contracts[subject.Contract.Account] = *subject.Contract
 	}
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -14,70 +14,72 @@
 	"dogwoodpond/internal/wait"
 )
 
-// Editor commits edits. It is safe for concurrent use, also by several VMs.
+// Editor commits edits of contracts and keys. Editors are safe for concurrent use, also on
+// several VMs.
 type Editor struct {
 	tables platform.Tables
 	now    func() time.Time
 	events *event.Recorder
 }
 
-// NewEditor returns an editor; now gives the wall time that the history shows.
+// NewEditor returns an editor; now returns the wall time that is recorded in the history.
 func NewEditor(tables platform.Tables, now func() time.Time, events *event.Recorder) *Editor {
 	return &Editor{tables: tables, now: now, events: events}
 }
 
 const (
-	// editTries bounds how often an edit is tried again when other edits win
-	// or the store does not answer.
-	editTries = 16
-	// silentTries bounds how many of these tries end without an answer.
-	silentTries = 2
-	// raceWait bounds the pause before the next try. It is random, so that
-	// racing editors don't meet again.
-	raceWait = 50 * time.Millisecond
+	// maxEditTries is the largest number of tries of an edit, which is retried when another
+	// edit was committed first or the store does not answer.
+	maxEditTries = 16
+	// maxUnansweredRetries is the largest number of retries after the store did not
+	// answer.
+	maxUnansweredRetries = 2
+	// maxEditBackoff is the longest backoff before a retry. The backoff is random, so that
+	// editors that conflicted don't conflict again.
+	maxEditBackoff = 50 * time.Millisecond
 )
 
-// Apply commits an edit and returns its log entry. A repeat of an accepted edit
-// returns the first entry. It fails with *fault.EditInvalid,
-// *fault.EditConflict or *fault.StoreUnavailable; after the last the operator
-// repeats it with the same ID.
+// Apply commits an edit and returns its log entry. If the edit was accepted before, it
+// returns the entry of that time. It fails with *fault.EditInvalid, *fault.EditConflict or
+// *fault.StoreUnavailable. After *fault.StoreUnavailable the operator retries with the same
+// edit ID.
 func (e *Editor) Apply(ctx context.Context, edit contract.Edit) (contract.Entry, error) {
 	if err := edit.Check(); err != nil {
 		return contract.Entry{}, err
 	}
 	var last error
-	silent := 0
-	for range editTries {
-		entry, err := e.try(ctx, edit)
+	unanswered := 0
+	for range maxEditTries {
+		entry, err := e.applyOnce(ctx, edit)
 		if err == nil {
 			return entry, nil
 		}
 		last = err
 		switch {
 		case fault.Is[*fault.PreconditionFailed](err):
-		case fault.Is[*fault.StoreUnavailable](err) && silent < silentTries:
-			// The next try finds this one's entry by the edit's ID if it took
-			// effect, and its own commit fails if it does so later.
-			silent++
+		case fault.Is[*fault.StoreUnavailable](err) && unanswered < maxUnansweredRetries:
+			// If this try took effect, the next one finds its entry by the edit's ID. If
+			// this try takes effect later, the commit of the next one fails.
+			unanswered++
 		default:
 			return contract.Entry{}, err
 		}
-		if !wait.For(ctx, rand.N(raceWait)) {
+		if !wait.For(ctx, rand.N(maxEditBackoff)) {
 			break
 		}
 	}
 	return contract.Entry{}, last
 }
 
-// try runs one transaction. It fails with *fault.PreconditionFailed when
-// another edit was committed meanwhile.
-func (e *Editor) try(ctx context.Context, edit contract.Edit) (contract.Entry, error) {
-	editRow, err := e.tables.Get(ctx, editKeys+edit.ID)
+// applyOnce runs one transaction. It fails with *fault.PreconditionFailed if another edit
+// was committed meanwhile.
+func (e *Editor) applyOnce(ctx context.Context, edit contract.Edit) (contract.Entry, error) {
+	editRow, err := e.tables.Get(ctx, editPrefix+edit.ID)
 	if err != nil {
 		return contract.Entry{}, err
 	}
 	if editRow.Exists() {
-		return repeated(edit, editRow)
+		return acceptedEntry(edit, editRow)
 	}
 	subjectRow, err := e.tables.Get(ctx, edit.SubjectName())
 	if err != nil {
@@ -93,20 +95,22 @@
 	return e.commit(ctx, edit, subjectRow, headRow)
 }
 
-// repeated returns the entry of an edit that was accepted before.
-func repeated(edit contract.Edit, row platform.Row) (contract.Entry, error) {
+// acceptedEntry returns the entry of an edit that was accepted before. It fails with
+// *fault.EditInvalid if the ID was used for a different edit.
+func acceptedEntry(edit contract.Edit, row platform.Row) (contract.Entry, error) {
 	var accepted contract.Entry
 	if err := row.Decode(&accepted); err != nil {
 		return contract.Entry{}, err
 	}
 	if !edit.Accepts(accepted) {
-		return contract.Entry{}, errors.WithStack(&fault.EditInvalid{Field: "id", Problem: "was used for another edit"})
+		return contract.Entry{}, errors.WithStack(&fault.EditInvalid{Field: "id", Problem: "was used for a different edit"})
 	}
 	return accepted, nil
 }
 
-// checkBase refuses an edit when its contract or key changed after the revision
-// that the operator saw, so that no operator overwrites another's edit unseen.
+// checkBase fails with *fault.EditConflict if the contract or key was changed after the
+// revision that the operator read, so that no operator overwrites an edit without having
+// seen it.
 func checkBase(edit contract.Edit, row platform.Row) error {
 	var current contract.Subject
 	if err := row.Decode(&current); err != nil {
@@ -123,12 +127,12 @@
 }
 
 func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platform.Row) (contract.Entry, error) {
-	var at head
-	if err := headRow.Decode(&at); err != nil {
+	var newest head
+	if err := headRow.Decode(&newest); err != nil {
 		return contract.Entry{}, err
 	}
 	entry := contract.Entry{
-		Revision: at.Revision + 1,
+		Revision: newest.Revision + 1,
 		EditID:   edit.ID,
 		Kind:     edit.Kind,
 		Who:      edit.Who,
@@ -140,12 +144,12 @@
 	txn := platform.Txn{
 		Nonce: platform.NewNonce(),
 		Preconditions: []platform.Precondition{
-			{Key: editKeys + edit.ID},
+			{Key: editPrefix + edit.ID},
 			{Key: headKey, Version: headRow.Version},
 			{Key: subjectRow.Key, Version: subjectRow.Version},
 		},
 		Writes: []platform.Write{
-			{Key: editKeys + edit.ID, Value: platform.EncodeValue(entry)},
+			{Key: editPrefix + edit.ID, Value: platform.EncodeValue(entry)},
 			{Key: headKey, Value: platform.EncodeValue(head{Revision: entry.Revision})},
 			{Key: logKey(entry.Revision), Value: platform.EncodeValue(entry)},
 			{Key: subjectRow.Key, Value: platform.EncodeValue(changed)},
@@ -158,7 +162,7 @@
 	return entry, nil
 }
 
-// Subject returns the contract or key with the name, straight from the store.
+// Subject reads the contract or key with the name from the store.
 func (e *Editor) Subject(ctx context.Context, name string) (contract.Subject, error) {
 	var found contract.Subject
 	row, err := e.tables.Get(ctx, name)
@@ -169,7 +173,7 @@
 	return found, err
 }
 
-// History returns up to limit accepted edits after a revision, in order.
+// History returns up to limit accepted edits after a revision, ordered by revision.
 func (e *Editor) History(ctx context.Context, after contract.Revision, limit int) ([]contract.Entry, error) {
 	rows, err := e.tables.Scan(ctx, logPrefix, logKey(after), limit)
 	if err != nil {
--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -25,13 +25,15 @@
 	return NewEditor(tables, time.Now, testEvents())
 }
 
-// editShare changes the share in an account's contract.
+// editShare returns an edit that sets the share in an account's contract.
 func editShare(id string, account contract.Account, base contract.Revision, share int) contract.Edit {
 	c := contract.DefaultContract(account)
 	c.Share = share
 	return contract.Edit{ID: id, Kind: contract.EditContract, Who: "clerk " + id, Base: base, Contract: &c}
 }
 
+// history returns all entries of the history and checks that each has the next revision, an
+// author and a time.
 func history(t *testing.T, tables platform.Tables) []contract.Entry {
 	t.Helper()
 	entries, err := testEditor(tables).History(context.Background(), 0, 1000)
@@ -46,17 +48,17 @@
 	return entries
 }
 
-// Two operators read the same contract and both change it. If the second won
-// silently, the first one's change would be gone and the board would see a
-// contract that nobody decided.
+// Several operators read the same contract and all change it. If more than one edit were
+// accepted, a later one would overwrite an earlier one without a notice, and the contract
+// would be one that no operator decided on.
 func TestRacingEditsOfOneContractConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		const racers = 8
-		failures := make([]error, racers)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		const editors = 8
+		failures := make([]error, editors)
 		var group sync.WaitGroup
-		for i := range racers {
-			p := w.Start(context.Background(), fmt.Sprint("vm-", i))
+		for i := range editors {
+			p := cluster.Start(context.Background(), fmt.Sprint("vm-", i))
 			group.Go(func() {
 				_, failures[i] = testEditor(p).Apply(p.Context, editShare(fmt.Sprint(i), "farm", 0, i+1))
 			})
@@ -70,21 +72,21 @@
 				t.Errorf("a racing edit failed with %v", err)
 			}
 		}
-		if got := len(history(t, w.Rows)); accepted != 1 || got != 1 {
+		if got := len(history(t, cluster.Rows)); accepted != 1 || got != 1 {
 			t.Errorf("%d edits accepted, %d in the history, want 1", accepted, got)
 		}
 	})
 }
 
-// Operators change different contracts at once. They have nothing to do with
-// each other, so all must be accepted, each at a revision of its own.
+// Operators change different contracts at the same time. The edits are independent, so all
+// must be accepted, each at its own revision.
 func TestRacingEditsOfDifferentContractsAllPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		const racers = 8
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		const editors = 8
 		var group sync.WaitGroup
-		for i := range racers {
-			p := w.Start(context.Background(), fmt.Sprint("vm-", i))
+		for i := range editors {
+			p := cluster.Start(context.Background(), fmt.Sprint("vm-", i))
 			group.Go(func() {
 				account := contract.Account(fmt.Sprint("farm-", i))
 				if _, err := testEditor(p).Apply(p.Context, editShare(fmt.Sprint(i), account, 0, 1)); err != nil {
@@ -93,55 +95,55 @@
 			})
 		}
 		group.Wait()
-		if got := len(history(t, w.Rows)); got != racers {
-			t.Errorf("%d edits in the history, want %d", got, racers)
+		if got := len(history(t, cluster.Rows)); got != editors {
+			t.Errorf("%d edits in the history, want %d", got, editors)
 		}
 	})
 }
 
-// An operator's tool gets no answer and sends the edit again, perhaps to
-// another VM, perhaps after somebody else's edit. It must not be made twice nor
-// undo the other one.
-func TestRepeatedEditReturnsTheFirstAnswer(t *testing.T) {
+// An operator's tool gets no answer and sends the edit again, possibly to another VM and
+// after an edit by another operator. The edit must not be applied twice, and must not revert
+// the other one.
+func TestRetriedEditReturnsTheFirstAnswer(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
-	first, err := testEditor(w.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
+	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	first, err := testEditor(cluster.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	editor := testEditor(w.Start(ctx, "vm-2"))
+	editor := testEditor(cluster.Start(ctx, "vm-2"))
 	if _, err := editor.Apply(ctx, editShare("b", "farm", first.Revision, 2)); err != nil {
 		t.Fatal(err)
 	}
-	again, err := editor.Apply(ctx, editShare("a", "farm", 0, 1))
-	if err != nil || again.Revision != first.Revision || !again.When.Equal(first.When) {
-		t.Errorf("the repeat returned %+v, %v; the first answer was %+v", again, err, first)
+	retried, err := editor.Apply(ctx, editShare("a", "farm", 0, 1))
+	if err != nil || retried.Revision != first.Revision || !retried.When.Equal(first.When) {
+		t.Errorf("the retry returned %+v, %v; the first answer was %+v", retried, err, first)
 	}
-	if got := len(history(t, w.Rows)); got != 2 {
+	if got := len(history(t, cluster.Rows)); got != 2 {
 		t.Errorf("%d edits in the history, want 2", got)
 	}
 	_, err = editor.Apply(ctx, editShare("a", "farm", 2, 3))
 	if !fault.Is[*fault.EditInvalid](err) {
-		t.Errorf("another edit with a used ID: %v, want edit invalid", err)
+		t.Errorf("a different edit with a used ID: %v, want *fault.EditInvalid", err)
 	}
 }
 
-// A grant that is marked as withdrawn, or a withdrawal that is not, would say
-// one thing in the history and do another.
+// The history shows the kind of an edit. With a grant of a withdrawn key, or a withdrawal of
+// a key that is not marked as withdrawn, it would differ from the edit's effect.
 func TestKindMustMatchTheKey(t *testing.T) {
 	key := contract.Key{ID: "k1", Account: "farm", SecretSHA256: contract.HashSecret("0123456789abcdef"), Withdrawn: true}
 	edit := contract.Edit{ID: "a", Kind: contract.EditGrant, Who: "clerk", Key: &key}
 	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
-		t.Errorf("a withdrawn grant: %v", err)
+		t.Errorf("a grant of a withdrawn key: %v, want *fault.EditInvalid", err)
 	}
 	key.Withdrawn = false
 	edit.Kind = contract.EditWithdraw
 	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
-		t.Errorf("a withdrawal that keeps the key: %v", err)
+		t.Errorf("a withdrawal of a key that is not withdrawn: %v, want *fault.EditInvalid", err)
 	}
 	edit.Kind = contract.EditGrant
 	key.Account = "a/b"
 	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
-		t.Errorf("an account with a slash: %v", err)
+		t.Errorf("an account with a slash: %v, want *fault.EditInvalid", err)
 	}
 }
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -17,33 +17,34 @@
 
 const machineVMs = 2
 
-// machine is a store, an operator at each VM, and the VMs' views. Its actions
-// are those of spec/edit.pml, over the functions of this package.
+// machine is the state machine of the property-based test: a store, an operator at each VM,
+// and the VMs' views. Its actions are those of the model spec/edit.pml, executed by the
+// functions of this package.
 type machine struct {
-	world    *platformtest.World
-	editors  [machineVMs]*Editor
-	syncers  [machineVMs]*Syncer
-	pending  [machineVMs]*contract.Edit
-	edits    int
-	fault    platformtest.Kind
-	accepted []time.Time // when each revision was accepted, at the latest
-	broken   string
+	cluster   *platformtest.World
+	editors   [machineVMs]*Editor
+	syncers   [machineVMs]*Syncer
+	pending   [machineVMs]*contract.Edit
+	edits     int
+	fault     platformtest.Kind
+	accepted  []time.Time // latest time at which each revision was accepted
+	violation string
 }
 
 const (
-	// lateBy is when a late copy of a commit takes effect.
-	lateBy = 40 * time.Second
-	// machineAccounts is how few accounts the operators edit, so that they meet.
+	// commitDelay is the time after which a delayed commit takes effect.
+	commitDelay = 40 * time.Second
+	// machineAccounts is the number of accounts, small enough that edits conflict.
 	machineAccounts = 2
 )
 
 func newMachine() *machine {
 	m := &machine{}
-	m.world = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+	m.cluster = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 		if s.Call != "commit" {
 			return platformtest.Fault{}
 		}
-		f := platformtest.Fault{Kind: m.fault, For: lateBy}
+		f := platformtest.Fault{Kind: m.fault, For: commitDelay}
 		m.fault = platformtest.None
 		return f
 	})
@@ -54,13 +55,13 @@
 }
 
 func (m *machine) restart(id int) {
-	p := m.world.Start(context.Background(), fmt.Sprint("vm-", id))
+	p := m.cluster.Start(context.Background(), fmt.Sprint("vm-", id))
 	m.editors[id] = testEditor(p)
 	m.syncers[id] = testSyncer(p, nil)
 	m.pending[id] = nil
 }
 
-// edit sends an operator's edit, or the one again that has no answer yet.
+// edit applies the operator's edit without an answer again, or else a new one.
 func (m *machine) edit(id, account int) {
 	ctx := context.Background()
 	if m.pending[id] == nil {
@@ -80,20 +81,20 @@
 	}
 }
 
-// learn takes over what the other VM knows.
+// learn updates a VM's view from the other VM.
 func (m *machine) learn(id int) {
 	s := m.syncers[id]
 	s.peers = peerSyncers{m.syncers[1-id]}
-	s.fromPeers(context.Background(), time.Since(s.started))
+	s.syncFromPeers(context.Background(), time.Since(s.started))
 }
 
-// audit checks the history and what every VM says of itself.
+// audit checks the history and the view and age of every VM.
 func (m *machine) audit() {
-	entries, _ := testEditor(m.world.Rows).History(context.Background(), 0, 1000)
+	entries, _ := testEditor(m.cluster.Rows).History(context.Background(), 0, 1000)
 	ids := map[string]bool{}
 	for i, entry := range entries {
 		if entry.Revision != contract.Revision(i+1) || ids[entry.EditID] {
-			m.broken = fmt.Sprintf("entry %d of the history is %+v", i+1, entry)
+			m.violation = fmt.Sprintf("entry %d of the history is %+v", i+1, entry)
 		}
 		ids[entry.EditID] = true
 		if i >= len(m.accepted) {
@@ -105,6 +106,8 @@
 	}
 }
 
+// auditVM checks that a VM's view equals the history up to its revision, and contains every
+// edit that was accepted before the time given by its age.
 func (m *machine) auditVM(s *Syncer, entries []contract.Entry) {
 	view := s.view.Load()
 	want := contract.Empty()
@@ -112,7 +115,7 @@
 		want, _ = want.Apply(entry)
 	}
 	if fmt.Sprint(view.Contracts) != fmt.Sprint(want.Contracts) {
-		m.broken = fmt.Sprintf("the view at revision %d is not the history's", view.Revision)
+		m.violation = fmt.Sprintf("the view at revision %d differs from the history", view.Revision)
 	}
 	age := s.Age()
 	if age == Never {
@@ -120,7 +123,7 @@
 	}
 	for i, at := range m.accepted {
 		if at.Before(time.Now().Add(-age)) && int(view.Revision) <= i {
-			m.broken = fmt.Sprintf("a VM at revision %d passes for current after revision %d", view.Revision, i+1)
+			m.violation = fmt.Sprintf("a VM at revision %d claims to be current although revision %d was accepted before", view.Revision, i+1)
 		}
 	}
 }
@@ -135,10 +138,10 @@
 	actions
 )
 
-// machineFaults may hit the next commit of an action.
+// machineFaults are the faults that may be injected into the next commit of an action.
 var machineFaults = []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late}
 
-// action is one command: a VM does something, and a fault hits its commit.
+// action is one command: an action of a VM, and a fault for its next commit.
 type action struct {
 	kind, vm, account, fault int
 }
@@ -161,16 +164,16 @@
 	case actionLearn:
 		m.learn(a.vm)
 	case actionWait:
-		time.Sleep(lateBy / 3)
+		time.Sleep(commitDelay / 3)
 	case actionRestart:
 		m.restart(a.vm)
 		before = 0
 	}
 	if m.syncers[a.vm].view.Load().Revision < before {
-		m.broken = "the configuration went back"
+		m.violation = "the revision decreased"
 	}
 	m.audit()
-	return m.broken
+	return m.violation
 }
 
 // NextState implements commands.Command; the machine itself is the state.
@@ -187,10 +190,10 @@
 	return gopter.NewPropResult(false, result.(string))
 }
 
-// Operators edit the same contracts through two VMs, which follow the store and
-// each other, restart, and whose commits lose their replies or come late. Views
-// follow the history, never go back, and never pass for more current than they
-// are.
+// Operators edit the same contracts through two VMs. The VMs poll the store and each other,
+// restart, and have commits that are lost, delayed or not answered. Every view equals the
+// history up to its revision, revisions never decrease, and no VM claims to be more current
+// than it is.
 func TestEditMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parameters := gopter.DefaultTestParametersWithSeed(4)
@@ -201,7 +204,7 @@
 		properties.Property("one history", commands.Prop(&commands.ProtoCommands{
 			NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return newMachine() },
 			DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
-				time.Sleep(2 * lateBy)
+				time.Sleep(2 * commitDelay)
 			},
 			InitialStateGen: gen.Const(0),
 			GenCommandFunc: func(commands.State) gopter.Gen {
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -19,9 +19,9 @@
 	matrixShare  = 7
 )
 
-// insist repeats an edit with the same ID until it is answered, as the
-// operators' tool does.
-func insist(p *platformtest.Process, edit contract.Edit, answered *atomic.Int32) {
+// applyUntilAnswered retries an edit with the same ID until it is answered, as the operators'
+// tool does.
+func applyUntilAnswered(p *platformtest.Process, edit contract.Edit, answered *atomic.Int32) {
 	editor := testEditor(p)
 	for p.Context.Err() == nil {
 		ctx, cancel := context.WithTimeout(p.Context, 10*time.Second)
@@ -35,20 +35,20 @@
 	}
 }
 
-// Two operators edit different contracts through two VMs at the same time, and
-// repeat until they get an answer. Whatever fails, each edit is made exactly
-// once and the history has no gap.
+// Two operators edit different contracts through two VMs at the same time and retry until
+// they get an answer. Whichever fault is injected, each edit is applied exactly once and the
+// history has no gap.
 func TestMatrixEdit(t *testing.T) {
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name:  "edit",
 		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(w *platformtest.World) error {
+		Run: func(cluster *platformtest.World) error {
 			ctx, stop := context.WithCancel(context.Background())
 			var group sync.WaitGroup
 			var answered atomic.Int32
 			for _, name := range []string{"vm-1", "vm-2"} {
 				edit := editShare("edit-"+name, contract.Account("farm of "+name), 0, matrixShare)
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) { insist(p, edit, &answered) })
+				cluster.Supervise(ctx, &group, name, func(p *platformtest.Process) { applyUntilAnswered(p, edit, &answered) })
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(matrixLength)
@@ -57,7 +57,7 @@
 			if answered.Load() != 2 {
 				return errors.Newf("%d of 2 operators got an answer", answered.Load())
 			}
-			entries, err := testEditor(w.Rows).History(context.Background(), 0, 100)
+			entries, err := testEditor(cluster.Rows).History(context.Background(), 0, 100)
 			if err != nil {
 				return err
 			}
@@ -69,12 +69,12 @@
 	})
 }
 
-// follower is a VM that follows the configuration. It must never go back, and
-// its age must never promise more than it knows.
+// follower is a VM that follows the configuration. The test fails if its revision decreases,
+// or if it claims to be more current than it is.
 type follower struct {
-	mu     sync.Mutex
-	syncer *Syncer
-	broken string
+	mu        sync.Mutex
+	syncer    *Syncer
+	violation string
 }
 
 // FetchConfig implements Peers.
@@ -88,14 +88,14 @@
 	return peerSyncers{s}.FetchConfig(ctx, after)
 }
 
-// reachable is a peer that only live processes reach.
-type reachable struct {
+// processPeer is a peer as called by one process.
+type processPeer struct {
 	process *platformtest.Process
 	peer    *follower
 }
 
 // FetchConfig implements Peers.
-func (r reachable) FetchConfig(ctx context.Context, after contract.Revision) (snapshot *contract.Snapshot, age time.Duration, err error) {
+func (r processPeer) FetchConfig(ctx context.Context, after contract.Revision) (snapshot *contract.Snapshot, age time.Duration, err error) {
 	err = r.process.Call(ctx, platformtest.CallPeer, "config", false, func() (err error) {
 		snapshot, age, err = r.peer.FetchConfig(ctx, after)
 		return err
@@ -103,12 +103,13 @@
 	return snapshot, age, err
 }
 
+// run runs the syncer of a process until the process ends.
 func (f *follower) run(p *platformtest.Process, peer *follower) {
 	view := contract.NewView()
 	var last contract.Revision
-	s := NewSyncer(p, reachable{process: p, peer: peer}, view, testEvents(), time.Second, func(next *contract.Snapshot) {
+	s := NewSyncer(p, processPeer{process: p, peer: peer}, view, testEvents(), time.Second, func(next *contract.Snapshot) {
 		if next.Revision < last {
-			f.broken = "the configuration went back"
+			f.violation = "the revision decreased"
 		}
 		last = next.Revision
 	})
@@ -121,7 +122,8 @@
 	f.mu.Unlock()
 }
 
-// checkAge compares a VM's age with what was accepted and when.
+// checkAge checks that the VM has every edit that was accepted before the time given by its
+// age.
 func (f *follower) checkAge(accepted map[contract.Revision]time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,32 +137,32 @@
 	currentAt := time.Now().Add(-age)
 	for revision, at := range accepted {
 		if at.Before(currentAt) && f.syncer.view.Load().Revision < revision {
-			f.broken = "a VM passes for current that lacks an older edit"
+			f.violation = "a VM claims to be current but lacks an older edit"
 		}
 	}
 }
 
-// Edits are accepted while two VMs follow the store and each other. Whatever
-// fails, no VM goes back, none passes for more current than it is, and at the
-// end both have the last edit in force.
+// Edits are accepted while two VMs poll the store and each other. Whichever fault is
+// injected, no VM's revision decreases, no VM claims to be more current than it is, and at
+// the end both have the last edit in force.
 func TestMatrixSync(t *testing.T) {
 	platformtest.RunMatrix(t, platformtest.Protocol{
 		Name:  "sync",
 		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(w *platformtest.World) error {
+		Run: func(cluster *platformtest.World) error {
 			var group sync.WaitGroup
 			defer group.Wait()
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			followers := []*follower{{}, {}}
 			for i, name := range []string{"vm-1", "vm-2"} {
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+				cluster.Supervise(ctx, &group, name, func(p *platformtest.Process) {
 					followers[i].run(p, followers[1-i])
 				})
 				time.Sleep(time.Millisecond)
 			}
 			accepted := map[contract.Revision]time.Time{}
-			editor := testEditor(w.Rows)
+			editor := testEditor(cluster.Rows)
 			for i := range 60 {
 				if i%5 == 0 && i < 30 {
 					entry, err := editor.Apply(ctx, editShare(string(rune('a'+i)), contract.Account(rune('a'+i)), 0, matrixShare))
@@ -175,11 +177,11 @@
 				}
 			}
 			for _, f := range followers {
-				if f.broken != "" {
-					return errors.Newf("%s", f.broken)
+				if f.violation != "" {
+					return errors.Newf("%s", f.violation)
 				}
 				if f.syncer == nil || int(f.syncer.view.Load().Revision) != len(accepted) {
-					return errors.Newf("a VM has not caught up")
+					return errors.Newf("a VM does not have the last revision")
 				}
 			}
 			return nil
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -12,101 +12,102 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Peers fetches configuration from other VMs while the store can't be reached.
+// Peers fetches the configuration from other VMs while the store is unavailable.
 type Peers interface {
-	// FetchConfig returns the newest snapshot that any of the asked peers
-	// holds, when it is newer than after, and how long ago a peer knew that no
-	// revision beyond its own was in force. An age of Never says that no peer
-	// ever knew.
+	// FetchConfig returns the newest snapshot of the peers that it asks, or nil if none is
+	// newer than after. It also returns the age of the peers' confirmation: how long ago
+	// one of them knew that no revision newer than its own was accepted. The age is Never
+	// if none of them ever knew.
 	FetchConfig(ctx context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error)
 }
 
-// Never is the age of a view that was never known current. Ages from peers
-// have passed through milliseconds, so whatever exceeds oldestAge counts as
-// Never: taken as a time it would overflow and look fresh.
+// Never is the age of a view that was never confirmed to be current. Ages from peers were
+// converted to milliseconds and back, which changes Never. So every age of maxPeerAge or
+// more counts as Never; used as a duration it would overflow and look recent.
 const Never time.Duration = math.MaxInt64
 
 const (
-	oldestAge = Never / 2
-	// ageGrain is what an age from a peer may lack because it came in whole
-	// milliseconds. Without it knowledge that VMs pass to and fro would grow
-	// younger with each exchange.
-	ageGrain = time.Millisecond
-	// pollsPerSecond is how often a whole fleet polls the revision.
+	maxPeerAge = Never / 2
+	// agePrecision is added to the age from a peer, which is truncated to milliseconds.
+	// Otherwise the age would decrease with each exchange between two VMs.
+	agePrecision = time.Millisecond
+	// pollsPerSecond is the rate at which all VMs of a large fleet together poll the
+	// revision.
 	pollsPerSecond = 50
-	// jitterShare is the part of the period by which each poll varies.
-	jitterShare = 10
-	// staleAfter is the age after which the view is reported as stale.
+	// jitterDivisor: each poll interval varies by this part of it, in both directions.
+	jitterDivisor = 10
+	// staleAfter is the age above which the view is reported as stale.
 	staleAfter = 30 * time.Second
 )
 
-// Syncer keeps a view current.
+// Syncer keeps a VM's view of the configuration up to date by polling the store, or peers
+// while the store is unavailable.
 type Syncer struct {
-	tables platform.Tables
-	peers  Peers
-	view   *contract.View
-	events *event.Recorder
-	period time.Duration
-	fleet  func() int
-	// onAdvance is called after a newer snapshot came into force.
+	tables    platform.Tables
+	peers     Peers
+	view      *contract.View
+	events    *event.Recorder
+	interval  time.Duration
+	fleetSize func() int
+	// onAdvance is called with each newer snapshot after it is in force.
 	onAdvance func(*contract.Snapshot)
-	poke      chan struct{}
+	pollNow   chan struct{}
 	started   time.Time
 	stale     bool
-	// confirmed is when the view was last known current, in nanoseconds since
-	// started on the monotonic clock. It is negative when a peer knew the view
-	// current before this process started.
-	confirmed atomic.Int64
+	// confirmedAt is the latest time at which the view is known to have been current, in
+	// nanoseconds since started on the monotonic clock. It is negative if that time, as
+	// learned from a peer, is before the start of this process.
+	confirmedAt atomic.Int64
 }
 
-// Option changes a Syncer.
+// Option configures a Syncer.
 type Option func(*Syncer)
 
-// WithFleet tells the syncer how many VMs poll the store. The larger the fleet,
-// the longer the period, so that the fleet's reads don't grow.
+// WithFleet sets the function that returns the number of VMs that poll the store. The poll
+// interval grows with a large fleet, so that the rate of all polls does not.
 func WithFleet(size func() int) Option {
-	return func(s *Syncer) { s.fleet = size }
+	return func(s *Syncer) { s.fleetSize = size }
 }
 
-// NewSyncer returns a syncer that polls every period, or less often in a large
+// NewSyncer returns a syncer that polls at the interval, or less often in a large
 // fleet.
-func NewSyncer(tables platform.Tables, peers Peers, view *contract.View, events *event.Recorder, period time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
+func NewSyncer(tables platform.Tables, peers Peers, view *contract.View, events *event.Recorder, interval time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
 	s := &Syncer{
 		tables:    tables,
 		peers:     peers,
 		view:      view,
 		events:    events,
-		period:    period,
-		fleet:     func() int { return 0 },
+		interval:  interval,
+		fleetSize: func() int { return 0 },
 		onAdvance: onAdvance,
-		poke:      make(chan struct{}, 1),
+		pollNow:   make(chan struct{}, 1),
 		started:   time.Now(),
 	}
-	s.confirmed.Store(neverConfirmed)
+	s.confirmedAt.Store(neverConfirmed)
 	for _, option := range options {
 		option(s)
 	}
 	return s
 }
 
+// neverConfirmed is the value of confirmedAt before the view was confirmed for the first time.
 const neverConfirmed = math.MinInt64
 
-// Age returns how long ago the view was last known current, or Never. A VM that
-// has just started and reached nobody must not pass for one that knows: its
-// peers would take their old views for current ones.
+// Age returns how long ago the view was last confirmed to be current, or Never. Peers
+// confirm their own views by it. So a VM that has started and reached neither the store nor
+// a peer must return Never: with another age, peers would consider outdated views current.
 func (s *Syncer) Age() time.Duration {
-	at := s.confirmed.Load()
+	at := s.confirmedAt.Load()
 	if at == neverConfirmed {
 		return Never
 	}
 	return time.Since(s.started) - time.Duration(at)
 }
 
-// Poke asks for a poll at once, for example after a digest that named a newer
-// revision.
+// Poke makes Run poll at once, for example after a peer's digest with a newer revision.
 func (s *Syncer) Poke() {
 	select {
-	case s.poke <- struct{}{}:
+	case s.pollNow <- struct{}{}:
 	default:
 	}
 }
@@ -115,45 +116,46 @@
 func (s *Syncer) Run(ctx context.Context) {
 	for {
 		s.sync(ctx)
-		timer := time.NewTimer(s.pollPeriod())
+		timer := time.NewTimer(s.pollInterval())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-s.poke:
+		case <-s.pollNow:
 			timer.Stop()
 		}
 	}
 }
 
-// pollPeriod returns the pause before the next poll, with a random part: VMs
-// that started together must not poll together.
-func (s *Syncer) pollPeriod() time.Duration {
-	period := max(s.period, time.Duration(s.fleet())*time.Second/pollsPerSecond)
-	jitter := period / jitterShare
-	return period - jitter + rand.N(2*jitter+1)
+// pollInterval returns the interval to the next poll. It has a random part, so that VMs
+// that started together don't poll together.
+func (s *Syncer) pollInterval() time.Duration {
+	interval := max(s.interval, time.Duration(s.fleetSize())*time.Second/pollsPerSecond)
+	jitter := interval / jitterDivisor
+	return interval - jitter + rand.N(2*jitter+1)
 }
 
-// sync brings the view up to date from the store, or else from peers.
+// sync updates the view from the store, or from peers if the store is unavailable.
 func (s *Syncer) sync(ctx context.Context) {
-	asked := time.Since(s.started)
-	if err := s.fromStore(ctx); err == nil {
-		s.confirm(asked)
+	askedAt := time.Since(s.started)
+	if err := s.syncFromStore(ctx); err == nil {
+		s.confirm(askedAt)
 	} else {
-		s.fromPeers(ctx, asked)
+		s.syncFromPeers(ctx, askedAt)
 	}
-	s.noteAge()
+	s.reportStaleness()
 }
 
-// fromPeers takes over a newer snapshot of a peer, and its knowledge.
+// syncFromPeers puts a newer snapshot of a peer in force and confirms the view by the peer's
+// age.
 //
-// The peer knew at a time, asked minus age or later, that no revision beyond
-// its own was accepted. Its snapshot is taken over before that counts, and the
-// view never goes back, so the view was current at that time too. An answer
-// without a snapshot comes from a peer that holds nothing newer. The time is
-// counted from before the question, so a slow answer only makes it older.
-func (s *Syncer) fromPeers(ctx context.Context, asked time.Duration) {
+// At the time askedAt minus age, or later, the peer knew that no revision newer than its own
+// was accepted. The view is confirmed for that time only after it has at least the peer's
+// revision: the snapshot is put in force first, a peer without a snapshot in its answer has
+// no newer revision, and the view's revision never decreases. askedAt is the time before the
+// call, so a slow answer only makes the confirmation older.
+func (s *Syncer) syncFromPeers(ctx context.Context, askedAt time.Duration) {
 	snapshot, age, err := s.peers.FetchConfig(ctx, s.view.Load().Revision)
 	if err != nil {
 		return
@@ -161,23 +163,24 @@
 	if snapshot != nil {
 		s.advance(snapshot)
 	}
-	if age < oldestAge {
-		s.confirm(asked - age - ageGrain)
+	if age < maxPeerAge {
+		s.confirm(askedAt - age - agePrecision)
 	}
 }
 
-// confirm notes that the view was current at a time, which only moves forward.
+// confirm records that the view was current at a time. An earlier time than the recorded one
+// is ignored.
 func (s *Syncer) confirm(at time.Duration) {
 	for {
-		old := s.confirmed.Load()
-		if int64(at) <= old || s.confirmed.CompareAndSwap(old, int64(at)) {
+		old := s.confirmedAt.Load()
+		if int64(at) <= old || s.confirmedAt.CompareAndSwap(old, int64(at)) {
 			return
 		}
 	}
 }
 
-// noteAge reports when the view becomes stale and when it is confirmed again.
-func (s *Syncer) noteAge() {
+// reportStaleness emits an event when the view becomes stale and when it is confirmed again.
+func (s *Syncer) reportStaleness() {
 	age := s.Age()
 	if age == Never {
 		age = time.Since(s.started)
@@ -195,40 +198,40 @@
 	s.events.Emit(event.ConfigurationConfirmed, subject)
 }
 
-// logPage is how many log entries are read at once. A VM that is further behind
-// reads the contracts and keys themselves, whose number does not grow with the
+// logPageSize is the number of log entries that one scan returns at most. A VM that lacks
+// more entries reads the contracts and keys themselves, whose number does not grow with the
 // history.
-const logPage = 256
+const logPageSize = 256
 
-func (s *Syncer) fromStore(ctx context.Context) error {
-	at, err := readHead(ctx, s.tables)
+// syncFromStore updates the view to the newest revision in the store.
+func (s *Syncer) syncFromStore(ctx context.Context) error {
+	newest, err := readHead(ctx, s.tables)
 	if err != nil {
 		return err
 	}
-	if behind(s.view.Load(), at) > logPage {
+	if missingEntries(s.view.Load(), newest) > logPageSize {
 		if err := s.bootstrap(ctx); err != nil {
 			return err
 		}
 	}
-	for s.view.Load().Revision < at.Revision {
-		if err := s.applyPage(ctx); err != nil {
+	for s.view.Load().Revision < newest.Revision {
+		if err := s.applyLogPage(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// behind returns how many entries the snapshot lacks.
-func behind(snapshot *contract.Snapshot, at head) contract.Revision {
-	if at.Revision <= snapshot.Revision {
+// missingEntries returns the number of log entries that the snapshot lacks.
+func missingEntries(snapshot *contract.Snapshot, newest head) contract.Revision {
+	if newest.Revision <= snapshot.Revision {
 		return 0
 	}
-	return at.Revision - snapshot.Revision
+	return newest.Revision - snapshot.Revision
 }
 
-// bootstrap puts a snapshot in force that is read from the rows of contracts
-// and keys. When edits keep racing with the read it does nothing, and the log
-// is replayed.
+// bootstrap puts a snapshot in force that is read from the rows of contracts and keys. If
+// readSnapshot finds no consistent one, bootstrap does nothing and the log is replayed.
 func (s *Syncer) bootstrap(ctx context.Context) error {
 	snapshot, err := readSnapshot(ctx, s.tables)
 	if err != nil || snapshot == nil {
@@ -238,9 +241,10 @@
 	return nil
 }
 
-func (s *Syncer) applyPage(ctx context.Context) error {
+// applyLogPage applies the next page of log entries to the view.
+func (s *Syncer) applyLogPage(ctx context.Context) error {
 	snapshot := s.view.Load()
-	rows, err := s.tables.Scan(ctx, logPrefix, logKey(snapshot.Revision), logPage)
+	rows, err := s.tables.Scan(ctx, logPrefix, logKey(snapshot.Revision), logPageSize)
 	if err != nil {
 		return err
 	}
@@ -258,6 +262,7 @@
 	return nil
 }
 
+// advance puts the snapshot in force if it is newer than the view.
 func (s *Syncer) advance(snapshot *contract.Snapshot) {
 	if !s.view.Advance(snapshot) {
 		return
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/platform/platformtest"
 )
 
-// peerSyncers are the other VMs, as a syncer reaches them.
+// peerSyncers are the syncers of the peers that a syncer can reach.
 type peerSyncers []*Syncer
 
 // FetchConfig implements Peers.
@@ -24,7 +24,7 @@
 	var newest *contract.Snapshot
 	age := Never
 	for _, peer := range p {
-		// As over the wire, ages pass through milliseconds.
+		// As on the wire, the age is in whole milliseconds.
 		age = min(age, peer.Age().Truncate(time.Millisecond))
 		if held := peer.view.Load(); held.Revision > after {
 			newest, after = held, held.Revision
@@ -40,7 +40,7 @@
 	return NewSyncer(tables, peers, contract.NewView(), testEvents(), time.Second, func(*contract.Snapshot) {}, options...)
 }
 
-// edit commits n edits of n accounts.
+// edit commits n edits, each of another account.
 func edit(t *testing.T, tables platform.Tables, from, n int) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
@@ -51,44 +51,43 @@
 	}
 }
 
-// A VM starts while the store is down. It has to serve with what its peers
-// know, and its knowledge is as old as theirs.
-func TestStartWhileTheStoreIsDown(t *testing.T) {
+// A VM starts while the store is unavailable. It must serve with the newest snapshot of its
+// peers, and its age must be that of their confirmation.
+func TestStartWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		edit(t, w.Rows, 1, 3)
-		old := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		edit(t, cluster.Rows, 1, 3)
+		old := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		old.sync(ctx)
-		edit(t, w.Rows, 4, 1)
-		knows := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
-		knows.sync(ctx)
-		w.TakeDown(time.Hour)
+		edit(t, cluster.Rows, 4, 1)
+		current := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
+		current.sync(ctx)
+		cluster.TakeDown(time.Hour)
 		time.Sleep(time.Minute)
-		starts := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{old, knows})
-		starts.sync(ctx)
-		if got := starts.view.Load().Revision; got != 4 {
+		starting := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{old, current})
+		starting.sync(ctx)
+		if got := starting.view.Load().Revision; got != 4 {
 			t.Errorf("revision %d in force, want 4", got)
 		}
-		if got := starts.Age(); got < time.Minute || got > time.Minute+2*platformtest.CallTimeout+ageGrain {
-			t.Errorf("age %v, want the peer's of a minute", got)
+		if got := starting.Age(); got < time.Minute || got > time.Minute+2*platformtest.CallTimeout+agePrecision {
+			t.Errorf("age %v, want the peer's age of a minute", got)
 		}
 	})
 }
 
-// All VMs of a failure domain restart while it is cut off. None of them has ever
-// known the revision, and if they took each other's word they would serve
-// withdrawn keys for as long as they like.
+// VMs of a failure domain restart while it is cut off. They have never reached the store. If
+// they confirmed each other's views, they would accept withdrawn keys without a time limit.
 func TestNewVMsDontConfirmEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		edit(t, w.Rows, 1, 2)
-		known := testSyncer(w.Start(ctx, "vm-1"), nil)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		edit(t, cluster.Rows, 1, 2)
+		known := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 		known.sync(ctx)
-		w.TakeDown(24 * time.Hour)
-		fresh := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
-		second := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{fresh})
+		cluster.TakeDown(24 * time.Hour)
+		fresh := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
+		second := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{fresh})
 		fresh.peers = peerSyncers{second}
 		known.peers = peerSyncers{fresh}
 		for range 10 {
@@ -106,18 +105,18 @@
 	})
 }
 
-// Ages only grow while a failure domain is cut off: its VMs repeat to each other
-// what they know, and that must not make it younger.
-func TestKnowledgeOfACutOffDomainAges(t *testing.T) {
+// VMs of a failure domain that is cut off exchange their configuration and its age. The
+// exchange must not decrease the ages.
+func TestViewOfACutOffDomainAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		a := testSyncer(w.Start(ctx, "vm-1"), nil)
-		b := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{a})
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		a := testSyncer(cluster.Start(ctx, "vm-1"), nil)
+		b := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{a})
 		a.peers = peerSyncers{b}
 		a.sync(ctx)
 		b.sync(ctx)
-		w.TakeDown(24 * time.Hour)
+		cluster.TakeDown(24 * time.Hour)
 		start := time.Now()
 		for range 20 {
 			time.Sleep(10 * time.Second)
@@ -130,16 +129,16 @@
 	})
 }
 
-// An answer of a peer was long on its way and holds an old snapshot. Taking it
-// over would bring a withdrawn key back.
+// A peer's answer is delayed and contains an old snapshot. Putting it in force would make
+// withdrawn keys valid again.
 func TestOldSnapshotDoesNotRevert(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
-	edit(t, w.Rows, 1, 1)
-	s := testSyncer(w.Rows, nil)
+	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	edit(t, cluster.Rows, 1, 1)
+	s := testSyncer(cluster.Rows, nil)
 	s.sync(ctx)
 	old := s.view.Load()
-	edit(t, w.Rows, 2, 1)
+	edit(t, cluster.Rows, 2, 1)
 	s.sync(ctx)
 	s.advance(old)
 	if got := s.view.Load().Revision; got != 2 {
@@ -147,60 +146,61 @@
 	}
 }
 
-// A VM starts after many years of edits. Replaying all of them would take
-// minutes; reading the rows while edits go on could mix two revisions.
+// A VM starts after many years of edits. Replaying all of them would take minutes, so it
+// reads the rows of contracts and keys. Edits are committed during the scans, and the
+// snapshot must not mix two revisions.
 func TestBootstrapReadsOneRevision(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
-	edit(t, w.Rows, 1, 2*logPage)
-	racing := 0
-	w.SetScript(func(s platformtest.Step) platformtest.Fault {
-		if s.Process == "vm-1" && s.Call == "scan" && s.Subject == keyPrefix && racing < 2 {
-			racing++
-			edit(t, w.Rows, 2*logPage+racing, 1)
+	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	edit(t, cluster.Rows, 1, 2*logPageSize)
+	committed := 0
+	cluster.SetScript(func(s platformtest.Step) platformtest.Fault {
+		if s.Process == "vm-1" && s.Call == "scan" && s.Subject == keyPrefix && committed < 2 {
+			committed++
+			edit(t, cluster.Rows, 2*logPageSize+committed, 1)
 		}
 		return platformtest.Fault{}
 	})
-	s := testSyncer(w.Start(ctx, "vm-1"), nil)
+	s := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 	s.sync(ctx)
 	view := s.view.Load()
-	if want := 2*logPage + 2; int(view.Revision) != want || len(view.Contracts) != want {
+	if want := 2*logPageSize + 2; int(view.Revision) != want || len(view.Contracts) != want {
 		t.Errorf("revision %d with %d contracts, want %d", view.Revision, len(view.Contracts), want)
 	}
-	for _, step := range w.Steps() {
+	for _, step := range cluster.Steps() {
 		if step.Subject == logPrefix {
 			t.Error("the log was replayed")
 		}
 	}
 }
 
-// The fleet grows to 390 VMs. Each must poll less often, or the polls alone
-// would use up the store's reads.
-func TestPollPeriodGrowsWithTheFleet(t *testing.T) {
+// In a fleet of 390 VMs each VM must poll less often: at the normal interval the polls alone
+// would use up the store's read rate.
+func TestPollIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
 		vms  int
 		want time.Duration
 	}{{9, time.Second}, {390, 7800 * time.Millisecond}} {
 		s := testSyncer(nil, nil, WithFleet(func() int { return c.vms }))
 		for range 100 {
-			got := s.pollPeriod()
+			got := s.pollInterval()
 			if got < c.want*9/10 || got > c.want*11/10 {
-				t.Fatalf("period %v with %d VMs, want %v and a tenth", got, c.vms, c.want)
+				t.Fatalf("interval %v with %d VMs, want %v within a tenth", got, c.vms, c.want)
 			}
 		}
 	}
 }
 
-// A VM loses the store and its peers. An operator must see it in the time line
+// A VM can reach neither the store nor its peers for a while. The events must show operators
 // when the view becomes stale and when it is confirmed again.
 func TestStaleViewIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		ctx, stop := context.WithCancel(context.Background())
-		s := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
+		s := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		go s.Run(ctx)
 		time.Sleep(10 * time.Second)
-		w.TakeDown(2 * staleAfter)
+		cluster.TakeDown(2 * staleAfter)
 		time.Sleep(3 * staleAfter)
 		stop()
 		synctest.Wait()
@@ -209,7 +209,7 @@
 			seen = append(seen, record.Number)
 		}
 		if fmt.Sprint(seen) != fmt.Sprint([]event.Number{event.ConfigurationStale, event.ConfigurationConfirmed}) {
-			t.Errorf("events %v", seen)
+			t.Errorf("got events %v, want one stale and one confirmed view", seen)
 		}
 	})
 }
--- a/internal/provision/ledger.go
+++ b/internal/provision/ledger.go
@@ -1,8 +1,8 @@
-// Package provision orders upstreams for client accounts, within each
-// contract's spending. Every order is first reserved in the account's ledger
-// row, by a transaction that can't exceed the contract, also when the failure
-// domains' controllers order at the same time. An order whose reply was lost is
-// repeated with the same ID until its outcome is known.
+// Package provision orders upstreams for client accounts within the spending limit of each
+// contract. The price of an upstream is reserved in the account's ledger row before its
+// start order is sent. The transaction on the ledger row keeps the reservations within the
+// limit, even if the controllers of several failure domains order at the same time. An
+// order with an unknown outcome is sent again with the same ID until its outcome is known.
 package provision
 
 import (
@@ -15,23 +15,24 @@
 	"dogwoodpond/internal/platform"
 )
 
-// State is how far a reservation is.
+// State is the state of a reservation.
 type State string
 
 // The states of a reservation.
 const (
-	// Starting: the start order may or may not have taken effect.
+	// Starting: a start order may have been sent, and the platform does not list the
+	// upstream yet.
 	Starting State = "starting"
 	// Running: the platform lists the upstream.
 	Running State = "running"
-	// Stopping: a stop order may or may not have taken effect.
+	// Stopping: a stop order may have been sent.
 	Stopping State = "stopping"
-	// Refused: the platform refused the start order. An earlier send of it may
-	// still be on its way, so the money stays reserved for a while.
+	// Refused: the platform refused the start order. An earlier copy of the order may
+	// still be in transit, so the price stays reserved for releaseDelay.
 	Refused State = "refused"
 )
 
-// Reservation is money set aside for one upstream.
+// Reservation reserves the price of one upstream in the spending of an account.
 type Reservation struct {
 	// Order is the ID of the start order.
 	Order         string `json:"order"`
@@ -41,17 +42,17 @@
 	Reclaimable   bool   `json:"reclaimable"`
 	CentsPerHour  int64  `json:"centsPerHour"`
 	State         State  `json:"state"`
-	// Upstream is known once the reservation is running.
+	// Upstream is the ID of the upstream, set once the platform lists it.
 	Upstream string `json:"upstream,omitempty"`
 }
 
-// Ledger is the value of an account's spending row.
+// Ledger holds the reservations of an account; it is the value of the account's ledger row.
 type Ledger struct {
 	Account      contract.Account `json:"account"`
 	Reservations []Reservation    `json:"reservations"`
 }
 
-// CentsPerHour returns the price of all reservations.
+// CentsPerHour returns the total price of all reservations.
 func (l Ledger) CentsPerHour() int64 {
 	var sum int64
 	for _, r := range l.Reservations {
@@ -60,8 +61,8 @@
 	return sum
 }
 
-// Reserve adds a reservation. It fails with *fault.SpendingExceeded when the
-// ledger would exceed the contract's spending.
+// Reserve returns the ledger with a reservation added. It fails with
+// *fault.SpendingExceeded if the total price would exceed the contract's spending.
 func (l Ledger) Reserve(r Reservation, spending contract.Spending) (Ledger, error) {
 	if r.CentsPerHour < 0 || l.CentsPerHour()+r.CentsPerHour > spending.CentsPerHour {
 		return l, errors.WithStack(&fault.SpendingExceeded{Account: string(l.Account)})
@@ -71,9 +72,9 @@
 	return next, nil
 }
 
-// with returns the ledger with the reservation of an order replaced, or removed
-// when changed is nil.
-func (l Ledger) with(order string, changed *Reservation) Ledger {
+// withReservation returns the ledger with the reservation of an order replaced by changed,
+// or removed if changed is nil.
+func (l Ledger) withReservation(order string, changed *Reservation) Ledger {
 	next := l
 	next.Reservations = nil
 	for _, r := range l.Reservations {
@@ -87,17 +88,18 @@
 	return next
 }
 
-// Reconcile moves the reservations of one failure domain to what the platform's
-// list shows.
+// Reconcile returns the ledger with the reservations of one failure domain updated from the
+// upstreams that the platform lists: a listed upstream is running, unless its reservation is
+// stopping.
 func (l Ledger) Reconcile(domain string, listed []platform.Upstream) Ledger {
 	next := l
 	next.Reservations = slices.Clone(l.Reservations)
 	for i, r := range next.Reservations {
-		at := find(r, listed)
-		if r.FailureDomain != domain || at < 0 {
+		index := findUpstream(r, listed)
+		if r.FailureDomain != domain || index < 0 {
 			continue
 		}
-		next.Reservations[i].Upstream = listed[at].ID
+		next.Reservations[i].Upstream = listed[index].ID
 		if r.State != Stopping {
 			next.Reservations[i].State = Running
 		}
@@ -105,21 +107,22 @@
 	return next
 }
 
-func find(r Reservation, listed []platform.Upstream) int {
+// findUpstream returns the index of the upstream that was started by the reservation's order, or -1.
+func findUpstream(r Reservation, listed []platform.Upstream) int {
 	return slices.IndexFunc(listed, func(u platform.Upstream) bool { return u.OrderID == r.Order })
 }
 
-// Orphans returns the listed upstreams of the account in a failure domain that
-// no reservation pays for: a start order that was under way for longer than its
-// reservation was held.
+// Orphans returns the listed upstreams of the account in a failure domain that have no
+// reservation. Such an upstream was started by an order that took effect after its
+// reservation was released.
 func (l Ledger) Orphans(domain string, listed []platform.Upstream) []platform.Upstream {
 	var orphans []platform.Upstream
 	for _, u := range listed {
 		if u.FailureDomain != domain || u.Account != string(l.Account) || u.OrderID == "" {
 			continue
 		}
-		paid := slices.ContainsFunc(l.Reservations, func(r Reservation) bool { return r.Order == u.OrderID })
-		if !paid {
+		reserved := slices.ContainsFunc(l.Reservations, func(r Reservation) bool { return r.Order == u.OrderID })
+		if !reserved {
 			orphans = append(orphans, u)
 		}
 	}
--- a/internal/provision/plan.go
+++ b/internal/provision/plan.go
@@ -8,27 +8,28 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Demand is the work of one account for one pool in a failure domain.
+// Demand is the number of requests of one account for one pool in a failure domain.
 type Demand struct {
 	Account contract.Account
 	Model   string
 	Adapter string
-	// Running and Queued count requests.
+	// Running and Queued are numbers of requests.
 	Running, Queued int
 }
 
-// Action is what a plan asks for; one of Start and Stop is set.
+// Action is an order to send; exactly one of Start and Stop is set.
 type Action struct {
 	Start *Reservation
 	Stop  *Reservation
 }
 
-// Planner decides what to order for an account. It keeps a little history, so
-// that a short dip or peak orders nothing.
+// Planner decides what to order for an account. It acts only on demand that lasts for
+// several rounds, so that a short change of the demand causes no order.
 type Planner struct {
 	domain string
-	// high and low count the ticks in a row with too much and too little work.
-	high, low map[poolKey]int
+	// queuedRounds counts the consecutive rounds with queued requests, idleRounds those
+	// with upstreams but without requests.
+	queuedRounds, idleRounds map[poolKey]int
 }
 
 type poolKey struct {
@@ -42,58 +43,60 @@
 
 // NewPlanner returns a planner for a failure domain.
 func NewPlanner(domain string) *Planner {
-	return &Planner{domain: domain, high: make(map[poolKey]int), low: make(map[poolKey]int)}
+	return &Planner{domain: domain, queuedRounds: make(map[poolKey]int), idleRounds: make(map[poolKey]int)}
 }
 
 const (
-	// startAfter is how many ticks in a row work must wait before an upstream
-	// is ordered, and stopAfter how many must leave one idle before it goes.
-	startAfter = 3
-	stopAfter  = 30
+	// startAfterRounds is the number of consecutive rounds with queued requests after
+	// which an upstream is started, and stopAfterRounds that of idle rounds after which
+	// one is stopped.
+	startAfterRounds = 3
+	stopAfterRounds  = 30
 )
 
-// Plan returns at most one action for a demand, so that the effect of each is
-// seen before the next.
+// Plan returns at most one action for a demand, and none while an earlier order for the same
+// pool is pending, except to reduce the spending. So the effect of each order is seen before
+// the next.
 func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platform.Offer) (Action, bool) {
 	key := d.key()
-	own := p.own(d, l)
-	if over := overSpending(own, l, c); over != nil {
-		return Action{Stop: over}, true
+	reservations := p.reservations(d, l)
+	if excess := excessReservation(reservations, l, c); excess != nil {
+		return Action{Stop: excess}, true
 	}
-	if pending(own) {
+	if hasPendingOrder(reservations) {
 		return Action{}, false
 	}
-	p.count(key, d, own)
+	p.countRound(key, d, reservations)
 	switch {
-	case p.high[key] >= startAfter:
-		p.high[key] = 0
-		return p.start(d, c, l, own, offers)
-	case p.low[key] >= stopAfter:
-		p.low[key] = 0
-		return Action{Stop: &own[len(own)-1]}, true
+	case p.queuedRounds[key] >= startAfterRounds:
+		p.queuedRounds[key] = 0
+		return p.start(d, c, l, reservations, offers)
+	case p.idleRounds[key] >= stopAfterRounds:
+		p.idleRounds[key] = 0
+		return Action{Stop: &reservations[len(reservations)-1]}, true
 	default:
 		return Action{}, false
 	}
 }
 
-// own returns the demand's reservations in the failure domain.
-func (p *Planner) own(d Demand, l Ledger) []Reservation {
-	var own []Reservation
+// reservations returns the reservations for the demand's pool in the failure domain.
+func (p *Planner) reservations(d Demand, l Ledger) []Reservation {
+	var reservations []Reservation
 	for _, r := range l.Reservations {
 		if r.FailureDomain == p.domain && r.Model == d.Model && r.Adapter == d.Adapter {
-			own = append(own, r)
+			reservations = append(reservations, r)
 		}
 	}
-	return own
+	return reservations
 }
 
-// overSpending returns a running reservation to give up when an edit has
-// lowered the contract's spending below what is reserved.
-func overSpending(own []Reservation, l Ledger, c contract.Contract) *Reservation {
+// excessReservation returns a running reservation to stop if an edit has lowered the
+// contract's spending below the reserved total, else nil.
+func excessReservation(reservations []Reservation, l Ledger, c contract.Contract) *Reservation {
 	if l.CentsPerHour() <= c.Spending.CentsPerHour {
 		return nil
 	}
-	for _, r := range own {
+	for _, r := range reservations {
 		if r.State == Running {
 			return &r
 		}
@@ -101,35 +104,36 @@
 	return nil
 }
 
-// pending reports whether the effect of an earlier order is still to be seen.
-func pending(own []Reservation) bool {
-	return slices.ContainsFunc(own, func(r Reservation) bool { return r.State != Running })
+// hasPendingOrder reports whether the effect of an earlier order has not been seen yet.
+func hasPendingOrder(reservations []Reservation) bool {
+	return slices.ContainsFunc(reservations, func(r Reservation) bool { return r.State != Running })
 }
 
-func (p *Planner) count(key poolKey, d Demand, own []Reservation) {
+// countRound updates the consecutive rounds with queued requests and those without requests.
+func (p *Planner) countRound(key poolKey, d Demand, reservations []Reservation) {
 	if d.Queued > 0 {
-		p.high[key]++
+		p.queuedRounds[key]++
 	} else {
-		p.high[key] = 0
+		p.queuedRounds[key] = 0
 	}
-	if d.Queued == 0 && d.Running == 0 && len(own) > 0 {
-		p.low[key]++
+	if d.Queued == 0 && d.Running == 0 && len(reservations) > 0 {
+		p.idleRounds[key]++
 	} else {
-		p.low[key] = 0
+		p.idleRounds[key] = 0
 	}
 }
 
-// start picks the cheapest offer that the contract allows.
-func (p *Planner) start(d Demand, c contract.Contract, l Ledger, own []Reservation, offers []platform.Offer) (Action, bool) {
-	var fit []platform.Offer
+// start returns the start of an upstream at the cheapest offer that the contract allows.
+func (p *Planner) start(d Demand, c contract.Contract, l Ledger, reservations []Reservation, offers []platform.Offer) (Action, bool) {
+	var candidates []platform.Offer
 	for _, o := range offers {
 		matches := o.FailureDomain == p.domain && o.Model == d.Model && o.Available > 0
-		if matches && (!o.Reclaimable || reclaimableFits(c, own)) {
-			fit = append(fit, o)
+		if matches && (!o.Reclaimable || allowsReclaimable(c, reservations)) {
+			candidates = append(candidates, o)
 		}
 	}
-	slices.SortFunc(fit, func(a, b platform.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
-	for _, o := range fit {
+	slices.SortFunc(candidates, func(a, b platform.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
+	for _, o := range candidates {
 		r := Reservation{
 			FailureDomain: p.domain,
 			Model:         d.Model,
@@ -145,14 +149,14 @@
 	return Action{}, false
 }
 
-// reclaimableFits reports whether one more reclaimable upstream keeps the share
-// within the contract.
-func reclaimableFits(c contract.Contract, own []Reservation) bool {
+// allowsReclaimable reports whether the contract allows one more reclaimable upstream next
+// to the reserved ones.
+func allowsReclaimable(c contract.Contract, reservations []Reservation) bool {
 	reclaimable := 1
-	for _, r := range own {
+	for _, r := range reservations {
 		if r.Reclaimable {
 			reclaimable++
 		}
 	}
-	return reclaimable*100 <= c.Reclaimable.Percent*(len(own)+1)
+	return reclaimable*100 <= c.Reclaimable.Percent*(len(reservations)+1)
 }
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -25,94 +25,94 @@
 	limit   = 500
 )
 
-// market starts and stops upstreams as ordered. It can lose requests and
-// replies, and carry orders out late.
-type market struct {
-	random  *rand.Rand
-	percent int
-	fences  bool
-	// onlyLate lets every hit delay the order.
-	onlyLate bool
-	spare    map[string]int
-	epochs   map[string]uint64
-	done     map[string]bool
-	running  []platform.Upstream
-	late     []lateOrder
-	listed   []platform.Upstream
-	starts   int
-	overruns int
+// fakePlatform starts and stops upstreams as ordered. It can lose requests and replies, and
+// delay orders. Its list shows the running upstreams as of the last refresh.
+type fakePlatform struct {
+	random       *rand.Rand
+	faultPercent int
+	checksEpochs bool
+	// onlyDelays makes every fault a delay of the order.
+	onlyDelays bool
+	available  map[string]int
+	epochs     map[string]uint64
+	executed   map[string]bool
+	running    []platform.Upstream
+	delayed    []delayedOrder
+	listed     []platform.Upstream
+	starts     int
+	overspends int
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	order platform.Order
 	at    time.Time
 }
 
-func newMarket(random *rand.Rand, percent int, domains ...string) *market {
-	m := &market{
-		random:  random,
-		percent: percent,
-		fences:  true,
-		spare:   make(map[string]int),
-		epochs:  make(map[string]uint64),
-		done:    make(map[string]bool),
+func newFakePlatform(random *rand.Rand, faultPercent int, domains ...string) *fakePlatform {
+	m := &fakePlatform{
+		random:       random,
+		faultPercent: faultPercent,
+		checksEpochs: true,
+		available:    make(map[string]int),
+		epochs:       make(map[string]uint64),
+		executed:     make(map[string]bool),
 	}
 	for _, d := range domains {
-		m.spare[d] = 4
+		m.available[d] = 4
 	}
 	return m
 }
 
-func (m *market) Order(_ context.Context, o platform.Order) error {
-	m.land()
-	if m.random.IntN(100) >= m.percent {
-		return m.carryOut(o)
+func (m *fakePlatform) Order(_ context.Context, o platform.Order) error {
+	m.executeDelayed()
+	if m.random.IntN(100) >= m.faultPercent {
+		return m.execute(o)
 	}
 	kind := m.random.IntN(3)
-	if m.onlyLate {
+	if m.onlyDelays {
 		kind = 2
 	}
 	switch kind {
 	case 0: // The request is lost.
 	case 1: // The reply is lost.
-		_ = m.carryOut(o)
-	default: // The order is delayed, by less than a reservation is held.
+		_ = m.execute(o)
+	default: // The order is delayed by less than releaseDelay.
 		delay := time.Duration(m.random.IntN(20)) * time.Second
-		m.late = append(m.late, lateOrder{order: o, at: time.Now().Add(delay)})
+		m.delayed = append(m.delayed, delayedOrder{order: o, at: time.Now().Add(delay)})
 	}
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "order", EffectUnknown: true})
 }
 
-func (m *market) land() {
-	var waiting []lateOrder
-	for _, l := range m.late {
+func (m *fakePlatform) executeDelayed() {
+	var remaining []delayedOrder
+	for _, l := range m.delayed {
 		if l.at.After(time.Now()) {
-			waiting = append(waiting, l)
+			remaining = append(remaining, l)
 			continue
 		}
-		_ = m.carryOut(l.order)
+		_ = m.execute(l.order)
 	}
-	m.late = waiting
+	m.delayed = remaining
 }
 
-func (m *market) carryOut(o platform.Order) error {
-	if m.fences && o.Epoch < m.epochs[o.FailureDomain] {
+func (m *fakePlatform) execute(o platform.Order) error {
+	if m.checksEpochs && o.Epoch < m.epochs[o.FailureDomain] {
 		return errors.WithStack(&fault.OrderFenced{Order: o.ID, Epoch: o.Epoch})
 	}
 	m.epochs[o.FailureDomain] = max(m.epochs[o.FailureDomain], o.Epoch)
-	if m.done[o.ID] {
+	if m.executed[o.ID] {
 		return nil
 	}
 	if o.Kind == platform.OrderStop {
 		m.stop(o.Upstream)
-		m.done[o.ID] = true
+		m.executed[o.ID] = true
 		return nil
 	}
-	if m.spare[o.FailureDomain] == 0 {
+	if m.available[o.FailureDomain] == 0 {
 		return errors.WithStack(&fault.PlatformRefused{Operation: "order", Status: 409})
 	}
-	m.done[o.ID] = true
-	m.spare[o.FailureDomain]--
+	m.executed[o.ID] = true
+	m.available[o.FailureDomain]--
 	m.starts++
 	m.running = append(m.running, platform.Upstream{
 		ID:            fmt.Sprintf("u%d", m.starts),
@@ -125,64 +125,63 @@
 		CentsPerHour:  price,
 	})
 	if len(m.running)*price > limit {
-		m.overruns++
+		m.overspends++
 	}
 	return nil
 }
 
-func (m *market) stop(id string) {
+func (m *fakePlatform) stop(id string) {
 	for i, u := range m.running {
 		if u.ID == id {
 			m.running = append(m.running[:i:i], m.running[i+1:]...)
-			m.spare[u.FailureDomain]++
+			m.available[u.FailureDomain]++
 			return
 		}
 	}
 }
 
-// refresh lets the list catch up with what runs.
-func (m *market) refresh() {
-	m.land()
+// refresh updates the list from the running upstreams.
+func (m *fakePlatform) refresh() {
+	m.executeDelayed()
 	m.listed = append([]platform.Upstream(nil), m.running...)
 }
 
-func (m *market) Upstreams(context.Context) ([]platform.Upstream, error) { return m.listed, nil }
+func (m *fakePlatform) Upstreams(context.Context) ([]platform.Upstream, error) { return m.listed, nil }
 
-func (m *market) Offers(context.Context) ([]platform.Offer, error) {
+func (m *fakePlatform) Offers(context.Context) ([]platform.Offer, error) {
 	var offers []platform.Offer
-	for d, n := range m.spare {
+	for d, n := range m.available {
 		offers = append(offers, platform.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
 	}
 	return offers, nil
 }
 
-// held is a lease that its holder believes to hold.
-type held uint64
+// heldLease is a lease that its holder considers held; its value is the epoch.
+type heldLease uint64
 
-func (held) Check() error        { return nil }
-func (h held) Epoch() uint64     { return uint64(h) }
-func (held) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (heldLease) Check() error        { return nil }
+func (h heldLease) Epoch() uint64     { return uint64(h) }
+func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newProvisioner(domain string, tables platform.Tables, m *market) *Provisioner {
+func newProvisioner(domain string, tables platform.Tables, m *fakePlatform) *Provisioner {
 	started := time.Now()
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	return NewProvisioner(domain, tables, m, events, func() time.Duration { return time.Since(started) })
 }
 
-// interleaved runs another holder now and then between a holder's read and its
-// next call.
-type interleaved struct {
+// interleavedTables sometimes runs another holder between a holder's scan and its next call.
+type interleavedTables struct {
 	platform.Tables
-	random    *rand.Rand
-	meanwhile func()
+	random     *rand.Rand
+	concurrent func()
 }
 
-func (i *interleaved) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (i *interleavedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
 	rows, err := i.Tables.Scan(ctx, prefix, after, limit)
-	if other := i.meanwhile; other != nil && i.random.IntN(6) == 0 {
-		i.meanwhile = nil
+	if other := i.concurrent; other != nil && i.random.IntN(6) == 0 {
+		i.concurrent = nil
 		other()
-		i.meanwhile = other
+		i.concurrent = other
 	}
 	return rows, err
 }
@@ -193,11 +192,11 @@
 	return c
 }
 
-func tick(t *testing.T, p *Provisioner, epoch uint64, m *market, queued, running int) error {
+func runRound(t *testing.T, p *Provisioner, epoch uint64, m *fakePlatform, queued, running int) error {
 	t.Helper()
 	offers, _ := m.Offers(t.Context())
 	d := Demand{Account: account, Model: model, Queued: queued, Running: running}
-	return p.Run(t.Context(), held(epoch), Round{
+	return p.Run(t.Context(), heldLease(epoch), Round{
 		Listed:    m.listed,
 		Offers:    offers,
 		Demands:   []Demand{d},
@@ -205,14 +204,14 @@
 	})
 }
 
-func TestWorkIsServedUpToTheContractsSpending(t *testing.T) {
+func TestUpstreamsAreOrderedUpToTheContractsSpending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
+		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
 		tables := memory.NewTables()
 		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
 		for range 60 {
 			for _, p := range []*Provisioner{a, b} {
-				if err := tick(t, p, 1, m, 10, 10); err != nil {
+				if err := runRound(t, p, 1, m, 10, 10); err != nil {
 					t.Fatalf("Run: %v", err)
 				}
 			}
@@ -224,40 +223,40 @@
 		}
 		for range 200 {
 			for _, p := range []*Provisioner{a, b} {
-				_ = tick(t, p, 1, m, 0, 0)
+				_ = runRound(t, p, 1, m, 0, 0)
 			}
 			m.refresh()
 			time.Sleep(time.Second)
 		}
 		if got := len(m.running); got != 0 {
-			t.Errorf("%d upstreams run without work, want none", got)
+			t.Errorf("%d upstreams run without demand, want none", got)
 		}
 	})
 }
 
-// Requests and replies to the platform are lost or late, the lease moves between
-// two processes that for a while both believe to hold it, in two failure
-// domains at once, and some platforms ignore fencing numbers. However it goes,
-// the customer must never pay for more than the contract allows.
+// Orders and their replies are lost or delayed. In each of two failure domains two processes
+// consider themselves the lease holder at the same time, and with every other seed the
+// platform ignores fencing tokens. Still the price of the running upstreams must never
+// exceed the contract's spending.
 func TestSpendingIsNeverExceeded(t *testing.T) {
 	const seeds = 80
 	for seed := range uint64(seeds) {
-		synctest.Test(t, func(t *testing.T) { spendUnreliably(t, seed) })
+		synctest.Test(t, func(t *testing.T) { checkSpending(t, seed) })
 	}
 }
 
-func spendUnreliably(t *testing.T, seed uint64) {
+func checkSpending(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	m := newMarket(random, 30, "a", "b")
-	m.fences = seed%2 == 0
-	tables := &interleaved{Tables: memory.NewTables(), random: random}
+	m := newFakePlatform(random, 30, "a", "b")
+	m.checksEpochs = seed%2 == 0
+	tables := &interleavedTables{Tables: memory.NewTables(), random: random}
 	holders := []*Provisioner{
 		newProvisioner("a", tables, m), newProvisioner("a", tables, m),
 		newProvisioner("b", tables, m), newProvisioner("b", tables, m),
 	}
-	tables.meanwhile = func() {
+	tables.concurrent = func() {
 		i := random.IntN(len(holders))
-		_ = tick(t, holders[i], uint64(1+i%2), m, 10, 10)
+		_ = runRound(t, holders[i], uint64(1+i%2), m, 10, 10)
 	}
 	for range 400 {
 		i := random.IntN(len(holders))
@@ -265,7 +264,7 @@
 		if random.IntN(3) > 0 {
 			queued = 10
 		}
-		_ = tick(t, holders[i], uint64(1+i%2), m, queued, queued)
+		_ = runRound(t, holders[i], uint64(1+i%2), m, queued, queued)
 		if random.IntN(4) == 0 {
 			m.refresh()
 		}
@@ -274,33 +273,33 @@
 		}
 		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 	}
-	if m.overruns > 0 {
-		t.Errorf("seed %d: the spending was exceeded %d times", seed, m.overruns)
+	if m.overspends > 0 {
+		t.Errorf("seed %d: the spending was exceeded %d times", seed, m.overspends)
 	}
 	if m.starts == 0 {
 		t.Errorf("seed %d: nothing was started", seed)
 	}
 }
 
-// The start order takes effect, but its reply is lost and the process dies. The
-// successor knows of the order from the ledger only; a new one would start a
-// second upstream for the same need.
-func TestSuccessorDoesNotRepeatAnOrderThatTookEffect(t *testing.T) {
+// A process dies after its start order took effect. The new holder learns of the order from
+// the ledger only. If it sent a new order instead of the same one, a second upstream would
+// be started for the same demand.
+func TestNewHolderDoesNotDuplicateAnExecutedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a")
+		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a")
 		tables := memory.NewTables()
 		first := newProvisioner("a", tables, m)
-		for range startAfter {
-			if err := tick(t, first, 1, m, 5, 0); err != nil {
+		for range startAfterRounds {
+			if err := runRound(t, first, 1, m, 5, 0); err != nil {
 				t.Fatalf("Run: %v", err)
 			}
 		}
 		if m.starts != 1 {
 			t.Fatalf("%d upstreams were started, want 1", m.starts)
 		}
-		successor := newProvisioner("a", tables, m)
+		newHolder := newProvisioner("a", tables, m)
 		for range 10 {
-			if err := tick(t, successor, 2, m, 5, 0); err != nil {
+			if err := runRound(t, newHolder, 2, m, 5, 0); err != nil {
 				t.Fatalf("Run: %v", err)
 			}
 			time.Sleep(time.Second)
@@ -311,32 +310,31 @@
 	})
 }
 
-// The platform takes orders but answers none for a minute, and carries them out
-// late. Were the money given up meanwhile, another failure domain would spend it
-// a second time.
-func TestMoneyStaysReservedWhileAnOrderIsUnanswered(t *testing.T) {
+// The platform answers no orders of a failure domain and delays their execution. If their
+// reservations were released meanwhile, another failure domain would spend the same money.
+func TestReservationIsHeldWhileAnOrderIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
-		m.spare["b"] = 10
+		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
+		m.available["b"] = 10
 		tables := memory.NewTables()
 		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
-		m.onlyLate = true
+		m.onlyDelays = true
 		for range 100 {
-			m.percent = 100
-			_ = tick(t, a, 1, m, 5, 5)
-			m.percent = 0
-			_ = tick(t, b, 1, m, 5, 5)
+			m.faultPercent = 100
+			_ = runRound(t, a, 1, m, 5, 5)
+			m.faultPercent = 0
+			_ = runRound(t, b, 1, m, 5, 5)
 			m.refresh()
 			m.listed = nil
-			if len(m.late) > 0 {
-				m.late[0].at = time.Now().Add(90 * time.Second)
-				m.late = m.late[:1]
+			if len(m.delayed) > 0 {
+				m.delayed[0].at = time.Now().Add(90 * time.Second)
+				m.delayed = m.delayed[:1]
 			}
 			time.Sleep(time.Second)
 		}
 		m.refresh()
-		if m.overruns > 0 {
-			t.Errorf("the spending was exceeded %d times", m.overruns)
+		if m.overspends > 0 {
+			t.Errorf("the spending was exceeded %d times", m.overspends)
 		}
 	})
 }
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -17,11 +17,11 @@
 	"dogwoodpond/internal/platform"
 )
 
-// LedgerPrefix starts the keys of the spending rows.
+// LedgerPrefix is the prefix of the keys of the ledger rows.
 const LedgerPrefix = "spending/"
 
-// Provisioner keeps the upstreams of one failure domain in step with the work,
-// under the failure domain's lease.
+// Provisioner starts and stops upstreams of one failure domain according to the demand. It
+// runs on the VM that holds the failure domain's lease.
 type Provisioner struct {
 	domain  string
 	tables  platform.Tables
@@ -29,87 +29,88 @@
 	events  *event.Recorder
 	planner *Planner
 	elapsed func() time.Duration
-	// acked holds the start orders that the platform has accepted.
-	acked map[string]bool
-	// idleSince remembers since when each reservation has had no listed upstream
-	// and no order that may still take effect.
-	idleSince map[string]time.Duration
+	// accepted holds the IDs of the start orders that the platform has accepted.
+	accepted map[string]bool
+	// unusedSince holds, by order ID, since when a reservation has had no listed upstream
+	// and no start order with an unknown outcome.
+	unusedSince map[string]time.Duration
 }
 
 // NewProvisioner returns a provisioner; elapsed returns a monotonic time.
 func NewProvisioner(domain string, tables platform.Tables, orders platform.Upstreams, events *event.Recorder, elapsed func() time.Duration) *Provisioner {
 	return &Provisioner{
-		domain:    domain,
-		tables:    tables,
-		orders:    orders,
-		events:    events,
-		planner:   NewPlanner(domain),
-		elapsed:   elapsed,
-		acked:     make(map[string]bool),
-		idleSince: make(map[string]time.Duration),
+		domain:      domain,
+		tables:      tables,
+		orders:      orders,
+		events:      events,
+		planner:     NewPlanner(domain),
+		elapsed:     elapsed,
+		accepted:    make(map[string]bool),
+		unusedSince: make(map[string]time.Duration),
 	}
 }
 
-// Round is what a round of orders is decided on.
+// Round holds the data that a round of orders is decided on.
 type Round struct {
-	// Listed must have been read after the lease was taken.
+	// Listed must have been read after the lease was acquired.
 	Listed    []platform.Upstream
 	Offers    []platform.Offer
 	Demands   []Demand
 	Contracts map[contract.Account]contract.Contract
 }
 
-// Run settles every open order of the failure domain and gives the new ones. It
-// fails with *fault.StoreUnavailable, *fault.LeaseLost or *fault.OrderFenced;
-// the next round goes on from what the ledgers say.
+// Run runs one round: it sends the orders of the failure domain with an unknown outcome
+// again, and sends new ones. It fails with *fault.StoreUnavailable, *fault.LeaseLost or
+// *fault.OrderFenced; the next round continues from the ledgers.
 func (p *Provisioner) Run(ctx context.Context, guard fence.Guard, round Round) error {
-	accounts, err := p.ledgers(ctx)
+	accounts, err := p.readLedgers(ctx)
 	if err != nil {
 		return err
 	}
-	for _, d := range p.complete(round, accounts) {
-		kept, ok := accounts[d.Account]
+	for _, d := range p.allDemands(round, accounts) {
+		stored, ok := accounts[d.Account]
 		if !ok {
-			kept = keptLedger{ledger: Ledger{Account: d.Account}, row: platform.Row{Key: LedgerPrefix + string(d.Account)}}
+			stored = storedLedger{ledger: Ledger{Account: d.Account}, row: platform.Row{Key: LedgerPrefix + string(d.Account)}}
 		}
-		kept, err := p.step(ctx, guard, round, d, kept)
+		stored, err := p.handleDemand(ctx, guard, round, d, stored)
 		if err != nil {
 			return err
 		}
-		accounts[d.Account] = kept
+		accounts[d.Account] = stored
 	}
 	return nil
 }
 
-// keptLedger is a ledger with the row that it was read from.
-type keptLedger struct {
+// storedLedger is a ledger with the row that it was read from.
+type storedLedger struct {
 	ledger Ledger
 	row    platform.Row
 }
 
-// maxLedgers bounds the accounts of one scan; a fleet has fewer.
+// maxLedgers is the limit of the one scan that reads all ledgers; a fleet has fewer accounts.
 const maxLedgers = 4096
 
-// ledgers reads the ledgers of all accounts by one scan.
-func (p *Provisioner) ledgers(ctx context.Context) (map[contract.Account]keptLedger, error) {
+// readLedgers reads the ledgers of all accounts by one scan.
+func (p *Provisioner) readLedgers(ctx context.Context) (map[contract.Account]storedLedger, error) {
 	rows, err := p.tables.Scan(ctx, LedgerPrefix, LedgerPrefix, maxLedgers)
 	if err != nil {
 		return nil, err
 	}
-	accounts := make(map[contract.Account]keptLedger, len(rows))
+	accounts := make(map[contract.Account]storedLedger, len(rows))
 	for _, row := range rows {
 		var ledger Ledger
 		if err := row.Decode(&ledger); err != nil {
 			return nil, err
 		}
-		accounts[ledger.Account] = keptLedger{ledger: ledger, row: row}
+		accounts[ledger.Account] = storedLedger{ledger: ledger, row: row}
 	}
 	return accounts, nil
 }
 
-// complete returns the demands of all contracts that pay for upstreams, and
-// empty ones for reservations without work, so that those come to an end.
-func (p *Provisioner) complete(round Round, accounts map[contract.Account]keptLedger) []Demand {
+// allDemands returns the demands of the accounts whose contract allows spending, and an empty
+// demand for each pool with reservations but without a demand, so that its upstreams are
+// stopped. They are sorted by account.
+func (p *Provisioner) allDemands(round Round, accounts map[contract.Account]storedLedger) []Demand {
 	var demands []Demand
 	seen := make(map[poolKey]bool)
 	for _, d := range round.Demands {
@@ -118,8 +119,8 @@
 			seen[d.key()] = true
 		}
 	}
-	for account, kept := range accounts {
-		for _, r := range kept.ledger.Reservations {
+	for account, stored := range accounts {
+		for _, r := range stored.ledger.Reservations {
 			idle := Demand{Account: account, Model: r.Model, Adapter: r.Adapter}
 			if r.FailureDomain == p.domain && !seen[idle.key()] {
 				demands = append(demands, idle)
@@ -131,162 +132,163 @@
 	return demands
 }
 
-// step settles what is open for a demand, and then plans.
-func (p *Provisioner) step(ctx context.Context, guard fence.Guard, round Round, d Demand, kept keptLedger) (keptLedger, error) {
-	kept, err := p.reconcile(ctx, kept, round.Listed)
+// handleDemand reconciles the ledger, sends pending orders again, and then plans and executes
+// an action for the demand.
+func (p *Provisioner) handleDemand(ctx context.Context, guard fence.Guard, round Round, d Demand, stored storedLedger) (storedLedger, error) {
+	stored, err := p.reconcile(ctx, stored, round.Listed)
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
-	kept, err = p.repeatOrders(ctx, guard, kept, round.Listed)
+	stored, err = p.resendOrders(ctx, guard, stored, round.Listed)
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
 	c := round.Contracts[d.Account]
-	action, ok := p.planner.Plan(d, c, kept.ledger, round.Offers)
+	action, ok := p.planner.Plan(d, c, stored.ledger, round.Offers)
 	switch {
 	case !ok:
-		return kept, nil
+		return stored, nil
 	case action.Stop != nil:
-		return p.stop(ctx, guard, kept, *action.Stop)
+		return p.stop(ctx, guard, stored, *action.Stop)
 	default:
-		return p.start(ctx, guard, kept, c, *action.Start)
+		return p.start(ctx, guard, stored, c, *action.Start)
 	}
 }
 
-// write replaces a ledger if it is still as it was read.
-func (p *Provisioner) write(ctx context.Context, kept keptLedger, ledger Ledger) (keptLedger, error) {
+// writeLedger replaces a ledger if its row has not changed since it was read.
+func (p *Provisioner) writeLedger(ctx context.Context, stored storedLedger, ledger Ledger) (storedLedger, error) {
 	value, err := json.Marshal(ledger)
 	if err != nil {
-		return kept, errors.WithStack(&fault.Internal{Where: "ledger"})
+		return stored, errors.WithStack(&fault.Internal{Where: "ledger"})
 	}
 	err = platform.CommitSurely(ctx, p.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: kept.row.Key, Version: kept.row.Version}},
-		Writes:        []platform.Write{{Key: kept.row.Key, Value: value}},
+		Preconditions: []platform.Precondition{{Key: stored.row.Key, Version: stored.row.Version}},
+		Writes:        []platform.Write{{Key: stored.row.Key, Value: value}},
 	})
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
-	kept.ledger = ledger
-	kept.row.Version++
-	return kept, nil
+	stored.ledger = ledger
+	stored.row.Version++
+	return stored, nil
 }
 
-// releaseHold is how long money stays reserved for an upstream that is not
-// listed: longer than the list lags and than an earlier send of the order can be
-// under way.
-const releaseHold = 30 * time.Second
+// releaseDelay is how long a price stays reserved while the upstream is not listed. It is
+// longer than the delay of the platform's list and than the time for which an earlier copy
+// of the order can be in transit.
+const releaseDelay = 30 * time.Second
 
-// reconcile writes what the platform's list shows, and releases reservations
-// that had nothing to pay for during the hold.
-func (p *Provisioner) reconcile(ctx context.Context, kept keptLedger, listed []platform.Upstream) (keptLedger, error) {
-	next := kept.ledger.Reconcile(p.domain, listed)
+// reconcile updates a ledger from the platform's list and releases the expired reservations.
+func (p *Provisioner) reconcile(ctx context.Context, stored storedLedger, listed []platform.Upstream) (storedLedger, error) {
+	next := stored.ledger.Reconcile(p.domain, listed)
 	for _, r := range next.Reservations {
-		if r.FailureDomain == p.domain && p.expired(r, find(r, listed) >= 0) {
-			next = next.with(r.Order, nil)
+		if r.FailureDomain == p.domain && p.isExpired(r, findUpstream(r, listed) >= 0) {
+			next = next.withReservation(r.Order, nil)
 		}
 	}
-	if slices.Equal(kept.ledger.Reservations, next.Reservations) {
-		return kept, nil
+	if slices.Equal(stored.ledger.Reservations, next.Reservations) {
+		return stored, nil
 	}
-	return p.write(ctx, kept, next)
+	return p.writeLedger(ctx, stored, next)
 }
 
-// expired reports whether a reservation has paid for nothing for the whole hold.
-func (p *Provisioner) expired(r Reservation, listed bool) bool {
-	undecided := r.State == Starting && !p.acked[r.Order]
-	if listed || undecided {
-		delete(p.idleSince, r.Order)
+// isExpired reports whether a reservation has been without an upstream for releaseDelay. A
+// reservation whose start order has an unknown outcome does not expire.
+func (p *Provisioner) isExpired(r Reservation, listed bool) bool {
+	outcomeUnknown := r.State == Starting && !p.accepted[r.Order]
+	if listed || outcomeUnknown {
+		delete(p.unusedSince, r.Order)
 		return false
 	}
-	since, seen := p.idleSince[r.Order]
+	since, seen := p.unusedSince[r.Order]
 	if !seen {
-		p.idleSince[r.Order] = p.elapsed()
+		p.unusedSince[r.Order] = p.elapsed()
 		return false
 	}
-	return p.elapsed()-since >= releaseHold
+	return p.elapsed()-since >= releaseDelay
 }
 
-// repeatOrders sends the orders again whose effect has not been seen, and stops
-// upstreams that nobody pays for. Orders keep their IDs, so one that took effect
-// is not carried out twice.
-func (p *Provisioner) repeatOrders(ctx context.Context, guard fence.Guard, kept keptLedger, listed []platform.Upstream) (keptLedger, error) {
-	for _, u := range kept.ledger.Orphans(p.domain, listed) {
-		if err := p.send(ctx, guard, stopOrder(p.domain, u.OrderID, u.ID)); final(err) {
-			return kept, err
+// resendOrders sends the orders again whose effect has not been seen, and stops upstreams
+// without a reservation. Orders keep their IDs, so the platform does not execute one twice.
+func (p *Provisioner) resendOrders(ctx context.Context, guard fence.Guard, stored storedLedger, listed []platform.Upstream) (storedLedger, error) {
+	for _, u := range stored.ledger.Orphans(p.domain, listed) {
+		if err := p.send(ctx, guard, stopOrder(p.domain, u.OrderID, u.ID)); endsRound(err) {
+			return stored, err
 		}
 	}
-	for _, r := range kept.ledger.Reservations {
+	for _, r := range stored.ledger.Reservations {
 		if r.FailureDomain != p.domain {
 			continue
 		}
 		var err error
 		switch r.State {
 		case Starting:
-			kept, err = p.sendStart(ctx, guard, kept, r)
+			stored, err = p.sendStart(ctx, guard, stored, r)
 		case Stopping:
 			err = p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
 		}
-		if final(err) {
-			return kept, err
+		if endsRound(err) {
+			return stored, err
 		}
 	}
-	return kept, nil
+	return stored, nil
 }
 
-// final reports whether a failure ends the round: the lease is gone, or the
-// ledger is not as it was read. Unanswered and refused orders do not.
-func final(err error) bool {
+// endsRound reports whether an error ends the round, as when the lease is lost or a ledger has
+// changed since it was read. Orders that were not answered or were refused don't end it.
+func endsRound(err error) bool {
 	unanswered := fault.Is[*fault.StoreUnavailable](err) || fault.Is[*fault.PlatformRefused](err)
 	return err != nil && !unanswered
 }
 
-// start reserves the money, then orders.
-func (p *Provisioner) start(ctx context.Context, guard fence.Guard, kept keptLedger, c contract.Contract, r Reservation) (keptLedger, error) {
+// start reserves the price in the ledger and then sends the start order.
+func (p *Provisioner) start(ctx context.Context, guard fence.Guard, stored storedLedger, c contract.Contract, r Reservation) (storedLedger, error) {
 	r.Order = uuid.NewString()
-	next, err := kept.ledger.Reserve(r, c.Spending)
+	next, err := stored.ledger.Reserve(r, c.Spending)
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
-	kept, err = p.write(ctx, kept, next)
+	stored, err = p.writeLedger(ctx, stored, next)
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
-	return p.sendStart(ctx, guard, kept, r)
+	return p.sendStart(ctx, guard, stored, r)
 }
 
-// sendStart sends a start order. A refusal is noted in the ledger.
-func (p *Provisioner) sendStart(ctx context.Context, guard fence.Guard, kept keptLedger, r Reservation) (keptLedger, error) {
+// sendStart sends a start order. If it is refused, the ledger records that.
+func (p *Provisioner) sendStart(ctx context.Context, guard fence.Guard, stored storedLedger, r Reservation) (storedLedger, error) {
 	err := p.send(ctx, guard, platform.Order{
 		ID:            r.Order,
 		FailureDomain: r.FailureDomain,
 		Kind:          platform.OrderStart,
-		Account:       string(kept.ledger.Account),
+		Account:       string(stored.ledger.Account),
 		Model:         r.Model,
 		Adapter:       r.Adapter,
 		Reclaimable:   r.Reclaimable,
 		CentsPerHour:  r.CentsPerHour,
 	})
 	if err == nil {
-		p.acked[r.Order] = true
+		p.accepted[r.Order] = true
 	}
 	if !fault.Is[*fault.PlatformRefused](err) {
-		return kept, err
+		return stored, err
 	}
 	r.State = Refused
-	return p.write(ctx, kept, kept.ledger.with(r.Order, &r))
+	return p.writeLedger(ctx, stored, stored.ledger.withReservation(r.Order, &r))
 }
 
-// stop notes the intent, then orders.
-func (p *Provisioner) stop(ctx context.Context, guard fence.Guard, kept keptLedger, r Reservation) (keptLedger, error) {
+// stop records in the ledger that the upstream is stopping and then sends the stop order.
+func (p *Provisioner) stop(ctx context.Context, guard fence.Guard, stored storedLedger, r Reservation) (storedLedger, error) {
 	r.State = Stopping
-	kept, err := p.write(ctx, kept, kept.ledger.with(r.Order, &r))
+	stored, err := p.writeLedger(ctx, stored, stored.ledger.withReservation(r.Order, &r))
 	if err != nil {
-		return kept, err
+		return stored, err
 	}
-	return kept, p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
+	return stored, p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
 }
 
+// stopOrder returns the stop order of an upstream. Its ID is derived from the start order's.
 func stopOrder(domain, startOrder, upstream string) platform.Order {
 	return platform.Order{
 		ID:            startOrder + "/stop",
@@ -296,6 +298,7 @@
 	}
 }
 
+// send checks the lease, sends an order and emits its events.
 func (p *Provisioner) send(ctx context.Context, guard fence.Guard, order platform.Order) error {
 	if err := guard.Check(); err != nil {
 		return err
