--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -41,8 +41,9 @@
 
 // Apply commits an edit and returns its log entry. If the edit was accepted before, it
 // returns the entry of that time. It fails with *fault.EditInvalid, *fault.EditConflict or
-// *fault.StoreUnavailable. After *fault.StoreUnavailable the operator retries with the same
-// edit ID.
+// *fault.StoreUnavailable, and with *fault.PreconditionFailed if other edits were committed
+// first in all tries. After *fault.StoreUnavailable the outcome may be unknown, and the
+// operator retries with the same edit ID.
 func (e *Editor) Apply(ctx context.Context, edit contract.Edit) (contract.Entry, error) {
 	if err := edit.Check(); err != nil {
 		return contract.Entry{}, err
@@ -126,6 +127,7 @@
 	return nil
 }
 
+// commit runs the transaction that accepts an edit as the revision after the head's.
 func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platform.Row) (contract.Entry, error) {
 	var newest head
 	if err := headRow.Decode(&newest); err != nil {
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -21,9 +21,10 @@
 // and the VMs' views. Its actions are those of the model spec/edit.pml, executed by the
 // functions of this package.
 type machine struct {
-	cluster   *platformtest.World
-	editors   [machineVMs]*Editor
-	syncers   [machineVMs]*Syncer
+	cluster *platformtest.World
+	editors [machineVMs]*Editor
+	syncers [machineVMs]*Syncer
+	// pending holds each operator's edit that was not answered yet.
 	pending   [machineVMs]*contract.Edit
 	edits     int
 	fault     platformtest.Kind
@@ -61,7 +62,7 @@
 	m.pending[id] = nil
 }
 
-// edit applies the operator's edit without an answer again, or else a new one.
+// edit applies the operator's pending edit again, or a new one if none is pending.
 func (m *machine) edit(id, account int) {
 	ctx := context.Background()
 	if m.pending[id] == nil {
@@ -88,7 +89,7 @@
 	s.syncFromPeers(context.Background(), time.Since(s.started))
 }
 
-// audit checks the history and the view and age of every VM.
+// audit checks the history, and the view and the age of every VM.
 func (m *machine) audit() {
 	entries, _ := testEditor(m.cluster.Rows).History(context.Background(), 0, 1000)
 	ids := map[string]bool{}
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -27,6 +27,7 @@
 const Never time.Duration = math.MaxInt64
 
 const (
+	// maxPeerAge is the age from which on an age from a peer counts as Never.
 	maxPeerAge = Never / 2
 	// agePrecision is added to the age from a peer, which is truncated to milliseconds.
 	// Otherwise the age would decrease with each exchange between two VMs.
@@ -34,7 +35,8 @@
 	// pollsPerSecond is the rate at which all VMs of a large fleet together poll the
 	// revision.
 	pollsPerSecond = 50
-	// jitterDivisor: each poll interval varies by this part of it, in both directions.
+	// jitterDivisor sets the jitter: a poll interval varies by up to 1/jitterDivisor of it
+	// in both directions.
 	jitterDivisor = 10
 	// staleAfter is the age above which the view is reported as stale.
 	staleAfter = 30 * time.Second
@@ -43,10 +45,11 @@
 // Syncer keeps a VM's view of the configuration up to date by polling the store, or peers
 // while the store is unavailable.
 type Syncer struct {
-	tables    platform.Tables
-	peers     Peers
-	view      *contract.View
-	events    *event.Recorder
+	tables platform.Tables
+	peers  Peers
+	view   *contract.View
+	events *event.Recorder
+	// interval is the shortest interval between polls, without jitter.
 	interval  time.Duration
 	fleetSize func() int
 	// onAdvance is called with each newer snapshot after it is in force.
@@ -69,8 +72,8 @@
 	return func(s *Syncer) { s.fleetSize = size }
 }
 
-// NewSyncer returns a syncer that polls at the interval, or less often in a large
-// fleet.
+// NewSyncer returns a syncer that polls at an interval, or less often in a large fleet. It
+// calls onAdvance after each newer snapshot came into force.
 func NewSyncer(tables platform.Tables, peers Peers, view *contract.View, events *event.Recorder, interval time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
 	s := &Syncer{
 		tables:    tables,
--- a/internal/contract/authenticate_test.go
+++ b/internal/contract/authenticate_test.go
@@ -6,8 +6,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// A guesser presents key IDs and measures the refusals. If an unknown ID were
-// refused without the full comparison, its time would tell which IDs exist.
+// An attacker presents guessed key IDs and measures the response times. If an unknown ID were
+// refused without the full comparison, the time would reveal which IDs exist.
 func TestUnknownKeyIsComparedInFull(t *testing.T) {
 	s := Empty()
 	s.Keys["k1"] = Key{ID: "k1", Account: "a", SecretSHA256: HashSecret("the secret of k1")}
@@ -19,7 +19,7 @@
 	}
 	for _, p := range []Presented{{ID: "k2", Secret: "the secret of k1"}, {ID: "k1", Secret: "another secret..."}, {}} {
 		if _, _, err := s.Authenticate(p); !fault.Is[*fault.KeyInvalid](err) {
-			t.Errorf("%v: %v", p, err)
+			t.Errorf("key %v: got %v, want *fault.KeyInvalid", p, err)
 		}
 	}
 }
@@ -31,10 +31,10 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := ParseKey(text)
 		if err == nil && KeyPrefix+p.ID+"_"+p.Secret != text {
-			t.Errorf("%q was read as %q and %q", text, p.ID, p.Secret)
+			t.Errorf("%q was parsed as ID %q and secret %q", text, p.ID, p.Secret)
 		}
 		if err != nil && !fault.Is[*fault.KeyInvalid](err) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v, want *fault.KeyInvalid", text, err)
 		}
 	})
 }
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -1,5 +1,5 @@
-// Package contract is the aggregate of contracts and keys. One contract per
-// client account drives every limit; keys let callers act for an account.
+// Package contract contains the configuration: contracts and keys. Each client account has
+// one contract, which sets all its limits. A key authenticates callers of an account.
 // Edits are applied strictly in the order of their revisions.
 package contract
 
@@ -8,71 +8,72 @@
 // Account names a client account.
 type Account string
 
-// Revision numbers the accepted edits from 1. It never decreases.
+// Revision is the number of an accepted edit, counted from 1. The revision in force never
+// decreases.
 type Revision uint64
 
-// Contract holds everything that an operator decides for a client account.
+// Contract holds everything that operators set for a client account.
 type Contract struct {
 	Account Account `json:"account" validate:"required,max=64,excludesall=/"`
-	// Share is the account's weight among all accounts for engine time.
+	// Share is the account's weight when engine time is shared among all accounts.
 	Share int `json:"share" validate:"min=1,max=10000"`
-	// Staleness bounds the age of delivered samples.
+	// Staleness limits the age of delivered samples.
 	Staleness Staleness `json:"staleness"`
-	// Spending bounds what upstreams ordered for the account may cost.
+	// Spending limits the cost of upstreams that are ordered for the account.
 	Spending Spending `json:"spending"`
-	// Reclaimable says how much repeatable work may run on reclaimable upstreams.
+	// Reclaimable limits how much repeatable work may run on reclaimable upstreams.
 	Reclaimable Reclaimable `json:"reclaimable"`
-	// Isolation says what a cut-off VM may do for the account.
+	// Isolation limits the service of a cut-off VM for the account.
 	Isolation Isolation `json:"isolation"`
-	// Limits bound the account on each VM.
+	// Limits are the limits of the account's requests on each VM.
 	Limits Limits `json:"limits"`
 }
 
-// Staleness bounds a sample's age at its delivery.
+// Staleness limits a sample's age at its delivery.
 type Staleness struct {
-	// MaxVersions is how many weight versions a sample may be behind.
+	// MaxVersions is the largest number of weight versions by which a sample may lag.
 	MaxVersions int64 `json:"maxVersions" validate:"min=0,max=1000"`
-	// MaxSeconds is how many seconds may pass since the oldest version in the
-	// sample was superseded; 0 means no bound.
+	// MaxSeconds is the longest time in seconds since the oldest weight version in the
+	// sample was superseded; 0 means no limit.
 	MaxSeconds int64 `json:"maxSeconds" validate:"min=0,max=86400"`
 }
 
-// Spending bounds the rate of spending.
+// Spending limits the rate of spending.
 type Spending struct {
-	// CentsPerHour bounds the price of all upstreams of the account together.
+	// CentsPerHour is the largest total price of the account's upstreams.
 	CentsPerHour int64 `json:"centsPerHour" validate:"min=0"`
 }
 
-// Reclaimable bounds the use of reclaimable upstreams.
+// Reclaimable limits the use of reclaimable upstreams.
 type Reclaimable struct {
 	// Percent is the largest share of the account's repeatable work on
 	// reclaimable upstreams.
 	Percent int `json:"percent" validate:"min=0,max=100"`
 }
 
-// Isolation bounds the service of a VM whose configuration is not confirmed.
+// Isolation limits the service of a VM whose configuration is not confirmed to be current.
 type Isolation struct {
-	// ServeSeconds is how long a VM goes on with the keys that it knows.
+	// ServeSeconds is how long a VM continues to accept the keys that it knows.
 	ServeSeconds int64 `json:"serveSeconds" validate:"min=0,max=86400"`
 }
 
 // Duration returns ServeSeconds as a duration.
 func (i Isolation) Duration() time.Duration { return time.Duration(i.ServeSeconds) * time.Second }
 
-// Limits bound one account on one VM.
+// Limits are the limits of one account's requests on one VM.
 type Limits struct {
-	// Queue is how many requests may wait.
+	// Queue is the largest number of queued requests.
 	Queue int `json:"queue" validate:"min=1,max=100000"`
-	// Running is how many requests may run at once.
+	// Running is the largest number of running requests.
 	Running int `json:"running" validate:"min=1,max=100000"`
-	// Open is how many calls may be open at once: sending their body, waiting,
-	// running or reading their answer.
+	// Open is the largest number of open calls. A call is open while its body is sent,
+	// while its request is queued or running, and while its answer is read.
 	Open int `json:"open" validate:"min=1,max=100000"`
-	// BodyBytes bounds a request's body.
+	// BodyBytes is the largest size of a request's body.
 	BodyBytes int64 `json:"bodyBytes" validate:"min=1,max=67108864"`
 }
 
-// DefaultContract returns a contract with cautious defaults.
+// DefaultContract returns a contract with conservative limits. It allows no spending.
 func DefaultContract(account Account) Contract {
 	return Contract{
 		Account:   account,
--- a/internal/contract/key.go
+++ b/internal/contract/key.go
@@ -11,10 +11,10 @@
 	"dogwoodpond/internal/fault"
 )
 
-// KeyPrefix starts every key that a caller presents.
+// KeyPrefix is the prefix of every key that a caller presents.
 const KeyPrefix = "dwp_"
 
-// Key is a granted key. The secret itself is never kept.
+// Key is a granted key. The secret itself is never stored.
 type Key struct {
 	ID      string  `json:"id" validate:"required,alphanum,max=64"`
 	Account Account `json:"account" validate:"required,max=64,excludesall=/"`
@@ -29,21 +29,21 @@
 	Secret string
 }
 
-// ParseKey reads "dwp_<id>_<secret>". It fails with *fault.KeyInvalid.
+// ParseKey parses "dwp_<id>_<secret>". It fails with *fault.KeyInvalid.
 func ParseKey(text string) (Presented, error) {
 	rest, ok := strings.CutPrefix(text, KeyPrefix)
 	if !ok {
 		return Presented{}, errors.WithStack(&fault.KeyInvalid{})
 	}
 	id, secret, ok := strings.Cut(rest, "_")
-	if !ok || id == "" || len(secret) < minSecret {
+	if !ok || id == "" || len(secret) < minSecretLength {
 		return Presented{}, errors.WithStack(&fault.KeyInvalid{})
 	}
 	return Presented{ID: id, Secret: secret}, nil
 }
 
-// minSecret is the shortest secret in characters.
-const minSecret = 16
+// minSecretLength is the smallest length of a secret in bytes.
+const minSecretLength = 16
 
 // HashSecret returns the hex SHA-256 of a secret.
 func HashSecret(secret string) string {
@@ -51,8 +51,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Matches compares the secret's hash in constant time, so that the time of a
-// refusal tells a guesser nothing about the hash.
+// Matches reports whether the secret is the key's. It compares the hashes in constant time,
+// so that the response time reveals nothing about the stored hash.
 func (k Key) Matches(secret string) bool {
 	return subtle.ConstantTimeCompare([]byte(HashSecret(secret)), []byte(k.SecretSHA256)) == 1
 }
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -12,7 +12,7 @@
 	"dogwoodpond/internal/fault"
 )
 
-// EditKind tells what an edit changes.
+// EditKind is the kind of change that an edit makes.
 type EditKind string
 
 // The kinds of edits.
@@ -25,10 +25,10 @@
 // Entry is one accepted edit in the configuration log.
 type Entry struct {
 	Revision Revision `json:"revision"`
-	// EditID makes a repeat of the same edit return the first answer.
+	// EditID identifies the edit, so that a retry of it returns the first answer.
 	EditID string   `json:"editId"`
 	Kind   EditKind `json:"kind"`
-	// Who made the edit and When, in wall time, for the board.
+	// Who names the operator and When is the wall time of the edit; both are for audits.
 	Who  string    `json:"who"`
 	When time.Time `json:"when"`
 	// Contract is set for EditContract.
@@ -44,14 +44,14 @@
 	Keys      map[string]Key       `json:"keys"`
 }
 
-// Empty returns the snapshot before the first edit.
+// Empty returns the snapshot at revision 0, before the first edit.
 func Empty() *Snapshot {
 	return &Snapshot{Contracts: map[Account]Contract{}, Keys: map[string]Key{}}
 }
 
-// Apply returns the snapshot that follows by the entry. It fails with
-// *fault.RevisionGap unless the entry is the next one: applying entries out of
-// order could bring an older contract back into force.
+// Apply returns the snapshot after the entry's edit. It fails with *fault.RevisionGap unless
+// the entry has the next revision: entries that are applied out of order could put an older
+// contract in force again.
 func (s *Snapshot) Apply(e Entry) (*Snapshot, error) {
 	if e.Revision != s.Revision+1 {
 		return nil, errors.WithStack(&fault.RevisionGap{Have: uint64(s.Revision), Got: uint64(e.Revision)})
@@ -85,13 +85,13 @@
 	return key, c, nil
 }
 
-// unknownHash stands in for the hash of a key that does not exist; no secret is
-// known that matches it.
+// unknownHash is used as the hash of a key that does not exist. No secret with this hash is
+// known.
 var unknownHash = strings.Repeat("0", sha256.Size*2)
 
-// candidate returns the key that a presented one is compared with. For an
-// unknown ID that is a key that matches nothing: without a hash of full length
-// the comparison would end early, and its time would tell a guesser which IDs
+// candidate returns the key that a presented key with the ID is compared with. For an
+// unknown ID it returns a key that matches no secret. Its hash has the full length, since
+// otherwise the comparison would end early and the response time would reveal which IDs
 // exist.
 func (s *Snapshot) candidate(id string) (key Key, known bool) {
 	key, known = s.Keys[id]
@@ -101,7 +101,7 @@
 	return key, known
 }
 
-// View gives readers the snapshot in force without a lock.
+// View holds the snapshot in force. It can be read and advanced concurrently without a lock.
 type View struct {
 	current atomic.Pointer[Snapshot]
 }
@@ -116,9 +116,8 @@
 // Load returns the snapshot in force.
 func (v *View) Load() *Snapshot { return v.current.Load() }
 
-// Advance puts next in force unless a snapshot at least as new already is, and
-// reports whether it did. The comparison keeps two racing updaters from
-// reverting the configuration.
+// Advance puts next in force if it is newer than the snapshot in force, and reports whether
+// it did. The comparison keeps concurrent updaters from reverting the configuration.
 func (v *View) Advance(next *Snapshot) bool {
 	for {
 		now := v.current.Load()
--- a/internal/provision/ledger.go
+++ b/internal/provision/ledger.go
@@ -89,8 +89,8 @@
 }
 
 // Reconcile returns the ledger with the reservations of one failure domain updated from the
-// upstreams that the platform lists: a listed upstream is running, unless its reservation is
-// stopping.
+// platform's list. A reservation whose upstream is listed becomes Running unless it is
+// Stopping.
 func (l Ledger) Reconcile(domain string, listed []platform.Upstream) Ledger {
 	next := l
 	next.Reservations = slices.Clone(l.Reservations)
@@ -107,7 +107,8 @@
 	return next
 }
 
-// findUpstream returns the index of the upstream that was started by the reservation's order, or -1.
+// findUpstream returns the index of the upstream that was started by the reservation's
+// order, or -1.
 func findUpstream(r Reservation, listed []platform.Upstream) int {
 	return slices.IndexFunc(listed, func(u platform.Upstream) bool { return u.OrderID == r.Order })
 }
--- a/internal/provision/plan.go
+++ b/internal/provision/plan.go
@@ -54,9 +54,9 @@
 	stopAfterRounds  = 30
 )
 
-// Plan returns at most one action for a demand, and none while an earlier order for the same
-// pool is pending, except to reduce the spending. So the effect of each order is seen before
-// the next.
+// Plan returns at most one action for a demand, and false if there is none. It waits for the
+// effect of earlier orders for the same pool, unless the spending must be reduced. It must be
+// called once per round and demand.
 func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platform.Offer) (Action, bool) {
 	key := d.key()
 	reservations := p.reservations(d, l)
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -49,7 +49,7 @@
 }
 
 func newFakePlatform(random *rand.Rand, faultPercent int, domains ...string) *fakePlatform {
-	m := &fakePlatform{
+	f := &fakePlatform{
 		random:       random,
 		faultPercent: faultPercent,
 		checksEpochs: true,
@@ -58,64 +58,64 @@
 		executed:     make(map[string]bool),
 	}
 	for _, d := range domains {
-		m.available[d] = 4
+		f.available[d] = 4
 	}
-	return m
+	return f
 }
 
-func (m *fakePlatform) Order(_ context.Context, o platform.Order) error {
-	m.executeDelayed()
-	if m.random.IntN(100) >= m.faultPercent {
-		return m.execute(o)
+func (f *fakePlatform) Order(_ context.Context, o platform.Order) error {
+	f.executeDelayed()
+	if f.random.IntN(100) >= f.faultPercent {
+		return f.execute(o)
 	}
-	kind := m.random.IntN(3)
-	if m.onlyDelays {
+	kind := f.random.IntN(3)
+	if f.onlyDelays {
 		kind = 2
 	}
 	switch kind {
 	case 0: // The request is lost.
 	case 1: // The reply is lost.
-		_ = m.execute(o)
+		_ = f.execute(o)
 	default: // The order is delayed by less than releaseDelay.
-		delay := time.Duration(m.random.IntN(20)) * time.Second
-		m.delayed = append(m.delayed, delayedOrder{order: o, at: time.Now().Add(delay)})
+		delay := time.Duration(f.random.IntN(20)) * time.Second
+		f.delayed = append(f.delayed, delayedOrder{order: o, at: time.Now().Add(delay)})
 	}
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "order", EffectUnknown: true})
 }
 
-func (m *fakePlatform) executeDelayed() {
+func (f *fakePlatform) executeDelayed() {
 	var remaining []delayedOrder
-	for _, l := range m.delayed {
-		if l.at.After(time.Now()) {
-			remaining = append(remaining, l)
+	for _, d := range f.delayed {
+		if d.at.After(time.Now()) {
+			remaining = append(remaining, d)
 			continue
 		}
-		_ = m.execute(l.order)
+		_ = f.execute(d.order)
 	}
-	m.delayed = remaining
+	f.delayed = remaining
 }
 
-func (m *fakePlatform) execute(o platform.Order) error {
-	if m.checksEpochs && o.Epoch < m.epochs[o.FailureDomain] {
+func (f *fakePlatform) execute(o platform.Order) error {
+	if f.checksEpochs && o.Epoch < f.epochs[o.FailureDomain] {
 		return errors.WithStack(&fault.OrderFenced{Order: o.ID, Epoch: o.Epoch})
 	}
-	m.epochs[o.FailureDomain] = max(m.epochs[o.FailureDomain], o.Epoch)
-	if m.executed[o.ID] {
+	f.epochs[o.FailureDomain] = max(f.epochs[o.FailureDomain], o.Epoch)
+	if f.executed[o.ID] {
 		return nil
 	}
 	if o.Kind == platform.OrderStop {
-		m.stop(o.Upstream)
-		m.executed[o.ID] = true
+		f.stop(o.Upstream)
+		f.executed[o.ID] = true
 		return nil
 	}
-	if m.available[o.FailureDomain] == 0 {
+	if f.available[o.FailureDomain] == 0 {
 		return errors.WithStack(&fault.PlatformRefused{Operation: "order", Status: 409})
 	}
-	m.executed[o.ID] = true
-	m.available[o.FailureDomain]--
-	m.starts++
-	m.running = append(m.running, platform.Upstream{
-		ID:            fmt.Sprintf("u%d", m.starts),
+	f.executed[o.ID] = true
+	f.available[o.FailureDomain]--
+	f.starts++
+	f.running = append(f.running, platform.Upstream{
+		ID:            fmt.Sprintf("u%d", f.starts),
 		Kind:          platform.KindEngine,
 		FailureDomain: o.FailureDomain,
 		State:         platform.UpstreamLive,
@@ -124,33 +124,33 @@
 		OrderID:       o.ID,
 		CentsPerHour:  price,
 	})
-	if len(m.running)*price > limit {
-		m.overspends++
+	if len(f.running)*price > limit {
+		f.overspends++
 	}
 	return nil
 }
 
-func (m *fakePlatform) stop(id string) {
-	for i, u := range m.running {
+func (f *fakePlatform) stop(id string) {
+	for i, u := range f.running {
 		if u.ID == id {
-			m.running = append(m.running[:i:i], m.running[i+1:]...)
-			m.available[u.FailureDomain]++
+			f.running = append(f.running[:i:i], f.running[i+1:]...)
+			f.available[u.FailureDomain]++
 			return
 		}
 	}
 }
 
 // refresh updates the list from the running upstreams.
-func (m *fakePlatform) refresh() {
-	m.executeDelayed()
-	m.listed = append([]platform.Upstream(nil), m.running...)
+func (f *fakePlatform) refresh() {
+	f.executeDelayed()
+	f.listed = append([]platform.Upstream(nil), f.running...)
 }
 
-func (m *fakePlatform) Upstreams(context.Context) ([]platform.Upstream, error) { return m.listed, nil }
+func (f *fakePlatform) Upstreams(context.Context) ([]platform.Upstream, error) { return f.listed, nil }
 
-func (m *fakePlatform) Offers(context.Context) ([]platform.Offer, error) {
+func (f *fakePlatform) Offers(context.Context) ([]platform.Offer, error) {
 	var offers []platform.Offer
-	for d, n := range m.available {
+	for d, n := range f.available {
 		offers = append(offers, platform.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
 	}
 	return offers, nil
@@ -163,10 +163,10 @@
 func (h heldLease) Epoch() uint64     { return uint64(h) }
 func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newProvisioner(domain string, tables platform.Tables, m *fakePlatform) *Provisioner {
+func newProvisioner(domain string, tables platform.Tables, f *fakePlatform) *Provisioner {
 	started := time.Now()
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
-	return NewProvisioner(domain, tables, m, events, func() time.Duration { return time.Since(started) })
+	return NewProvisioner(domain, tables, f, events, func() time.Duration { return time.Since(started) })
 }
 
 // interleavedTables sometimes runs another holder between a holder's scan and its next call.
@@ -192,12 +192,13 @@
 	return c
 }
 
-func runRound(t *testing.T, p *Provisioner, epoch uint64, m *fakePlatform, queued, running int) error {
+// runRound runs a round with a demand of queued and running requests.
+func runRound(t *testing.T, p *Provisioner, epoch uint64, f *fakePlatform, queued, running int) error {
 	t.Helper()
-	offers, _ := m.Offers(t.Context())
+	offers, _ := f.Offers(t.Context())
 	d := Demand{Account: account, Model: model, Queued: queued, Running: running}
 	return p.Run(t.Context(), heldLease(epoch), Round{
-		Listed:    m.listed,
+		Listed:    f.listed,
 		Offers:    offers,
 		Demands:   []Demand{d},
 		Contracts: map[contract.Account]contract.Contract{account: testContract()},
@@ -206,29 +207,29 @@
 
 func TestUpstreamsAreOrderedUpToTheContractsSpending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
+		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
 		tables := memory.NewTables()
-		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
+		a, b := newProvisioner("a", tables, f), newProvisioner("b", tables, f)
 		for range 60 {
 			for _, p := range []*Provisioner{a, b} {
-				if err := runRound(t, p, 1, m, 10, 10); err != nil {
+				if err := runRound(t, p, 1, f, 10, 10); err != nil {
 					t.Fatalf("Run: %v", err)
 				}
 			}
-			m.refresh()
+			f.refresh()
 			time.Sleep(time.Second)
 		}
-		if got := len(m.running); got != limit/price {
+		if got := len(f.running); got != limit/price {
 			t.Errorf("%d upstreams run, want %d", got, limit/price)
 		}
 		for range 200 {
 			for _, p := range []*Provisioner{a, b} {
-				_ = runRound(t, p, 1, m, 0, 0)
+				_ = runRound(t, p, 1, f, 0, 0)
 			}
-			m.refresh()
+			f.refresh()
 			time.Sleep(time.Second)
 		}
-		if got := len(m.running); got != 0 {
+		if got := len(f.running); got != 0 {
 			t.Errorf("%d upstreams run without demand, want none", got)
 		}
 	})
@@ -245,18 +246,19 @@
 	}
 }
 
+// checkSpending runs random rounds and evictions on unreliable ports.
 func checkSpending(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	m := newFakePlatform(random, 30, "a", "b")
-	m.checksEpochs = seed%2 == 0
+	f := newFakePlatform(random, 30, "a", "b")
+	f.checksEpochs = seed%2 == 0
 	tables := &interleavedTables{Tables: memory.NewTables(), random: random}
 	holders := []*Provisioner{
-		newProvisioner("a", tables, m), newProvisioner("a", tables, m),
-		newProvisioner("b", tables, m), newProvisioner("b", tables, m),
+		newProvisioner("a", tables, f), newProvisioner("a", tables, f),
+		newProvisioner("b", tables, f), newProvisioner("b", tables, f),
 	}
 	tables.concurrent = func() {
 		i := random.IntN(len(holders))
-		_ = runRound(t, holders[i], uint64(1+i%2), m, 10, 10)
+		_ = runRound(t, holders[i], uint64(1+i%2), f, 10, 10)
 	}
 	for range 400 {
 		i := random.IntN(len(holders))
@@ -264,19 +266,19 @@
 		if random.IntN(3) > 0 {
 			queued = 10
 		}
-		_ = runRound(t, holders[i], uint64(1+i%2), m, queued, queued)
+		_ = runRound(t, holders[i], uint64(1+i%2), f, queued, queued)
 		if random.IntN(4) == 0 {
-			m.refresh()
+			f.refresh()
 		}
-		if random.IntN(40) == 0 && len(m.running) > 0 {
-			m.stop(m.running[0].ID) // An eviction.
+		if random.IntN(40) == 0 && len(f.running) > 0 {
+			f.stop(f.running[0].ID) // An eviction.
 		}
 		time.Sleep(time.Duration(random.IntN(2000)) * time.Millisecond)
 	}
-	if m.overspends > 0 {
-		t.Errorf("seed %d: the spending was exceeded %d times", seed, m.overspends)
+	if f.overspends > 0 {
+		t.Errorf("seed %d: the spending was exceeded %d times", seed, f.overspends)
 	}
-	if m.starts == 0 {
+	if f.starts == 0 {
 		t.Errorf("seed %d: nothing was started", seed)
 	}
 }
@@ -286,26 +288,26 @@
 // be started for the same demand.
 func TestNewHolderDoesNotDuplicateAnExecutedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a")
+		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a")
 		tables := memory.NewTables()
-		first := newProvisioner("a", tables, m)
+		first := newProvisioner("a", tables, f)
 		for range startAfterRounds {
-			if err := runRound(t, first, 1, m, 5, 0); err != nil {
+			if err := runRound(t, first, 1, f, 5, 0); err != nil {
 				t.Fatalf("Run: %v", err)
 			}
 		}
-		if m.starts != 1 {
-			t.Fatalf("%d upstreams were started, want 1", m.starts)
+		if f.starts != 1 {
+			t.Fatalf("%d upstreams were started, want 1", f.starts)
 		}
-		newHolder := newProvisioner("a", tables, m)
+		newHolder := newProvisioner("a", tables, f)
 		for range 10 {
-			if err := runRound(t, newHolder, 2, m, 5, 0); err != nil {
+			if err := runRound(t, newHolder, 2, f, 5, 0); err != nil {
 				t.Fatalf("Run: %v", err)
 			}
 			time.Sleep(time.Second)
 		}
-		if m.starts != 1 {
-			t.Errorf("%d upstreams were started, want 1", m.starts)
+		if f.starts != 1 {
+			t.Errorf("%d upstreams were started, want 1", f.starts)
 		}
 	})
 }
@@ -314,27 +316,27 @@
 // reservations were released meanwhile, another failure domain would spend the same money.
 func TestReservationIsHeldWhileAnOrderIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
-		m.available["b"] = 10
+		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
+		f.available["b"] = 10
 		tables := memory.NewTables()
-		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
-		m.onlyDelays = true
+		a, b := newProvisioner("a", tables, f), newProvisioner("b", tables, f)
+		f.onlyDelays = true
 		for range 100 {
-			m.faultPercent = 100
-			_ = runRound(t, a, 1, m, 5, 5)
-			m.faultPercent = 0
-			_ = runRound(t, b, 1, m, 5, 5)
-			m.refresh()
-			m.listed = nil
-			if len(m.delayed) > 0 {
-				m.delayed[0].at = time.Now().Add(90 * time.Second)
-				m.delayed = m.delayed[:1]
+			f.faultPercent = 100
+			_ = runRound(t, a, 1, f, 5, 5)
+			f.faultPercent = 0
+			_ = runRound(t, b, 1, f, 5, 5)
+			f.refresh()
+			f.listed = nil
+			if len(f.delayed) > 0 {
+				f.delayed[0].at = time.Now().Add(90 * time.Second)
+				f.delayed = f.delayed[:1]
 			}
 			time.Sleep(time.Second)
 		}
-		m.refresh()
-		if m.overspends > 0 {
-			t.Errorf("the spending was exceeded %d times", m.overspends)
+		f.refresh()
+		if f.overspends > 0 {
+			t.Errorf("the spending was exceeded %d times", f.overspends)
 		}
 	})
 }
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -59,8 +59,8 @@
 	Contracts map[contract.Account]contract.Contract
 }
 
-// Run runs one round: it sends the orders of the failure domain with an unknown outcome
-// again, and sends new ones. It fails with *fault.StoreUnavailable, *fault.LeaseLost or
+// Run runs one round: it sends the orders of the failure domain again whose effect has not
+// been seen, and sends new ones. It fails with *fault.StoreUnavailable, *fault.LeaseLost or
 // *fault.OrderFenced; the next round continues from the ledgers.
 func (p *Provisioner) Run(ctx context.Context, guard fence.Guard, round Round) error {
 	accounts, err := p.readLedgers(ctx)
@@ -87,7 +87,7 @@
 	row    platform.Row
 }
 
-// maxLedgers is the limit of the one scan that reads all ledgers; a fleet has fewer accounts.
+// maxLedgers limits the one scan that reads all ledgers; a fleet has fewer accounts.
 const maxLedgers = 4096
 
 // readLedgers reads the ledgers of all accounts by one scan.
@@ -132,8 +132,8 @@
 	return demands
 }
 
-// handleDemand reconciles the ledger, sends pending orders again, and then plans and executes
-// an action for the demand.
+// handleDemand reconciles the ledger, sends pending orders again, and then plans an action
+// for the demand and sends its order.
 func (p *Provisioner) handleDemand(ctx context.Context, guard fence.Guard, round Round, d Demand, stored storedLedger) (storedLedger, error) {
 	stored, err := p.reconcile(ctx, stored, round.Listed)
 	if err != nil {
@@ -235,11 +235,11 @@
 	return stored, nil
 }
 
-// endsRound reports whether an error ends the round, as when the lease is lost or a ledger has
-// changed since it was read. Orders that were not answered or were refused don't end it.
+// endsRound reports whether an error ends the round: the lease is lost, or a ledger has
+// changed since it was read. Orders that were refused or not answered don't end it.
 func endsRound(err error) bool {
-	unanswered := fault.Is[*fault.StoreUnavailable](err) || fault.Is[*fault.PlatformRefused](err)
-	return err != nil && !unanswered
+	tolerated := fault.Is[*fault.StoreUnavailable](err) || fault.Is[*fault.PlatformRefused](err)
+	return err != nil && !tolerated
 }
 
 // start reserves the price in the ledger and then sends the start order.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the JSON settings of the daemon. All faults
-// of a file are reported in one failure, and unknown fields are refused.
+// Package settings reads and validates the daemon's settings, a JSON file. All faults of a
+// file are reported in one error, and unknown fields are rejected.
 package settings
 
 import (
@@ -18,9 +18,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Daemon holds the settings of one dogwoodpondd process. Addresses are IP
-// numbers with a port; port 0 lets the system choose one, and the bound
-// address is printed as an event.
+// Daemon holds the settings of one dogwoodpondd process. An address is an IP address with a
+// port. With port 0 the system chooses the port, and an event reports the bound address.
 type Daemon struct {
 	// VM names this VM; unique in the fleet.
 	VM string `json:"vm" validate:"required,max=64"`
@@ -79,7 +78,7 @@
 	PolicyFIFO  = "fifo"
 )
 
-// Default returns the settings that hold where a file names none.
+// Default returns the default settings. Fields that a file does not contain keep these values.
 func Default() Daemon {
 	return Daemon{
 		LeaseTermMillis:      10_000,
@@ -99,28 +98,28 @@
 // LeaseTerm returns the term of every lease.
 func (d Daemon) LeaseTerm() time.Duration { return millis(d.LeaseTermMillis) }
 
-// DigestPeriod returns the period of the exchange with a peer.
+// DigestPeriod returns the interval of the exchange of digests with a peer.
 func (d Daemon) DigestPeriod() time.Duration { return millis(d.DigestPeriodMillis) }
 
-// RevisionPoll returns the shortest period of the poll of the revision.
+// RevisionPoll returns the shortest interval between polls of the configuration's revision.
 func (d Daemon) RevisionPoll() time.Duration { return millis(d.RevisionPollMillis) }
 
-// UsageFlush returns the shortest period of the usage flush.
+// UsageFlush returns the shortest flush interval of usage totals.
 func (d Daemon) UsageFlush() time.Duration { return millis(d.UsageFlushMillis) }
 
 // UsageWindow returns the length of a usage window.
 func (d Daemon) UsageWindow() time.Duration { return time.Duration(d.UsageWindowSeconds) * time.Second }
 
-// OrderTimeout returns the bound of one order to an engine.
+// OrderTimeout returns the timeout of one order to an engine.
 func (d Daemon) OrderTimeout() time.Duration { return millis(d.OrderTimeoutMillis) }
 
-// Drain returns the bound of a graceful shutdown.
+// Drain returns the timeout of a graceful shutdown.
 func (d Daemon) Drain() time.Duration { return time.Duration(d.DrainSeconds) * time.Second }
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Load reads and checks the settings file at path. The failure is a
-// *fault.SettingsInvalid that lists every fault.
+// Load reads and validates the settings file at path. The error is a *fault.SettingsInvalid
+// that lists every fault.
 func Load(path string) (Daemon, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -129,16 +128,16 @@
 	return Parse(text)
 }
 
-// Parse checks the text of a settings file. The failure is a
-// *fault.SettingsInvalid that lists every fault: unknown fields, values of the
-// wrong type and values that are not allowed.
+// Parse parses and validates the text of a settings file. The error is a
+// *fault.SettingsInvalid that lists every fault: unknown fields, values of the wrong type
+// and values that are not allowed.
 func Parse(text []byte) (Daemon, error) {
 	d := Default()
-	found, err := decode(text, &d)
+	faults, err := decode(text, &d)
 	if err != nil {
 		return Daemon{}, err
 	}
-	failure := &fault.SettingsInvalid{Faults: found}
+	failure := &fault.SettingsInvalid{Faults: faults}
 	for _, f := range check(d) {
 		if !failure.Names(f.Field) {
 			failure.Faults = append(failure.Faults, f)
@@ -150,30 +149,32 @@
 	return d, nil
 }
 
-// decode reads the fields one by one, so that a fault in one does not hide the
-// faults of the others. It fails only when the text is not one JSON object.
+// decode decodes each field separately, so that a fault in one does not hide the faults of
+// the others. It fails only if the text is not one JSON object.
 func decode(text []byte, into *Daemon) ([]fault.SettingFault, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(text, &fields); err != nil || fields == nil {
 		return nil, errors.WithStack(oneFault("file", problemOf(err), "one JSON object"))
 	}
-	var found []fault.SettingFault
-	known := knownFields()
+	var faults []fault.SettingFault
+	known := fieldTypes()
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
 		value := fields[name]
-		kind, ok := known[name]
+		wantType, ok := known[name]
 		if !ok {
-			found = append(found, fault.SettingFault{Field: name, Value: shorten(value), Allowed: "no such setting"})
+			faults = append(faults, fault.SettingFault{Field: name, Value: truncate(value), Allowed: "no such setting"})
 			continue
 		}
-		one, _ := json.Marshal(map[string]json.RawMessage{name: value})
-		if string(value) == "null" || json.Unmarshal(one, into) != nil {
-			found = append(found, fault.SettingFault{Field: name, Value: shorten(value), Allowed: kind})
+		single, _ := json.Marshal(map[string]json.RawMessage{name: value})
+		if string(value) == "null" || json.Unmarshal(single, into) != nil {
+			faults = append(faults, fault.SettingFault{Field: name, Value: truncate(value), Allowed: wantType})
 		}
 	}
-	return found, nil
+	return faults, nil
 }
 
+// problemOf returns the text of a decoding error, or "null" for a file with the JSON value
+// null, which decodes without an error.
 func problemOf(err error) string {
 	if err == nil {
 		return "null"
@@ -181,20 +182,20 @@
 	return err.Error()
 }
 
-// shorten keeps a message readable when a value is long.
-func shorten(value json.RawMessage) string {
-	const longest = 80
-	if len(value) > longest {
-		return string(value[:longest]) + "..."
+// truncate shortens a long value, so that an error message stays readable.
+func truncate(value json.RawMessage) string {
+	const maxBytes = 80
+	if len(value) > maxBytes {
+		return string(value[:maxBytes]) + "..."
 	}
 	return string(value)
 }
 
-// knownFields maps the name of each setting to the kind of its value.
-func knownFields() map[string]string {
+// fieldTypes returns the description of each setting's type, by the name of the setting.
+func fieldTypes() map[string]string {
 	known := map[string]string{}
 	for _, f := range reflect.VisibleFields(reflect.TypeFor[Daemon]()) {
-		known[jsonName(f)] = kindOf(f.Type)
+		known[jsonName(f)] = describeType(f.Type)
 	}
 	return known
 }
@@ -204,7 +205,8 @@
 	return name
 }
 
-func kindOf(t reflect.Type) string {
+// describeType returns the page's and the errors' text for the type of a setting.
+func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int:
 		return "a whole number"
@@ -215,31 +217,32 @@
 	}
 }
 
+// oneFault returns an error with a single fault.
 func oneFault(field, value, allowed string) *fault.SettingsInvalid {
 	return &fault.SettingsInvalid{Faults: []fault.SettingFault{{Field: field, Value: value, Allowed: allowed}}}
 }
 
-// check returns every value that is not allowed.
+// check returns a fault for every value that is not allowed.
 func check(d Daemon) []fault.SettingFault {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(jsonName)
-	var broken validator.ValidationErrors
-	if err := v.Struct(d); !errors.As(err, &broken) {
+	var violations validator.ValidationErrors
+	if err := v.Struct(d); !errors.As(err, &violations) {
 		return nil
 	}
-	var found []fault.SettingFault
-	for _, b := range broken {
-		_, field, _ := strings.Cut(b.Namespace(), ".")
-		found = append(found, fault.SettingFault{
+	var faults []fault.SettingFault
+	for _, violation := range violations {
+		_, field, _ := strings.Cut(violation.Namespace(), ".")
+		faults = append(faults, fault.SettingFault{
 			Field:   field,
-			Value:   fmt.Sprint(b.Value()),
-			Allowed: Allowed(b.Tag(), b.Param()),
+			Value:   fmt.Sprint(violation.Value()),
+			Allowed: Allowed(violation.Tag(), violation.Param()),
 		})
 	}
-	return found
+	return faults
 }
 
-// allowedTexts tells the rules of the validation in words; %s is the parameter.
+// allowedTexts holds the descriptions of validation rules by tag; %s is the parameter.
 var allowedTexts = map[string]string{
 	"required":    "a value",
 	"min":         "at least %s",
@@ -251,7 +254,7 @@
 	"hexadecimal": "hexadecimal digits",
 }
 
-// Allowed tells one rule of a setting in words.
+// Allowed describes the values that a validation rule allows.
 func Allowed(tag, parameter string) string {
 	text, ok := allowedTexts[tag]
 	if !ok {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -21,8 +21,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// complete returns a text with every required setting, and the given changes.
-// A nil value takes the setting away.
+// complete returns a settings file with every required setting and the given changes. A nil
+// value removes the setting.
 func complete(t *testing.T, changes map[string]any) []byte {
 	t.Helper()
 	fields := map[string]any{
@@ -44,6 +44,7 @@
 	return text
 }
 
+// faultsOf returns the sorted names of the fields in which Parse finds a fault.
 func faultsOf(t *testing.T, text []byte) []string {
 	t.Helper()
 	_, err := Parse(text)
@@ -57,7 +58,7 @@
 	var names []string
 	for _, f := range invalid.Faults {
 		if f.Allowed == "" {
-			t.Errorf("the fault of %s does not say what is allowed", f.Field)
+			t.Errorf("the fault of %s does not describe the allowed values", f.Field)
 		}
 		names = append(names, f.Field)
 	}
@@ -75,8 +76,8 @@
 	}
 }
 
-// An operator writes a new file with several faults. Told one at a time, each
-// start of the VM ends at the next fault.
+// An operator writes a new file with several faults. If only the first were reported, each
+// start of the VM would fail at the next one.
 func TestAllFaultsAreReportedAtOnce(t *testing.T) {
 	got := faultsOf(t, complete(t, map[string]any{
 		"vm":                  nil,
@@ -98,7 +99,7 @@
 	}
 }
 
-func TestTextsThatAreNotOneObject(t *testing.T) {
+func TestTextMustBeOneObject(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", "null", "7", `{"vm":"a"} {"vm":"b"}`} {
 		if got := faultsOf(t, []byte(text)); !slices.Equal(got, []string{"file"}) {
 			t.Errorf("%q has faults of %v", text, got)
@@ -110,9 +111,9 @@
 	}
 }
 
-// A setting written as null would silently get its default or be taken for
-// missing; either way the file does not say what the VM does.
-func TestNullIsNoValue(t *testing.T) {
+// A setting with the value null must be rejected. JSON decoding would ignore it and leave the
+// default or empty value, which the file does not show.
+func TestNullIsRejected(t *testing.T) {
 	text := bytes.Replace(complete(t, nil), []byte(`"vm-1"`), []byte("null"), 1)
 	if got := faultsOf(t, text); !slices.Equal(got, []string{"vm"}) {
 		t.Errorf("faults of %v", got)
@@ -134,8 +135,9 @@
 	})
 }
 
-// The page is written from the struct: its comments, tags and defaults.
-func TestSettingsPageIsTheStruct(t *testing.T) {
+// The settings page must equal the table that is generated from the comments, tags and
+// defaults of the struct Daemon.
+func TestSettingsPageEqualsTheStruct(t *testing.T) {
 	comments := commentsOf(t)
 	defaults := reflect.ValueOf(Default())
 	var page strings.Builder
@@ -147,6 +149,7 @@
 	doccheck.Section(t, "docs/SETTINGS.md", "settings", page.String())
 }
 
+// defaultOf returns the page's text for a default value.
 func defaultOf(value reflect.Value) string {
 	if value.IsZero() {
 		return "none"
@@ -154,8 +157,9 @@
 	return fmt.Sprintf("`%v`", value.Interface())
 }
 
+// rulesOf returns the page's text for the type and the validation rules of a setting.
 func rulesOf(f reflect.StructField) string {
-	rules := []string{kindOf(f.Type)}
+	rules := []string{describeType(f.Type)}
 	for rule := range strings.SplitSeq(f.Tag.Get("validate"), ",") {
 		tag, parameter, _ := strings.Cut(rule, "=")
 		switch tag {
@@ -170,7 +174,7 @@
 	return strings.Join(rules, ", ")
 }
 
-// commentsOf reads the doc comments of the fields of Daemon.
+// commentsOf returns the doc comments of the fields of Daemon, by field name.
 func commentsOf(t *testing.T) map[string]string {
 	t.Helper()
 	source, err := os.ReadFile("settings.go")
--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -76,8 +76,9 @@
 	}
 }
 
-// Step brings the oldest window that may not be reported yet to its next phase. more is
-// true if Step may be called again at once.
+// Step takes the next step for the oldest window that may not be reported yet: it raises the
+// cursor's floor, closes the window, sends its reports, or moves the cursor to the next
+// window. more is true if Step may be called again at once.
 func (c *Closer) Step(ctx context.Context, guard fence.Guard) (more bool, err error) {
 	cursor, cursorRow, err := readCursor(ctx, c.tables)
 	if err != nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// oldestUnreported returns the oldest window that may not be reported yet. due is false if there is
-// none, or if its end and the grace period have not passed.
+// oldestUnreported returns the oldest window with rows that may not be reported yet. due is
+// false if there is none, or if its end and the grace period have not passed.
 func (c *Closer) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
 	first, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Next), 1)
 	if err != nil || len(first) == 0 {
@@ -126,6 +127,7 @@
 	return w, c.config.Now().After(end.Add(c.config.Grace)), nil
 }
 
+// writeCursor replaces the cursor if its row has not changed since it was read.
 func (c *Closer) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platform.Row) error {
 	return platform.CommitSurely(ctx, c.tables, platform.Txn{
 		Nonce:         platform.NewNonce(),
@@ -134,8 +136,8 @@
 	})
 }
 
-// passWindow moves the cursor to the window after the reported window w, and deletes a batch of
-// rows older than the retention.
+// passWindow moves the cursor to the window after the reported window w, and deletes a batch
+// of rows older than the retention.
 func (c *Closer) passWindow(ctx context.Context, cursor cursorValue, cursorRow platform.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := c.sweep(ctx, cursor)
@@ -177,19 +179,20 @@
 	return cursor.Swept, c.tables.Commit(ctx, txn)
 }
 
-const scanPage = 512
+// scanPageSize is the number of rows that one scan returns at most.
+const scanPageSize = 512
 
 // scan returns all rows whose key starts with prefix.
 func scan(ctx context.Context, tables platform.Tables, prefix string) ([]platform.Row, error) {
 	var all []platform.Row
 	after := prefix
 	for {
-		page, err := tables.Scan(ctx, prefix, after, scanPage)
+		page, err := tables.Scan(ctx, prefix, after, scanPageSize)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, page...)
-		if len(page) < scanPage {
+		if len(page) < scanPageSize {
 			return all, nil
 		}
 		after = page[len(page)-1].Key
@@ -259,9 +262,9 @@
 	return false
 }
 
-// insertReports closes the window in one transaction: it marks the rows that are not final as
-// closed and inserts the reports. The transaction fails if a row has changed since it was
-// read.
+// insertReports closes the window in one transaction: it marks the rows that are not final
+// as closed and inserts the reports. The transaction fails if a row has changed since it
+// was read.
 func (c *Closer) insertReports(ctx context.Context, w Window, windowRow platform.Row, stored []platform.Row, rows []Row) error {
 	txn := platform.Txn{
 		Nonce:         platform.NewNonce(),
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -195,9 +195,9 @@
 
 func script(injections ...injection) platformtest.Script {
 	return func(step platformtest.Step) platformtest.Fault {
-		for _, h := range injections {
-			if step.Process == h.process && step.Index == h.index {
-				return newFault(h.kind)
+		for _, i := range injections {
+			if step.Process == i.process && step.Index == i.index {
+				return newFault(i.kind)
 			}
 		}
 		return platformtest.Fault{}
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -12,11 +12,11 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Meter counts the usage that this incarnation of the VM serves, and writes the totals to
-// the store. Usage is counted in the open window, the newest one that the VM has opened.
-// One transaction seals the open window and opens the next one. While the store is
-// unavailable the last window stays open, so that no usage is counted in a window that has
-// no row.
+// Meter counts the requests and tokens that this incarnation of the VM serves, and writes
+// the totals to the store. Usage is counted in the open window, the newest one that the VM
+// has opened. One transaction seals the open window and opens the next one. While the store
+// is unavailable the last window stays open, so that no usage is counted in a window without
+// a row, which the closer would not find.
 type Meter struct {
 	tables      platform.Tables
 	events      *event.Recorder
@@ -25,7 +25,10 @@
 	now         func() time.Time
 	length      time.Duration
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// counts is the usage in the open window, and corrections the usage of earlier
+	// windows that their reports lack. changed is true if they changed since the last
+	// snapshot.
 	counts      Totals
 	corrections Totals
 	changed     bool
@@ -156,9 +159,9 @@
 	return Row{VM: m.vm, Incarnation: m.incarnation, Figures: counts, Corrections: corrections, Sealed: sealed}
 }
 
-// open opens a window and writes the present totals to its row. A window below the cursor's
-// floor must not be opened, since its report might lack the row; open uses at least the
-// floor.
+// open opens a window and writes the current totals to its row. A window below the cursor's
+// floor must not be opened, since its report might lack the row; open then opens the window
+// at the floor.
 func (m *Meter) open(ctx context.Context, window Window) error {
 	cursor, cursorRow, err := readCursor(ctx, m.tables)
 	if err != nil {
@@ -306,8 +309,8 @@
 }
 
 // subtractFinal leaves in the totals only the usage that a final row lacks. If the closer
-// closed the row, that usage becomes a correction in the next window.
-
+// closed the row, that usage becomes a correction in the next window. If the VM sealed it
+// while it opened the next window, that window is adopted by the next open.
 func (m *Meter) subtractFinal(stored Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,8 +329,8 @@
 	m.minWindow = m.window + 1
 }
 
-// noteSwept drops the totals after their row was deleted, which happens one day after its
-// report. It is not known any more which usage the row contained, and counting it again
+// noteSwept drops the totals if their row was deleted because it is older than the retention
+// of one day. It is not known any more which usage the row contained, and counting it again
 // might bill it twice.
 func (m *Meter) noteSwept() {
 	m.mu.Lock()
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -58,8 +58,8 @@
 	return difference
 }
 
-// Window is the number of a usage window: its start in wall time divided by the length of a
-// window.
+// Window is the number of a usage window: its start, as wall time since the Unix epoch,
+// divided by the length of a window.
 type Window int64
 
 // Row is the value of the row of one VM incarnation in a window.
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -322,19 +322,19 @@
 	delayed []platform.Txn
 }
 
-func (h *delayingTables) Commit(ctx context.Context, txn platform.Txn) error {
-	if !h.delay {
-		return h.Tables.Commit(ctx, txn)
+func (d *delayingTables) Commit(ctx context.Context, txn platform.Txn) error {
+	if !d.delay {
+		return d.Tables.Commit(ctx, txn)
 	}
-	h.delayed = append(h.delayed, txn)
+	d.delayed = append(d.delayed, txn)
 	return errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
 }
 
 // applyDelayed applies the delayed commits whose preconditions hold.
-func (h *delayingTables) applyDelayed(t *testing.T) {
+func (d *delayingTables) applyDelayed(t *testing.T) {
 	t.Helper()
-	for _, txn := range h.delayed {
-		_ = h.Tables.Commit(t.Context(), txn)
+	for _, txn := range d.delayed {
+		_ = d.Tables.Commit(t.Context(), txn)
 	}
 }
 
@@ -446,6 +446,7 @@
 	}
 }
 
+// sealEmpty seals the meter until its totals are empty.
 func sealEmpty(t *testing.T, m *Meter, seed uint64) {
 	t.Helper()
 	for range 5 {
