--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -10,20 +10,20 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/wait"
 )
 
 // Editor commits edits of contracts and keys. Editors are safe for concurrent use, also on
 // several VMs.
 type Editor struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	now    func() time.Time
 	events *event.Recorder
 }
 
 // NewEditor returns an editor; now returns the wall time that is recorded in the history.
-func NewEditor(tables platform.Tables, now func() time.Time, events *event.Recorder) *Editor {
+func NewEditor(tables platformapi.Tables, now func() time.Time, events *event.Recorder) *Editor {
 	return &Editor{tables: tables, now: now, events: events}
 }
 
@@ -98,7 +98,7 @@
 
 // acceptedEntry returns the entry of an edit that was accepted before. It fails with
 // *fault.EditInvalid if the ID was used for a different edit.
-func acceptedEntry(edit contract.Edit, row platform.Row) (contract.Entry, error) {
+func acceptedEntry(edit contract.Edit, row platformapi.Row) (contract.Entry, error) {
 	var accepted contract.Entry
 	if err := row.Decode(&accepted); err != nil {
 		return contract.Entry{}, err
@@ -112,7 +112,7 @@
 // checkBase fails with *fault.EditConflict if the contract or key was changed after the
 // revision that the operator read, so that no operator overwrites an edit without having
 // seen it.
-func checkBase(edit contract.Edit, row platform.Row) error {
+func checkBase(edit contract.Edit, row platformapi.Row) error {
 	var current contract.Subject
 	if err := row.Decode(&current); err != nil {
 		return err
@@ -128,7 +128,7 @@
 }
 
 // commit runs the transaction that accepts an edit as the revision after the head's.
-func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platform.Row) (contract.Entry, error) {
+func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platformapi.Row) (contract.Entry, error) {
 	var newest head
 	if err := headRow.Decode(&newest); err != nil {
 		return contract.Entry{}, err
@@ -143,21 +143,21 @@
 		Key:      edit.Key,
 	}
 	changed := contract.Subject{Revision: entry.Revision, Contract: edit.Contract, Key: edit.Key}
-	txn := platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	txn := platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: editPrefix + edit.ID},
 			{Key: headKey, Version: headRow.Version},
 			{Key: subjectRow.Key, Version: subjectRow.Version},
 		},
-		Writes: []platform.Write{
-			{Key: editPrefix + edit.ID, Value: platform.EncodeValue(entry)},
-			{Key: headKey, Value: platform.EncodeValue(head{Revision: entry.Revision})},
-			{Key: logKey(entry.Revision), Value: platform.EncodeValue(entry)},
-			{Key: subjectRow.Key, Value: platform.EncodeValue(changed)},
+		Writes: []platformapi.Write{
+			{Key: editPrefix + edit.ID, Value: platformapi.EncodeValue(entry)},
+			{Key: headKey, Value: platformapi.EncodeValue(head{Revision: entry.Revision})},
+			{Key: logKey(entry.Revision), Value: platformapi.EncodeValue(entry)},
+			{Key: subjectRow.Key, Value: platformapi.EncodeValue(changed)},
 		},
 	}
-	if err := platform.CommitSurely(ctx, e.tables, txn); err != nil {
+	if err := platformapi.CommitConfirmed(ctx, e.tables, txn); err != nil {
 		return contract.Entry{}, err
 	}
 	e.events.Emit(event.EditAccepted, event.Subject{Revision: uint64(entry.Revision), Detail: edit.SubjectName()})
--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -13,15 +13,15 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 func testEvents() *event.Recorder {
 	return event.NewRecorder("vm-1", 1024, event.NewClock(time.Now), zap.NewNop())
 }
 
-func testEditor(tables platform.Tables) *Editor {
+func testEditor(tables platformapi.Tables) *Editor {
 	return NewEditor(tables, time.Now, testEvents())
 }
 
@@ -34,7 +34,7 @@
 
 // history returns all entries of the history and checks that each has the next revision, an
 // author and a time.
-func history(t *testing.T, tables platform.Tables) []contract.Entry {
+func history(t *testing.T, tables platformapi.Tables) []contract.Entry {
 	t.Helper()
 	entries, err := testEditor(tables).History(context.Background(), 0, 1000)
 	if err != nil {
@@ -53,7 +53,7 @@
 // would be one that no operator decided on.
 func TestRacingEditsOfOneContractConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		const editors = 8
 		failures := make([]error, editors)
 		var group sync.WaitGroup
@@ -82,7 +82,7 @@
 // must be accepted, each at its own revision.
 func TestRacingEditsOfDifferentContractsAllPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		const editors = 8
 		var group sync.WaitGroup
 		for i := range editors {
@@ -106,7 +106,7 @@
 // the other one.
 func TestRetriedEditReturnsTheFirstAnswer(t *testing.T) {
 	ctx := context.Background()
-	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
 	first, err := testEditor(cluster.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/gen"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const machineVMs = 2
@@ -21,13 +21,13 @@
 // and the VMs' views. Its actions are those of the model spec/edit.pml, executed by the
 // functions of this package.
 type machine struct {
-	cluster *platformtest.World
+	cluster *faultinject.Cluster
 	editors [machineVMs]*Editor
 	syncers [machineVMs]*Syncer
 	// pending holds each operator's edit that was not answered yet.
 	pending   [machineVMs]*contract.Edit
 	edits     int
-	fault     platformtest.Kind
+	fault     faultinject.Kind
 	accepted  []time.Time // latest time at which each revision was accepted
 	violation string
 }
@@ -41,12 +41,12 @@
 
 func newMachine() *machine {
 	m := &machine{}
-	m.cluster = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+	m.cluster = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 		if s.Call != "commit" {
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		}
-		f := platformtest.Fault{Kind: m.fault, For: commitDelay}
-		m.fault = platformtest.None
+		f := faultinject.Fault{Kind: m.fault, Duration: commitDelay}
+		m.fault = faultinject.None
 		return f
 	})
 	for id := range machineVMs {
@@ -140,7 +140,7 @@
 )
 
 // machineFaults are the faults that may be injected into the next commit of an action.
-var machineFaults = []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late}
+var machineFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
 
 // action is one command: an action of a VM, and a fault for its next commit.
 type action struct {
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Peers fetches the configuration from other VMs while the store is unavailable.
@@ -45,7 +45,7 @@
 // Syncer keeps a VM's view of the configuration up to date by polling the store, or peers
 // while the store is unavailable.
 type Syncer struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	peers  Peers
 	view   *contract.View
 	events *event.Recorder
@@ -74,7 +74,7 @@
 
 // NewSyncer returns a syncer that polls at an interval, or less often in a large fleet. It
 // calls onAdvance after each newer snapshot came into force.
-func NewSyncer(tables platform.Tables, peers Peers, view *contract.View, events *event.Recorder, interval time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
+func NewSyncer(tables platformapi.Tables, peers Peers, view *contract.View, events *event.Recorder, interval time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
 	s := &Syncer{
 		tables:    tables,
 		peers:     peers,
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -12,8 +12,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 // peerSyncers are the syncers of the peers that a syncer can reach.
@@ -36,12 +36,12 @@
 	return newest, age, nil
 }
 
-func testSyncer(tables platform.Tables, peers Peers, options ...Option) *Syncer {
+func testSyncer(tables platformapi.Tables, peers Peers, options ...Option) *Syncer {
 	return NewSyncer(tables, peers, contract.NewView(), testEvents(), time.Second, func(*contract.Snapshot) {}, options...)
 }
 
 // edit commits n edits, each of another account.
-func edit(t *testing.T, tables platform.Tables, from, n int) {
+func edit(t *testing.T, tables platformapi.Tables, from, n int) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
 		account := contract.Account(fmt.Sprint("farm-", i))
@@ -56,21 +56,21 @@
 func TestStartWhileStoreIsUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		edit(t, cluster.Rows, 1, 3)
 		old := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		old.sync(ctx)
 		edit(t, cluster.Rows, 4, 1)
 		current := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
 		current.sync(ctx)
-		cluster.TakeDown(time.Hour)
+		cluster.TakeStoreDown(time.Hour)
 		time.Sleep(time.Minute)
 		starting := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{old, current})
 		starting.sync(ctx)
 		if got := starting.view.Load().Revision; got != 4 {
 			t.Errorf("revision %d in force, want 4", got)
 		}
-		if got := starting.Age(); got < time.Minute || got > time.Minute+2*platformtest.CallTimeout+agePrecision {
+		if got := starting.Age(); got < time.Minute || got > time.Minute+2*faultinject.CallTimeout+agePrecision {
 			t.Errorf("age %v, want the peer's age of a minute", got)
 		}
 	})
@@ -81,11 +81,11 @@
 func TestNewVMsDontConfirmEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		edit(t, cluster.Rows, 1, 2)
 		known := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 		known.sync(ctx)
-		cluster.TakeDown(24 * time.Hour)
+		cluster.TakeStoreDown(24 * time.Hour)
 		fresh := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{})
 		second := testSyncer(cluster.Start(ctx, "vm-3"), peerSyncers{fresh})
 		fresh.peers = peerSyncers{second}
@@ -110,13 +110,13 @@
 func TestViewOfACutOffDomainAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		a := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 		b := testSyncer(cluster.Start(ctx, "vm-2"), peerSyncers{a})
 		a.peers = peerSyncers{b}
 		a.sync(ctx)
 		b.sync(ctx)
-		cluster.TakeDown(24 * time.Hour)
+		cluster.TakeStoreDown(24 * time.Hour)
 		start := time.Now()
 		for range 20 {
 			time.Sleep(10 * time.Second)
@@ -133,7 +133,7 @@
 // withdrawn keys valid again.
 func TestOldSnapshotDoesNotRevert(t *testing.T) {
 	ctx := context.Background()
-	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
 	edit(t, cluster.Rows, 1, 1)
 	s := testSyncer(cluster.Rows, nil)
 	s.sync(ctx)
@@ -151,15 +151,15 @@
 // snapshot must not mix two revisions.
 func TestBootstrapReadsOneRevision(t *testing.T) {
 	ctx := context.Background()
-	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
 	edit(t, cluster.Rows, 1, 2*logPageSize)
 	committed := 0
-	cluster.SetScript(func(s platformtest.Step) platformtest.Fault {
+	cluster.SetScript(func(s faultinject.Step) faultinject.Fault {
 		if s.Process == "vm-1" && s.Call == "scan" && s.Subject == keyPrefix && committed < 2 {
 			committed++
 			edit(t, cluster.Rows, 2*logPageSize+committed, 1)
 		}
-		return platformtest.Fault{}
+		return faultinject.Fault{}
 	})
 	s := testSyncer(cluster.Start(ctx, "vm-1"), nil)
 	s.sync(ctx)
@@ -195,12 +195,12 @@
 // when the view becomes stale and when it is confirmed again.
 func TestStaleViewIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		ctx, stop := context.WithCancel(context.Background())
 		s := testSyncer(cluster.Start(ctx, "vm-1"), peerSyncers{})
 		go s.Run(ctx)
 		time.Sleep(10 * time.Second)
-		cluster.TakeDown(2 * staleAfter)
+		cluster.TakeStoreDown(2 * staleAfter)
 		time.Sleep(3 * staleAfter)
 		stop()
 		synctest.Wait()
--- a/internal/provision/ledger.go
+++ b/internal/provision/ledger.go
@@ -12,7 +12,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // State is the state of a reservation.
@@ -91,7 +91,7 @@
 // Reconcile returns the ledger with the reservations of one failure domain updated from the
 // platform's list. A reservation whose upstream is listed becomes Running unless it is
 // Stopping.
-func (l Ledger) Reconcile(domain string, listed []platform.Upstream) Ledger {
+func (l Ledger) Reconcile(domain string, listed []platformapi.Upstream) Ledger {
 	next := l
 	next.Reservations = slices.Clone(l.Reservations)
 	for i, r := range next.Reservations {
@@ -109,15 +109,15 @@
 
 // findUpstream returns the index of the upstream that was started by the reservation's
 // order, or -1.
-func findUpstream(r Reservation, listed []platform.Upstream) int {
-	return slices.IndexFunc(listed, func(u platform.Upstream) bool { return u.OrderID == r.Order })
+func findUpstream(r Reservation, listed []platformapi.Upstream) int {
+	return slices.IndexFunc(listed, func(u platformapi.Upstream) bool { return u.OrderID == r.Order })
 }
 
 // Orphans returns the listed upstreams of the account in a failure domain that have no
 // reservation. Such an upstream was started by an order that took effect after its
 // reservation was released.
-func (l Ledger) Orphans(domain string, listed []platform.Upstream) []platform.Upstream {
-	var orphans []platform.Upstream
+func (l Ledger) Orphans(domain string, listed []platformapi.Upstream) []platformapi.Upstream {
+	var orphans []platformapi.Upstream
 	for _, u := range listed {
 		if u.FailureDomain != domain || u.Account != string(l.Account) || u.OrderID == "" {
 			continue
--- a/internal/provision/plan.go
+++ b/internal/provision/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Demand is the number of requests of one account for one pool in a failure domain.
@@ -57,7 +57,7 @@
 // Plan returns at most one action for a demand, and false if there is none. It waits for the
 // effect of earlier orders for the same pool, unless the spending must be reduced. It must be
 // called once per round and demand.
-func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platform.Offer) (Action, bool) {
+func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platformapi.Offer) (Action, bool) {
 	key := d.key()
 	reservations := p.reservations(d, l)
 	if excess := excessReservation(reservations, l, c); excess != nil {
@@ -124,15 +124,15 @@
 }
 
 // start returns the start of an upstream at the cheapest offer that the contract allows.
-func (p *Planner) start(d Demand, c contract.Contract, l Ledger, reservations []Reservation, offers []platform.Offer) (Action, bool) {
-	var candidates []platform.Offer
+func (p *Planner) start(d Demand, c contract.Contract, l Ledger, reservations []Reservation, offers []platformapi.Offer) (Action, bool) {
+	var candidates []platformapi.Offer
 	for _, o := range offers {
 		matches := o.FailureDomain == p.domain && o.Model == d.Model && o.Available > 0
 		if matches && (!o.Reclaimable || allowsReclaimable(c, reservations)) {
 			candidates = append(candidates, o)
 		}
 	}
-	slices.SortFunc(candidates, func(a, b platform.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
+	slices.SortFunc(candidates, func(a, b platformapi.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
 	for _, o := range candidates {
 		r := Reservation{
 			FailureDomain: p.domain,
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -14,8 +14,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 const (
@@ -36,15 +36,15 @@
 	available  map[string]int
 	epochs     map[string]uint64
 	executed   map[string]bool
-	running    []platform.Upstream
+	running    []platformapi.Upstream
 	delayed    []delayedOrder
-	listed     []platform.Upstream
+	listed     []platformapi.Upstream
 	starts     int
 	overspends int
 }
 
 type delayedOrder struct {
-	order platform.Order
+	order platformapi.Order
 	at    time.Time
 }
 
@@ -63,7 +63,7 @@
 	return f
 }
 
-func (f *fakePlatform) Order(_ context.Context, o platform.Order) error {
+func (f *fakePlatform) Order(_ context.Context, o platformapi.Order) error {
 	f.executeDelayed()
 	if f.random.IntN(100) >= f.faultPercent {
 		return f.execute(o)
@@ -95,7 +95,7 @@
 	f.delayed = remaining
 }
 
-func (f *fakePlatform) execute(o platform.Order) error {
+func (f *fakePlatform) execute(o platformapi.Order) error {
 	if f.checksEpochs && o.Epoch < f.epochs[o.FailureDomain] {
 		return errors.WithStack(&fault.OrderFenced{Order: o.ID, Epoch: o.Epoch})
 	}
@@ -103,7 +103,7 @@
 	if f.executed[o.ID] {
 		return nil
 	}
-	if o.Kind == platform.OrderStop {
+	if o.Kind == platformapi.OrderStop {
 		f.stop(o.Upstream)
 		f.executed[o.ID] = true
 		return nil
@@ -114,11 +114,11 @@
 	f.executed[o.ID] = true
 	f.available[o.FailureDomain]--
 	f.starts++
-	f.running = append(f.running, platform.Upstream{
+	f.running = append(f.running, platformapi.Upstream{
 		ID:            fmt.Sprintf("u%d", f.starts),
-		Kind:          platform.KindEngine,
+		Kind:          platformapi.KindEngine,
 		FailureDomain: o.FailureDomain,
-		State:         platform.UpstreamLive,
+		State:         platformapi.UpstreamLive,
 		Model:         o.Model,
 		Account:       o.Account,
 		OrderID:       o.ID,
@@ -143,15 +143,17 @@
 // refresh updates the list from the running upstreams.
 func (f *fakePlatform) refresh() {
 	f.executeDelayed()
-	f.listed = append([]platform.Upstream(nil), f.running...)
+	f.listed = append([]platformapi.Upstream(nil), f.running...)
 }
 
-func (f *fakePlatform) Upstreams(context.Context) ([]platform.Upstream, error) { return f.listed, nil }
+func (f *fakePlatform) Upstreams(context.Context) ([]platformapi.Upstream, error) {
+	return f.listed, nil
+}
 
-func (f *fakePlatform) Offers(context.Context) ([]platform.Offer, error) {
-	var offers []platform.Offer
+func (f *fakePlatform) Offers(context.Context) ([]platformapi.Offer, error) {
+	var offers []platformapi.Offer
 	for d, n := range f.available {
-		offers = append(offers, platform.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
+		offers = append(offers, platformapi.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
 	}
 	return offers, nil
 }
@@ -163,7 +165,7 @@
 func (h heldLease) Epoch() uint64     { return uint64(h) }
 func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newProvisioner(domain string, tables platform.Tables, f *fakePlatform) *Provisioner {
+func newProvisioner(domain string, tables platformapi.Tables, f *fakePlatform) *Provisioner {
 	started := time.Now()
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	return NewProvisioner(domain, tables, f, events, func() time.Duration { return time.Since(started) })
@@ -171,12 +173,12 @@
 
 // interleavedTables sometimes runs another holder between a holder's scan and its next call.
 type interleavedTables struct {
-	platform.Tables
+	platformapi.Tables
 	random     *rand.Rand
 	concurrent func()
 }
 
-func (i *interleavedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (i *interleavedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
 	rows, err := i.Tables.Scan(ctx, prefix, after, limit)
 	if other := i.concurrent; other != nil && i.random.IntN(6) == 0 {
 		i.concurrent = nil
@@ -208,7 +210,7 @@
 func TestUpstreamsAreOrderedUpToTheContractsSpending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		a, b := newProvisioner("a", tables, f), newProvisioner("b", tables, f)
 		for range 60 {
 			for _, p := range []*Provisioner{a, b} {
@@ -251,7 +253,7 @@
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newFakePlatform(random, 30, "a", "b")
 	f.checksEpochs = seed%2 == 0
-	tables := &interleavedTables{Tables: memory.NewTables(), random: random}
+	tables := &interleavedTables{Tables: memtables.NewTables(), random: random}
 	holders := []*Provisioner{
 		newProvisioner("a", tables, f), newProvisioner("a", tables, f),
 		newProvisioner("b", tables, f), newProvisioner("b", tables, f),
@@ -289,7 +291,7 @@
 func TestNewHolderDoesNotDuplicateAnExecutedOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a")
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		first := newProvisioner("a", tables, f)
 		for range startAfterRounds {
 			if err := runRound(t, first, 1, f, 5, 0); err != nil {
@@ -318,7 +320,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
 		f.available["b"] = 10
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		a, b := newProvisioner("a", tables, f), newProvisioner("b", tables, f)
 		f.onlyDelays = true
 		for range 100 {
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // LedgerPrefix is the prefix of the keys of the ledger rows.
@@ -24,8 +24,8 @@
 // runs on the VM that holds the failure domain's lease.
 type Provisioner struct {
 	domain  string
-	tables  platform.Tables
-	orders  platform.Upstreams
+	tables  platformapi.Tables
+	orders  platformapi.Upstreams
 	events  *event.Recorder
 	planner *Planner
 	elapsed func() time.Duration
@@ -37,7 +37,7 @@
 }
 
 // NewProvisioner returns a provisioner; elapsed returns a monotonic time.
-func NewProvisioner(domain string, tables platform.Tables, orders platform.Upstreams, events *event.Recorder, elapsed func() time.Duration) *Provisioner {
+func NewProvisioner(domain string, tables platformapi.Tables, orders platformapi.Upstreams, events *event.Recorder, elapsed func() time.Duration) *Provisioner {
 	return &Provisioner{
 		domain:      domain,
 		tables:      tables,
@@ -53,8 +53,8 @@
 // Round holds the data that a round of orders is decided on.
 type Round struct {
 	// Listed must have been read after the lease was acquired.
-	Listed    []platform.Upstream
-	Offers    []platform.Offer
+	Listed    []platformapi.Upstream
+	Offers    []platformapi.Offer
 	Demands   []Demand
 	Contracts map[contract.Account]contract.Contract
 }
@@ -70,7 +70,7 @@
 	for _, d := range p.allDemands(round, accounts) {
 		stored, ok := accounts[d.Account]
 		if !ok {
-			stored = storedLedger{ledger: Ledger{Account: d.Account}, row: platform.Row{Key: LedgerPrefix + string(d.Account)}}
+			stored = storedLedger{ledger: Ledger{Account: d.Account}, row: platformapi.Row{Key: LedgerPrefix + string(d.Account)}}
 		}
 		stored, err := p.handleDemand(ctx, guard, round, d, stored)
 		if err != nil {
@@ -84,7 +84,7 @@
 // storedLedger is a ledger with the row that it was read from.
 type storedLedger struct {
 	ledger Ledger
-	row    platform.Row
+	row    platformapi.Row
 }
 
 // maxLedgers limits the one scan that reads all ledgers; a fleet has fewer accounts.
@@ -161,10 +161,10 @@
 	if err != nil {
 		return stored, errors.WithStack(&fault.Internal{Where: "ledger"})
 	}
-	err = platform.CommitSurely(ctx, p.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: stored.row.Key, Version: stored.row.Version}},
-		Writes:        []platform.Write{{Key: stored.row.Key, Value: value}},
+	err = platformapi.CommitConfirmed(ctx, p.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: stored.row.Key, Version: stored.row.Version}},
+		Writes:        []platformapi.Write{{Key: stored.row.Key, Value: value}},
 	})
 	if err != nil {
 		return stored, err
@@ -180,7 +180,7 @@
 const releaseDelay = 30 * time.Second
 
 // reconcile updates a ledger from the platform's list and releases the expired reservations.
-func (p *Provisioner) reconcile(ctx context.Context, stored storedLedger, listed []platform.Upstream) (storedLedger, error) {
+func (p *Provisioner) reconcile(ctx context.Context, stored storedLedger, listed []platformapi.Upstream) (storedLedger, error) {
 	next := stored.ledger.Reconcile(p.domain, listed)
 	for _, r := range next.Reservations {
 		if r.FailureDomain == p.domain && p.isExpired(r, findUpstream(r, listed) >= 0) {
@@ -211,7 +211,7 @@
 
 // resendOrders sends the orders again whose effect has not been seen, and stops upstreams
 // without a reservation. Orders keep their IDs, so the platform does not execute one twice.
-func (p *Provisioner) resendOrders(ctx context.Context, guard fence.Guard, stored storedLedger, listed []platform.Upstream) (storedLedger, error) {
+func (p *Provisioner) resendOrders(ctx context.Context, guard fence.Guard, stored storedLedger, listed []platformapi.Upstream) (storedLedger, error) {
 	for _, u := range stored.ledger.Orphans(p.domain, listed) {
 		if err := p.send(ctx, guard, stopOrder(p.domain, u.OrderID, u.ID)); endsRound(err) {
 			return stored, err
@@ -258,10 +258,10 @@
 
 // sendStart sends a start order. If it is refused, the ledger records that.
 func (p *Provisioner) sendStart(ctx context.Context, guard fence.Guard, stored storedLedger, r Reservation) (storedLedger, error) {
-	err := p.send(ctx, guard, platform.Order{
+	err := p.send(ctx, guard, platformapi.Order{
 		ID:            r.Order,
 		FailureDomain: r.FailureDomain,
-		Kind:          platform.OrderStart,
+		Kind:          platformapi.OrderStart,
 		Account:       string(stored.ledger.Account),
 		Model:         r.Model,
 		Adapter:       r.Adapter,
@@ -289,24 +289,24 @@
 }
 
 // stopOrder returns the stop order of an upstream. Its ID is derived from the start order's.
-func stopOrder(domain, startOrder, upstream string) platform.Order {
-	return platform.Order{
+func stopOrder(domain, startOrder, upstream string) platformapi.Order {
+	return platformapi.Order{
 		ID:            startOrder + "/stop",
 		FailureDomain: domain,
-		Kind:          platform.OrderStop,
+		Kind:          platformapi.OrderStop,
 		Upstream:      upstream,
 	}
 }
 
 // send checks the lease, sends an order and emits its events.
-func (p *Provisioner) send(ctx context.Context, guard fence.Guard, order platform.Order) error {
+func (p *Provisioner) send(ctx context.Context, guard fence.Guard, order platformapi.Order) error {
 	if err := guard.Check(); err != nil {
 		return err
 	}
 	order.Epoch = guard.Epoch()
 	subject := event.Subject{Upstream: order.Upstream, Account: order.Account, Epoch: order.Epoch, Detail: string(order.Kind)}
 	p.events.Emit(event.OrderGiven, subject)
-	err := p.orders.Order(fence.Context(ctx, guard), order)
+	err := p.orders.Order(fence.WithGuard(ctx, guard), order)
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
 		p.events.Emit(event.OrderFailed, subject)
--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -10,15 +10,15 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Closer closes usage windows and sends their reports to billing. A lease allows one
 // closer at a time. If two run at once, the preconditions of their transactions still
 // keep them from inserting different reports.
 type Closer struct {
-	tables  platform.Tables
-	billing platform.Billing
+	tables  platformapi.Tables
+	billing platformapi.Billing
 	events  *event.Recorder
 	config  CloserConfig
 	// observed holds, by row key, the version of each row that is not final and since
@@ -57,7 +57,7 @@
 }
 
 // NewCloser returns a closer.
-func NewCloser(tables platform.Tables, billing platform.Billing, events *event.Recorder, config CloserConfig) *Closer {
+func NewCloser(tables platformapi.Tables, billing platformapi.Billing, events *event.Recorder, config CloserConfig) *Closer {
 	return &Closer{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
 }
 
@@ -128,17 +128,17 @@
 }
 
 // writeCursor replaces the cursor if its row has not changed since it was read.
-func (c *Closer) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platform.Row) error {
-	return platform.CommitSurely(ctx, c.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: cursorKey, Version: cursorRow.Version}},
-		Writes:        []platform.Write{{Key: cursorKey, Value: platform.EncodeValue(cursor)}},
+func (c *Closer) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row) error {
+	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: cursorKey, Version: cursorRow.Version}},
+		Writes:        []platformapi.Write{{Key: cursorKey, Value: platformapi.EncodeValue(cursor)}},
 	})
 }
 
 // passWindow moves the cursor to the window after the reported window w, and deletes a batch
 // of rows older than the retention.
-func (c *Closer) passWindow(ctx context.Context, cursor cursorValue, cursorRow platform.Row, w Window) error {
+func (c *Closer) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := c.sweep(ctx, cursor)
 	if err != nil {
@@ -165,13 +165,13 @@
 	if err != nil {
 		return cursor.Swept, err
 	}
-	txn := platform.Txn{Nonce: platform.NewNonce()}
+	txn := platformapi.Txn{Nonce: platformapi.NewNonce()}
 	for _, row := range rows {
 		if w, ok := parseWindow(row.Key); !ok || w >= end {
 			break
 		}
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
-		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: row.Key, Version: row.Version})
+		txn.Writes = append(txn.Writes, platformapi.Write{Key: row.Key, Delete: true})
 	}
 	if len(txn.Writes) == 0 {
 		return max(cursor.Swept, end), nil
@@ -183,8 +183,8 @@
 const scanPageSize = 512
 
 // scan returns all rows whose key starts with prefix.
-func scan(ctx context.Context, tables platform.Tables, prefix string) ([]platform.Row, error) {
-	var all []platform.Row
+func scan(ctx context.Context, tables platformapi.Tables, prefix string) ([]platformapi.Row, error) {
+	var all []platformapi.Row
 	after := prefix
 	for {
 		page, err := tables.Scan(ctx, prefix, after, scanPageSize)
@@ -201,7 +201,7 @@
 
 // close inserts the reports once every row is final or its VM is considered dead. It
 // returns false while it has to wait for a VM.
-func (c *Closer) close(ctx context.Context, w Window, windowRow platform.Row) (bool, error) {
+func (c *Closer) close(ctx context.Context, w Window, windowRow platformapi.Row) (bool, error) {
 	stored, err := scan(ctx, c.tables, vmRowsPrefix(w))
 	if err != nil {
 		return false, err
@@ -224,7 +224,7 @@
 
 // mustWait reports whether a row may still be sealed by its VM. It checks every row, since
 // isDead also records an observation.
-func (c *Closer) mustWait(stored []platform.Row, rows []Row) bool {
+func (c *Closer) mustWait(stored []platformapi.Row, rows []Row) bool {
 	wait := false
 	for i, row := range stored {
 		if !rows[i].isFinal() && !c.isDead(row, rows[i], rows) {
@@ -237,7 +237,7 @@
 // isDead reports whether the VM of a row that is not final is considered dead. If the VM is
 // alive after all, the usage that its row lacks is reported as a correction in a later
 // window; no report becomes wrong.
-func (c *Closer) isDead(row platform.Row, r Row, all []Row) bool {
+func (c *Closer) isDead(row platformapi.Row, r Row, all []Row) bool {
 	now := c.config.Elapsed()
 	seen, ok := c.observed[row.Key]
 	if !ok || seen.version != row.Version {
@@ -265,31 +265,31 @@
 // insertReports closes the window in one transaction: it marks the rows that are not final
 // as closed and inserts the reports. The transaction fails if a row has changed since it
 // was read.
-func (c *Closer) insertReports(ctx context.Context, w Window, windowRow platform.Row, stored []platform.Row, rows []Row) error {
-	txn := platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
-		Writes:        []platform.Write{{Key: windowRow.Key, Value: platform.EncodeValue(windowValue{Phase: phaseClosed})}},
+func (c *Closer) insertReports(ctx context.Context, w Window, windowRow platformapi.Row, stored []platformapi.Row, rows []Row) error {
+	txn := platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
+		Writes:        []platformapi.Write{{Key: windowRow.Key, Value: platformapi.EncodeValue(windowValue{Phase: phaseClosed})}},
 	}
 	for i, row := range stored {
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: row.Key, Version: row.Version})
 		if !rows[i].isFinal() {
 			closed := rows[i]
 			closed.Closed = true
-			txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Value: platform.EncodeValue(closed)})
+			txn.Writes = append(txn.Writes, platformapi.Write{Key: row.Key, Value: platformapi.EncodeValue(closed)})
 		}
 	}
 	for _, report := range Reports(w, rows, c.config.Accounts()) {
 		key := reportKey(w, report.Account)
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: key})
-		txn.Writes = append(txn.Writes, platform.Write{Key: key, Value: platform.EncodeValue(report)})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: key})
+		txn.Writes = append(txn.Writes, platformapi.Write{Key: key, Value: platformapi.EncodeValue(report)})
 	}
-	return platform.CommitSurely(ctx, c.tables, txn)
+	return platformapi.CommitConfirmed(ctx, c.tables, txn)
 }
 
 // sendReports sends every report row of the window to billing, exactly as inserted. A
 // retry, also by the next lease holder, sends the same counts.
-func (c *Closer) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platform.Row) error {
+func (c *Closer) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platformapi.Row) error {
 	stored, err := scan(ctx, c.tables, reportPrefix(w))
 	if err != nil {
 		return err
@@ -303,10 +303,10 @@
 			return err
 		}
 	}
-	return platform.CommitSurely(ctx, c.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
-		Writes:        []platform.Write{{Key: windowRow.Key, Value: platform.EncodeValue(windowValue{Phase: phaseReported})}},
+	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
+		Writes:        []platformapi.Write{{Key: windowRow.Key, Value: platformapi.EncodeValue(windowValue{Phase: phaseReported})}},
 	})
 }
 
@@ -317,7 +317,7 @@
 		return err
 	}
 	start := int64(r.Window) * int64(c.config.Length/time.Second)
-	err := c.billing.Report(fence.Context(ctx, guard), platform.UsageReport{
+	err := c.billing.Report(fence.WithGuard(ctx, guard), platformapi.UsageReport{
 		Window:             start,
 		Account:            string(r.Account),
 		Requests:           r.Figures.Requests,
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 // In each case of the fault matrix two VMs serve during servedWindows. All usage must be
@@ -33,10 +33,10 @@
 
 // scenario is one case of the matrix.
 type scenario struct {
-	cluster *platformtest.World
+	cluster *faultinject.Cluster
 	billing *matrixBilling
 	meters  []*Meter
-	vms     []*platformtest.Process
+	vms     []*faultinject.Process
 	used    []Figures
 }
 
@@ -44,11 +44,11 @@
 // same account and window.
 type matrixBilling struct {
 	mu       sync.Mutex
-	accepted map[string]platform.UsageReport
+	accepted map[string]platformapi.UsageReport
 	changed  []string
 }
 
-func (b *matrixBilling) accept(r platform.UsageReport) {
+func (b *matrixBilling) accept(r platformapi.UsageReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.Epoch = 0
@@ -62,11 +62,11 @@
 
 // processBilling is billing as called by one process.
 type processBilling struct {
-	process *platformtest.Process
+	process *faultinject.Process
 	billing *matrixBilling
 }
 
-func (p processBilling) Report(ctx context.Context, r platform.UsageReport) error {
+func (p processBilling) Report(ctx context.Context, r platformapi.UsageReport) error {
 	return p.process.Call(ctx, "report", r.Account, true, func() error {
 		p.billing.accept(r)
 		return nil
@@ -75,10 +75,10 @@
 
 // runScenario runs a scenario with a script of faults. It must be called in a synctest
 // bubble.
-func runScenario(t *testing.T, script platformtest.Script) *scenario {
+func runScenario(t *testing.T, script faultinject.Script) *scenario {
 	s := &scenario{
-		cluster: platformtest.NewWorld(script),
-		billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)},
+		cluster: faultinject.NewCluster(script),
+		billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)},
 		used:    make([]Figures, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -115,7 +115,7 @@
 	flushing.Go(func() { meter.Run(ctx, func() time.Duration { return flushInterval }) })
 	for range 3 * servedWindows {
 		time.Sleep(windowLength / 3)
-		if process.Dead() {
+		if process.Killed() {
 			break
 		}
 		f := Figures{Requests: 1, Tokens: int64(10 * (i + 1))}
@@ -135,7 +135,7 @@
 func (s *scenario) listed(vm string) bool {
 	for _, p := range s.vms {
 		if p.Name == vm {
-			return !p.Dead()
+			return !p.Killed()
 		}
 	}
 	return false
@@ -155,7 +155,7 @@
 	incomplete, killed := false, false
 	for i, p := range s.vms {
 		used = used.Add(s.used[i])
-		killed = killed || p.Dead()
+		killed = killed || p.Killed()
 	}
 	for _, r := range s.billing.accepted {
 		if contract.Account(r.Account) == berry {
@@ -178,10 +178,10 @@
 	}
 }
 
-func newFault(kind platformtest.Kind) platformtest.Fault {
-	f := platformtest.Fault{Kind: kind, For: faultDuration}
-	if kind == platformtest.Late {
-		f.For = callDelay
+func newFault(kind faultinject.Kind) faultinject.Fault {
+	f := faultinject.Fault{Kind: kind, Duration: faultDuration}
+	if kind == faultinject.DelayEffect {
+		f.Duration = callDelay
 	}
 	return f
 }
@@ -190,17 +190,17 @@
 type injection struct {
 	process string
 	index   int
-	kind    platformtest.Kind
+	kind    faultinject.Kind
 }
 
-func script(injections ...injection) platformtest.Script {
-	return func(step platformtest.Step) platformtest.Fault {
+func script(injections ...injection) faultinject.Script {
+	return func(step faultinject.Step) faultinject.Fault {
 		for _, i := range injections {
 			if step.Process == i.process && step.Index == i.index {
 				return newFault(i.kind)
 			}
 		}
-		return platformtest.Fault{}
+		return faultinject.Fault{}
 	}
 }
 
@@ -208,9 +208,9 @@
 // faults, one fault at a time and random pairs. Guards against bills that count a request
 // twice, lack one without being marked incomplete, or differ for the same window.
 func TestMatrixUsage(t *testing.T) {
-	var steps []platformtest.Step
+	var steps []faultinject.Step
 	synctest.Test(t, func(t *testing.T) {
-		s := runScenario(t, platformtest.NoFaults)
+		s := runScenario(t, faultinject.NoFaults)
 		if err := s.check(); err != nil {
 			t.Fatalf("without faults: %v", err)
 		}
@@ -218,7 +218,7 @@
 	})
 	var cases [][]injection
 	for _, step := range steps {
-		for _, kind := range platformtest.Kinds {
+		for _, kind := range faultinject.Kinds {
 			cases = append(cases, []injection{{step.Process, step.Index, kind}})
 		}
 	}
@@ -239,7 +239,7 @@
 		}
 	})
 	t.Logf("matrix: usage: %d steps x %d faults, %d cases run (%d of them pairs), %d cases failed",
-		len(steps), len(platformtest.Kinds), len(cases), pairCases, failed.Load())
+		len(steps), len(faultinject.Kinds), len(cases), pairCases, failed.Load())
 }
 
 // runCase runs one case and returns 1 if it failed, else 0.
@@ -257,12 +257,12 @@
 // result of the check must not depend on which comes first, and there must be no data race.
 func TestCheckCountsSimultaneousReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scenario{billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)}}
+		s := &scenario{billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)}}
 		const delay = time.Second
 		for window := range int64(4) {
 			go func() {
 				time.Sleep(delay)
-				s.billing.accept(platform.UsageReport{Window: window, Account: string(berry)})
+				s.billing.accept(platformapi.UsageReport{Window: window, Account: string(berry)})
 			}()
 		}
 		time.Sleep(delay)
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Meter counts the requests and tokens that this incarnation of the VM serves, and writes
@@ -18,7 +18,7 @@
 // is unavailable the last window stays open, so that no usage is counted in a window without
 // a row, which the closer would not find.
 type Meter struct {
-	tables      platform.Tables
+	tables      platformapi.Tables
 	events      *event.Recorder
 	vm          string
 	incarnation string
@@ -52,7 +52,7 @@
 
 // MeterConfig configures a Meter.
 type MeterConfig struct {
-	Tables platform.Tables
+	Tables platformapi.Tables
 	Events *event.Recorder
 	VM     string
 	// Incarnation is unique to each process.
@@ -179,13 +179,13 @@
 	m.opening, m.openUnconfirmed = window, true
 	counts, corrections, _ := m.snapshot()
 	key := rowKey(window, m.vm, m.incarnation)
-	err = platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	err = platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: key},
 			{Key: cursorKey, Version: cursorRow.Version},
 		},
-		Writes: []platform.Write{{Key: key, Value: platform.EncodeValue(m.newRow(counts, corrections, false))}},
+		Writes: []platformapi.Write{{Key: key, Value: platformapi.EncodeValue(m.newRow(counts, corrections, false))}},
 	})
 	if err != nil {
 		m.markChanged()
@@ -225,10 +225,10 @@
 		return nil
 	}
 	key := rowKey(m.window, m.vm, m.incarnation)
-	err := platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: key, Version: m.version}},
-		Writes:        []platform.Write{{Key: key, Value: platform.EncodeValue(m.newRow(counts, corrections, sealed))}},
+	err := platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: key, Version: m.version}},
+		Writes:        []platformapi.Write{{Key: key, Value: platformapi.EncodeValue(m.newRow(counts, corrections, sealed))}},
 	})
 	if err != nil {
 		m.markChanged()
@@ -255,16 +255,16 @@
 	sealed.Next = next
 	oldKey := rowKey(m.window, m.vm, m.incarnation)
 	newKey := rowKey(next, m.vm, m.incarnation)
-	err = platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	err = platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: oldKey, Version: m.version},
 			{Key: newKey},
 			{Key: cursorKey, Version: cursorRow.Version},
 		},
-		Writes: []platform.Write{
-			{Key: oldKey, Value: platform.EncodeValue(sealed)},
-			{Key: newKey, Value: platform.EncodeValue(m.newRow(Totals{}, Totals{}, false))},
+		Writes: []platformapi.Write{
+			{Key: oldKey, Value: platformapi.EncodeValue(sealed)},
+			{Key: newKey, Value: platformapi.EncodeValue(m.newRow(Totals{}, Totals{}, false))},
 		},
 	})
 	if err != nil {
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Prefixes of row keys in the store. ReportPrefix is exported for the operators' view of
@@ -71,7 +71,7 @@
 }
 
 // readCursor returns the cursor and its row; without a row the cursor is zero.
-func readCursor(ctx context.Context, tables platform.Tables) (cursorValue, platform.Row, error) {
+func readCursor(ctx context.Context, tables platformapi.Tables) (cursorValue, platformapi.Row, error) {
 	row, err := tables.Get(ctx, cursorKey)
 	if err != nil {
 		return cursorValue{}, row, err
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,8 +13,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 const (
@@ -25,10 +25,10 @@
 
 // unreliableTables loses some requests and some replies, and delays some commits.
 type unreliableTables struct {
-	platform.Tables
+	platformapi.Tables
 	random       *rand.Rand
 	faultPercent int
-	delayed      []platform.Txn
+	delayed      []platformapi.Txn
 	// concurrent, if set, acts for another client. It is sometimes called between two
 	// calls of a caller.
 	concurrent func()
@@ -47,16 +47,16 @@
 
 func (u *unreliableTables) injectFault() bool { return u.random.IntN(100) < u.faultPercent }
 
-func (u *unreliableTables) Get(ctx context.Context, key string) (platform.Row, error) {
+func (u *unreliableTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	u.interleave()
 	u.applyDelayed(ctx)
 	if u.injectFault() {
-		return platform.Row{}, errors.WithStack(&fault.StoreUnavailable{Operation: "get"})
+		return platformapi.Row{}, errors.WithStack(&fault.StoreUnavailable{Operation: "get"})
 	}
 	return u.Tables.Get(ctx, key)
 }
 
-func (u *unreliableTables) Commit(ctx context.Context, txn platform.Txn) error {
+func (u *unreliableTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	u.interleave()
 	u.applyDelayed(ctx)
 	if !u.injectFault() {
@@ -85,11 +85,11 @@
 // one for the same account and window.
 type billing struct {
 	t        *testing.T
-	accepted map[string]platform.UsageReport
+	accepted map[string]platformapi.UsageReport
 	lose     func() bool
 }
 
-func (b *billing) Report(_ context.Context, r platform.UsageReport) error {
+func (b *billing) Report(_ context.Context, r platformapi.UsageReport) error {
 	key := time.Unix(r.Window, 0).UTC().String() + r.Account
 	r.Epoch = 0
 	if first, ok := b.accepted[key]; ok && first != r {
@@ -125,7 +125,7 @@
 	return event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 }
 
-func newMeter(tables platform.Tables, vm string) *Meter {
+func newMeter(tables platformapi.Tables, vm string) *Meter {
 	return NewMeter(MeterConfig{
 		Tables:      tables,
 		Events:      newEvents(),
@@ -136,7 +136,7 @@
 	})
 }
 
-func newCloser(tables platform.Tables, b platform.Billing, listed func(string) bool) *Closer {
+func newCloser(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Closer {
 	started := time.Now()
 	return NewCloser(tables, b, newEvents(), CloserConfig{
 		Length:    windowLength,
@@ -151,7 +151,7 @@
 }
 
 func newBilling(t *testing.T) *billing {
-	return &billing{t: t, accepted: make(map[string]platform.UsageReport), lose: func() bool { return false }}
+	return &billing{t: t, accepted: make(map[string]platformapi.UsageReport), lose: func() bool { return false }}
 }
 
 // drive runs the closer until it has nothing more to do at the current time.
@@ -181,7 +181,7 @@
 
 func TestWindowOfTwoVMsIsReportedOnceWithAllUsage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		one, two := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, one, two)
 		one.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -205,7 +205,7 @@
 // complete.
 func TestReportOfKilledVMIsIncomplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		killed, other := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, killed, other)
 		killed.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -233,7 +233,7 @@
 // the closed window would be a second, different bill.
 func TestCutOffVMCorrectsTheNextWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		cutOff := newMeter(tables, "vm-1")
 		flush(t, cutOff)
 		cutOff.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -266,7 +266,7 @@
 // contains, and this usage would never be billed.
 func TestSealBetweenScanAndInsertIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		paused := newMeter(tables, "vm-1")
 		flush(t, paused)
 		time.Sleep(windowLength)
@@ -290,7 +290,7 @@
 // the same usage.
 func TestOpenWithUnknownOutcomeIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := &delayingTables{Tables: memory.NewTables(), delay: true}, newBilling(t)
+		tables, b := &delayingTables{Tables: memtables.NewTables(), delay: true}, newBilling(t)
 		one := newMeter(tables, "vm-1")
 		one.Add(berry, Figures{Requests: 1, Tokens: 10})
 		if err := one.Flush(t.Context()); err == nil {
@@ -317,12 +317,12 @@
 
 // delayingTables delays commits while delay is set; their callers get no answer.
 type delayingTables struct {
-	platform.Tables
+	platformapi.Tables
 	delay   bool
-	delayed []platform.Txn
+	delayed []platformapi.Txn
 }
 
-func (d *delayingTables) Commit(ctx context.Context, txn platform.Txn) error {
+func (d *delayingTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if !d.delay {
 		return d.Tables.Commit(ctx, txn)
 	}
@@ -340,11 +340,11 @@
 
 // hookedTables calls beforeCommit once, before the next commit.
 type hookedTables struct {
-	platform.Tables
+	platformapi.Tables
 	beforeCommit func()
 }
 
-func (h *hookedTables) Commit(ctx context.Context, txn platform.Txn) error {
+func (h *hookedTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if hook := h.beforeCommit; hook != nil {
 		h.beforeCommit = nil
 		hook()
@@ -356,7 +356,7 @@
 // row would never be billed, so the VM must open a later window instead.
 func TestReportedWindowCanNotBeOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		one := newMeter(tables, "vm-1")
 		flush(t, one)
 		time.Sleep(windowLength)
@@ -394,7 +394,7 @@
 
 func billOverUnreliableStore(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	tables := &unreliableTables{Tables: memory.NewTables(), random: random, faultPercent: 20}
+	tables := &unreliableTables{Tables: memtables.NewTables(), random: random, faultPercent: 20}
 	b := newBilling(t)
 	b.lose = func() bool { return random.IntN(5) == 0 }
 	listed := func(string) bool { return random.IntN(2) == 0 }
