--- a/internal/entry/account_test.go
+++ b/internal/entry/account_test.go
@@ -9,15 +9,16 @@
 	"dogwoodpond/internal/dispatch"
 )
 
-// Two client accounts send the same things, down to the idempotency key, and one
-// names the other wherever it can. Mixed up, one pays for the other's engines,
-// or reads the answer to the other's deposit.
-func TestRequestRunsForItsKeysAccountOnly(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.whole() }))
+// Two client accounts send identical requests with the same idempotency key,
+// and name the other account in places that must be ignored. If a VM confused
+// them, one account would pay for the other's engines or receive the answer to
+// the other's deposit.
+func TestRequestRunsOnlyForTheAccountOfItsKey(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.complete() }))
 	desk := newChargingDesk(r)
 	works := make(chan dispatch.Work, 16)
-	r.places.hook = func(_ context.Context, work dispatch.Work) error {
+	r.dispatcher.hook = func(_ context.Context, work dispatch.Work) error {
 		works <- work
 		return nil
 	}
@@ -41,7 +42,7 @@
 			select {
 			case work = <-works:
 			default:
-				t.Errorf("a request of %s was answered without a run", c.account)
+				t.Errorf("a request of %s was answered without being dispatched", c.account)
 				continue
 			}
 			if work.Account != c.account || work.Contract.Account != c.account {
@@ -50,7 +51,7 @@
 		}
 	}
 	if runs := desk.count("tree 17"); runs != 2 {
-		t.Errorf("two accounts' deposits ran %d times", runs)
+		t.Errorf("the deposits of two accounts ran %d times, want 2", runs)
 	}
 	if got := r.call(http.MethodPost, "/v1/generate", `{"model":"berry-1","prompt":"p","maxTokens":1,"account":"brazicod"}`); got.status != http.StatusBadRequest {
 		t.Errorf("a body that names an account got %d %s", got.status, got.body)
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -16,122 +16,130 @@
 	"dogwoodpond/internal/fault"
 )
 
-// caller is an authenticated request.
-type caller struct {
+// clientCall is an authenticated request of a client account.
+type clientCall struct {
 	requestID string
 	key       contract.Key
 	contract  contract.Contract
-	// body is the whole request body.
+	// body is the complete request body.
 	body []byte
 }
 
-// handler serves an authenticated request. It returns a failure before it has
-// written anything, or nil.
-type handler func(ctx context.Context, c caller, r *restful.Request, w *restful.Response) error
+// handler serves an authenticated request. It returns an error only if it has
+// not written any part of the answer.
+type handler func(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error
 
+// drainRetryAfter is the retry delay given to callers while the VM refuses new
+// requests.
 const drainRetryAfter = time.Second
 
-// authenticated wraps a handler with everything that each request needs.
+// authenticated wraps a handler: it assigns the request ID, admits the request,
+// and writes the refusal if the request is not admitted or fails.
 func (s *Server) authenticated(next handler) restful.RouteFunction {
 	return func(r *restful.Request, w *restful.Response) {
 		id := uuid.NewString()
 		w.Header().Set(headerRequestID, id)
 		if s.Draining() {
-			// A kept connection would be closed under a caller's next request.
+			// A connection kept alive could be closed while the caller sends its
+			// next request.
 			w.Header().Set("Connection", "close")
 		}
-		c, leave, err := s.admit(id, r, w)
+		c, release, err := s.admit(id, r, w)
 		if err != nil {
 			closeUnread(r, w)
 			s.refuse(w, id, fault.WithExecution(err, fault.NotRun))
 			return
 		}
-		defer leave()
+		defer release()
 		if err := s.serve(c, next, r, w); err != nil {
 			s.refuse(w, id, err)
 		}
 	}
 }
 
-// closeUnread lets the refusal of a request whose body was not read go out at
-// once. The HTTP server would else wait for the body first, to keep the
-// connection, and a caller that sends slowly would learn late that it was given
-// up on.
+// closeUnread closes the connection after the refusal of a request whose body
+// was not read. To reuse the connection, the HTTP server would first wait for
+// the rest of the body, and a slow caller would receive the refusal late.
 func closeUnread(r *restful.Request, w *restful.Response) {
 	if r.Request.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// admit checks everything that comes before a request may cause anything. leave
-// must be called when the call has ended.
-func (s *Server) admit(id string, r *restful.Request, w *restful.Response) (c caller, leave func(), err error) {
-	from, err := s.identify(id, r)
+// admit performs all checks that come before a request can have any effect. The
+// caller of admit must call release when the request has ended.
+func (s *Server) admit(id string, r *restful.Request, w *restful.Response) (c clientCall, release func(), err error) {
+	header, err := s.checkHeader(id, r)
 	if err != nil {
-		return caller{}, nil, err
+		return clientCall{}, nil, err
 	}
-	leave, err = s.open.enter(from.contract)
+	release, err = s.open.acquire(header.contract)
 	if err != nil {
-		return caller{}, nil, err
+		return clientCall{}, nil, err
 	}
-	c, err = s.readChecked(from, r, w)
+	c, err = s.checkBody(header, r, w)
 	if err != nil {
-		leave()
-		return caller{}, nil, err
+		release()
+		return clientCall{}, nil, err
 	}
-	return c, leave, nil
+	return c, release, nil
 }
 
-// identified is a request whose key is good. presented is what its caller sent.
-type identified struct {
-	caller
+// checkedHeader is a request whose key is valid and whose body is not read yet.
+// presented is the key as sent; snapshot is the configuration it was checked
+// against.
+type checkedHeader struct {
+	clientCall
 	presented contract.Presented
 	snapshot  *contract.Snapshot
 }
 
-// identify finds out for whom a request comes, from its header alone.
-func (s *Server) identify(id string, r *restful.Request) (identified, error) {
+// checkHeader authenticates a request by its header alone and returns its
+// client account's contract.
+func (s *Server) checkHeader(id string, r *restful.Request) (checkedHeader, error) {
 	if s.refusing.Load() {
-		return identified{}, errors.WithStack(&fault.Draining{Wait: drainRetryAfter})
+		return checkedHeader{}, errors.WithStack(&fault.Draining{Wait: drainRetryAfter})
 	}
 	presented, err := presentedKey(r.Request)
 	if err != nil {
-		return identified{}, err
+		return checkedHeader{}, err
 	}
 	snapshot := s.View.Load()
 	key, c, err := snapshot.Authenticate(presented)
 	if err != nil {
-		return identified{}, err
+		return checkedHeader{}, err
 	}
 	if age := s.Ager.Age(); age > c.Isolation.Duration() {
-		return identified{}, errors.WithStack(&fault.ConfigurationStale{Account: string(c.Account), Age: age})
+		return checkedHeader{}, errors.WithStack(&fault.ConfigurationStale{Account: string(c.Account), Age: age})
 	}
-	return identified{
-		caller:    caller{requestID: id, key: key, contract: c},
-		presented: presented,
-		snapshot:  snapshot,
+	return checkedHeader{
+		clientCall: clientCall{requestID: id, key: key, contract: c},
+		presented:  presented,
+		snapshot:   snapshot,
 	}, nil
 }
 
-// readChecked reads a request's body and checks the whole request.
-func (s *Server) readChecked(from identified, r *restful.Request, w *restful.Response) (caller, error) {
-	body, err := readBody(w.ResponseWriter, r.Request, from.contract.Limits.BodyBytes, s.BodyTimeout)
+// checkBody reads the request body and checks that no part of the request
+// except the Authorization header contains a key.
+func (s *Server) checkBody(header checkedHeader, r *restful.Request, w *restful.Response) (clientCall, error) {
+	body, err := readBody(w.ResponseWriter, r.Request, header.contract.Limits.BodyBytes, s.BodyTimeout)
 	if err != nil {
-		return caller{}, err
+		return clientCall{}, err
 	}
-	if err := checkExposure(r.Request, body, from.presented.Secret, from.snapshot); err != nil {
-		return caller{}, err
+	if err := checkExposure(r.Request, body, header.presented.Secret, header.snapshot); err != nil {
+		return clientCall{}, err
 	}
-	from.body = body
-	return from.caller, nil
+	header.body = body
+	return header.clientCall, nil
 }
 
-// serve runs the handler in a session of the key, so that a withdrawal ends it.
-func (s *Server) serve(c caller, next handler, r *restful.Request, w *restful.Response) error {
+// serve runs the handler in a session of the key, so that withdrawing the key
+// cancels the request.
+func (s *Server) serve(c clientCall, next handler, r *restful.Request, w *restful.Response) error {
 	ctx, end := s.sessions.begin(r.Request.Context(), c.key.ID)
 	defer end()
-	// The key may have been withdrawn between its check and the start of the
-	// session; then the withdrawal's sweep has missed this request.
+	// The key may have been withdrawn after it was checked and before the
+	// session began. In this case Revoke did not see the session.
 	if s.View.Load().Keys[c.key.ID].Withdrawn {
 		return fault.WithExecution(errors.WithStack(&fault.KeyWithdrawn{KeyID: c.key.ID}), fault.NotRun)
 	}
@@ -139,7 +147,7 @@
 	return next(ctx, c, r, w)
 }
 
-// presentedKey reads the key from the Authorization header.
+// presentedKey returns the key in the Authorization header.
 func presentedKey(r *http.Request) (contract.Presented, error) {
 	header := r.Header.Get("Authorization")
 	if header == "" {
@@ -152,14 +160,16 @@
 	return contract.ParseKey(text)
 }
 
-// defaultBodyTimeout bounds how long a caller may take to send its body. Without a
-// bound, callers that stop in the middle hold their requests for ever, and a
-// planned stop waits for them.
+// defaultBodyTimeout is how long a caller may take to send its body. Without a
+// timeout, a caller that stops in the middle of its body would hold its request
+// forever, and a planned stop would wait for it.
 const defaultBodyTimeout = time.Minute
 
+// readBody reads a request body of at most limit bytes within timeout.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64, timeout time.Duration) ([]byte, error) {
 	connection := http.NewResponseController(w)
-	// A writer without deadlines, as in tests, has no slow caller either.
+	// A writer that does not support deadlines, as in tests, has no slow
+	// caller.
 	_ = connection.SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -7,16 +7,17 @@
 	"testing"
 )
 
-// benchEngine answers one short stream at once.
+// benchEngine immediately answers with one short stream.
 func benchEngine(w http.ResponseWriter, r *http.Request) {
-	scripted(func(s *script) { s.whole() })(w, r)
+	scripted(func(s *script) { s.complete() })(w, r)
 }
 
-// BenchmarkGenerate measures one generate call without the callers' network:
-// the handler, the dispatch by a stand-in that never queues, and one stream
-// over loopback. Run it with -cpu 1 for requests a second on one core.
+// BenchmarkGenerate measures one generate call without the network of the
+// caller: the handler, the dispatch by a fake dispatcher that never queues, and
+// one stream over loopback. Run it with -cpu 1 for requests per second on one
+// core.
 func BenchmarkGenerate(b *testing.B) {
-	r := newRig(b, rigOptions{quiet: true})
+	r := newHarness(b, harnessOptions{quiet: true})
 	r.engine("e1", benchEngine)
 	handler := r.server.Handler()
 	b.ReportAllocs()
@@ -32,10 +33,10 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkAdmit measures what comes before the dispatch: the key, the contract
-// and the look for exposed keys in a body of 4 KB.
+// BenchmarkAdmit measures the checks before the dispatch: the key, the
+// contract, and the search for exposed keys in a body of 4 KB.
 func BenchmarkAdmit(b *testing.B) {
-	r := newRig(b, rigOptions{quiet: true})
+	r := newHarness(b, harnessOptions{quiet: true})
 	body := bytes.Repeat([]byte(`{"text":"a \"quoted\" line\n"}`), 200)[:4096]
 	handler := r.server.Handler()
 	b.ReportAllocs()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry serves callers: trainers and booking desks. It authenticates
-// each request, applies the contract, and tells the truth about what ran.
+// Package entry implements the HTTP API for callers: trainers and booking
+// desks. It authenticates each request, enforces the limits of its contract,
+// and reports with each failure whether the request ran.
 package entry
 
 import (
@@ -26,16 +27,17 @@
 
 // Steps runs the steps of trainers.
 type Steps interface {
-	// Open opens a step; a repeat with the same definition is harmless.
+	// Open opens a step. Repeating the call with the same definition is
+	// harmless.
 	Open(ctx context.Context, account contract.Account, step string, definition sample.Definition) (sample.Status, error)
-	// Samples returns the samples after the pull's cursor, in order, and waits
-	// for the first.
+	// Samples returns the samples after the pull's cursor, in order. It waits
+	// for the first one, at most for the pull's Wait.
 	Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error)
-	// Ack confirms the samples up to a number.
+	// Ack acknowledges the samples up to and including the number through.
 	Ack(ctx context.Context, account contract.Account, step string, through int64) error
 }
 
-// Ager tells how long ago the configuration was last known current.
+// Ager returns the time since the configuration was last known to be current.
 type Ager interface {
 	Age() time.Duration
 }
@@ -45,7 +47,7 @@
 	Add(account contract.Account, figures usage.Figures)
 }
 
-// Config holds what a Server is built from.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	View       *contract.View
 	Ager       Ager
@@ -58,28 +60,31 @@
 	Usage      UsageRecorder
 	Events     *event.Recorder
 	Registry   *prometheus.Registry
-	// DrainTime is how long a planned stop waits for running requests; no request
-	// gets more time. 0 means no bound.
+	// DrainTime is how long a planned stop waits for running requests. The
+	// timeouts of all requests are capped at it. 0 means no cap.
 	DrainTime time.Duration
-	// WriteTimeout bounds one write to a caller. 0 means 30 seconds.
+	// WriteTimeout is the timeout of a single write to a caller. 0 means 30
+	// seconds.
 	WriteTimeout time.Duration
-	// BodyTimeout bounds the time in which a caller sends its body. 0 means one
-	// minute.
+	// BodyTimeout is the longest time a caller may take to send its request
+	// body. 0 means one minute.
 	BodyTimeout time.Duration
 }
 
-// Server is the callers' API.
+// Server implements the HTTP API for callers.
 type Server struct {
 	Config
 	sessions *sessions
 	open     openCalls
 	draining atomic.Bool
 	refusing atomic.Bool
-	// detached counts the keyed calls that outlive their callers.
+	// detached counts the calls with an idempotency key, which continue after
+	// their callers disconnect.
 	detached sync.WaitGroup
 }
 
-// NewServer returns a server.
+// NewServer returns a Server. It replaces zero write and body timeouts by their
+// defaults.
 func NewServer(config Config) *Server {
 	if config.WriteTimeout == 0 {
 		config.WriteTimeout = defaultWriteTimeout
@@ -90,26 +95,27 @@
 	return &Server{Config: config, sessions: newSessions()}
 }
 
-// Drain makes /readyz answer 503, so that the balancer sends no more callers.
-// Until Refuse is called new work is still served: the balancer looks only now
-// and then, and a caller whom it still sends here would else be refused because
-// of a planned stop.
+// Drain makes /readyz answer 503, so that the load balancer stops sending
+// callers to this VM. New requests are still served until Refuse is called: the
+// load balancer polls /readyz only at intervals, and the callers it sends in
+// the meantime must not fail because of a planned stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Refuse ends the notice that Drain began: new work is refused as not run.
-// Running requests go on.
+// Refuse ends the notice period that Drain started: new requests are refused as
+// not run. Running requests continue.
 func (s *Server) Refuse() { s.refusing.Store(true) }
 
-// bounded returns a request's time-out. A longer one than the drain would let a
-// planned stop cut the request off.
-func (s *Server) bounded(timeout time.Duration) time.Duration {
+// capTimeout caps the timeout of a request at DrainTime. A request with a
+// longer timeout could be interrupted by a planned stop.
+func (s *Server) capTimeout(timeout time.Duration) time.Duration {
 	if s.DrainTime == 0 {
 		return timeout
 	}
 	return min(timeout, s.DrainTime)
 }
 
-// Wait waits for the calls that go on after their callers have left.
+// Wait blocks until the calls that continued after their callers disconnected
+// have ended.
 func (s *Server) Wait() { s.detached.Wait() }
 
 // Draining reports whether Drain was called.
@@ -119,12 +125,12 @@
 func (s *Server) Handler() http.Handler {
 	container := restful.NewContainer()
 	container.DoNotRecover(false)
-	container.RecoverHandler(s.recovered)
-	container.ServiceErrorHandler(s.unrouted)
+	container.RecoverHandler(s.handlePanic)
+	container.ServiceErrorHandler(s.handleUnrouted)
 	container.Add(s.health())
 	container.Add(s.api())
-	// Dispatch, not ServeHTTP: the container's own mux would answer some paths
-	// with a redirect in place of a route or a typed refusal.
+	// Use Dispatch instead of ServeHTTP: the mux of the container would answer
+	// some paths with a redirect instead of a route or a typed refusal.
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		container.Dispatch(newCallerWriter(w, s.WriteTimeout), r)
 	})
@@ -144,7 +150,7 @@
 	return ws
 }
 
-// ready answers 503 while the VM drains or knows no configuration yet.
+// ready answers 503 while the VM is draining or has no configuration yet.
 func (s *Server) ready(_ *restful.Request, w *restful.Response) {
 	if s.Draining() || s.View.Load().Revision == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/entry/exposure.go
+++ b/internal/entry/exposure.go
@@ -13,52 +13,58 @@
 	"dogwoodpond/internal/fault"
 )
 
-// decodeRounds bounds how often text is unescaped: a path or a JSON string may
-// hold text that is escaped again, as in a prompt that quotes JSON. Each round
-// reads the text once, so the bound also limits what a hostile body costs.
-const decodeRounds = 16
+// maxUnescapeRounds is how many layers of escapes are decoded: a path or a JSON
+// string may contain text that is itself escaped, as in a prompt that quotes
+// JSON. Each round reads the text once, so the limit also bounds the cost of a
+// malicious body.
+const maxUnescapeRounds = 16
 
-// checkExposure refuses a request that carries a key anywhere but in its
-// Authorization header, since every other part may reach an upstream. It looks
-// for the request's own secret, and for any other key that is in force.
+// checkExposure refuses a request that contains a key outside its Authorization
+// header, because every other part may be forwarded to an upstream. It searches
+// for the secret of the request's own key and for every other active key.
 func checkExposure(r *http.Request, body []byte, secret string, snapshot *contract.Snapshot) error {
-	guard := exposureGuard{secret: []byte(secret), snapshot: snapshot}
-	if guard.exposed([]byte(r.URL.EscapedPath())) || guard.exposed([]byte(r.URL.RawQuery)) {
+	detector := keyDetector{secret: []byte(secret), snapshot: snapshot}
+	if detector.containsKey([]byte(r.URL.EscapedPath())) || detector.containsKey([]byte(r.URL.RawQuery)) {
 		return errors.WithStack(&fault.KeyExposed{Part: "path or query"})
 	}
-	if guard.exposed(body) {
+	if detector.containsKey(body) {
 		return errors.WithStack(&fault.KeyExposed{Part: "body"})
 	}
-	if guard.exposedHeader(r.Header) {
+	if detector.headerContainsKey(r.Header) {
 		return errors.WithStack(&fault.KeyExposed{Part: "header"})
 	}
-	if guard.exposedHeader(r.Trailer) {
+	if detector.headerContainsKey(r.Trailer) {
 		return errors.WithStack(&fault.KeyExposed{Part: "trailer"})
 	}
 	return nil
 }
 
-type exposureGuard struct {
+// keyDetector searches text for the secret of a request's own key and for the
+// active keys of a snapshot.
+type keyDetector struct {
 	secret   []byte
 	snapshot *contract.Snapshot
 }
 
-func (g exposureGuard) exposedHeader(header http.Header) bool {
+// headerContainsKey reports whether a field other than Authorization contains a
+// key in its name or values.
+func (d keyDetector) headerContainsKey(header http.Header) bool {
 	for name, values := range header {
 		if name == "Authorization" {
 			continue
 		}
-		if g.exposed([]byte(name + " " + strings.Join(values, " "))) {
+		if d.containsKey([]byte(name + " " + strings.Join(values, " "))) {
 			return true
 		}
 	}
 	return false
 }
 
-// exposed reports whether text holds a key, plain or escaped.
-func (g exposureGuard) exposed(text []byte) bool {
-	for range decodeRounds {
-		if bytes.Contains(text, g.secret) || g.holdsKey(text) {
+// containsKey reports whether text contains a key, plain or escaped. Text with
+// more than maxUnescapeRounds layers of escapes counts as containing one.
+func (d keyDetector) containsKey(text []byte) bool {
+	for range maxUnescapeRounds {
+		if bytes.Contains(text, d.secret) || d.containsActiveKey(text) {
 			return true
 		}
 		next := unescape(text)
@@ -67,12 +73,12 @@
 		}
 		text = next
 	}
-	// What stands below still more layers can't be told, so it is refused.
+	// More layers of escapes may hide a key.
 	return true
 }
 
-// holdsKey reports whether text holds any key that is in force.
-func (g exposureGuard) holdsKey(text []byte) bool {
+// containsActiveKey reports whether text contains any active key in plain form.
+func (d keyDetector) containsActiveKey(text []byte) bool {
 	prefix := []byte(contract.KeyPrefix)
 	for {
 		at := bytes.Index(text, prefix)
@@ -84,25 +90,27 @@
 			end++
 		}
 		presented, err := contract.ParseKey(string(text[at:end]))
-		if err == nil && g.inForce(presented) {
+		if err == nil && d.isActive(presented) {
 			return true
 		}
 		text = text[at+len(prefix):]
 	}
 }
 
-func (g exposureGuard) inForce(p contract.Presented) bool {
-	key, known := g.snapshot.Keys[p.ID]
+// isActive reports whether the key exists, is not withdrawn and has the
+// presented secret.
+func (d keyDetector) isActive(p contract.Presented) bool {
+	key, known := d.snapshot.Keys[p.ID]
 	return known && !key.Withdrawn && key.Matches(p.Secret)
 }
 
-// isKeyByte reports whether a byte may stand in a key.
+// isKeyByte reports whether a key may contain b.
 func isKeyByte(b byte) bool {
 	return b == '_' || b == '-' || b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z'
 }
 
-// unescape decodes one layer of percent and JSON escapes, wherever they stand.
-// It returns nil when there was none.
+// unescape decodes one layer of percent and JSON escapes anywhere in text. It
+// returns nil if there are no escapes.
 func unescape(text []byte) []byte {
 	if !bytes.ContainsAny(text, `%\`) {
 		return nil
@@ -130,8 +138,9 @@
 	unicodeLength = len(`\uxxxx`)
 )
 
-// appendUnescaped appends what the escape at the start of text stands for, and
-// returns the length of the escape; 0 when there is none.
+// appendUnescaped appends the character that the escape at the start of text
+// represents, and returns the length of the escape, or 0 if text does not start
+// with an escape.
 func appendUnescaped(out, text []byte) (grown []byte, length int) {
 	var raw [2]byte
 	switch {
--- a/internal/entry/whole_test.go
+++ b/internal/entry/faulty_answers_test.go
@@ -16,19 +16,20 @@
 	"dogwoodpond/internal/generate"
 )
 
-// impatient gives up on a silent engine soon.
-var impatient = engine.Patience{First: 300 * time.Millisecond, Next: 300 * time.Millisecond}
+// shortTimeouts make attempts at unresponsive engines fail soon.
+var shortTimeouts = engine.Patience{First: 300 * time.Millisecond, Next: 300 * time.Millisecond}
 
-// brokenStreams are the ways in which an engine's stream goes wrong. Each leaves
-// the answer "a b c d" to be completed elsewhere, from the token named.
-var brokenStreams = []struct {
+// faultyStreams are the faults that an engine's stream can have. The answer "a
+// b c d" must be completed by another engine after the tokens that arrived
+// before the fault.
+var faultyStreams = []struct {
 	name string
-	// good is how many tokens arrive before the fault.
-	good int
-	play func(s *script)
+	// beforeFault is the number of valid tokens before the fault.
+	beforeFault int
+	play        func(s *script)
 }{
-	{"closed before the answer", 0, func(s *script) { s.cut() }},
-	{"reset after a token", 1, func(s *script) { s.chunk(0, "a"); s.cut() }},
+	{"closed before the answer", 0, func(s *script) { s.disconnect() }},
+	{"reset after a token", 1, func(s *script) { s.chunk(0, "a"); s.disconnect() }},
 	{"closed without the terminal event", 2, func(s *script) { s.chunk(0, "a", "b") }},
 	{"terminal event before the last chunk", 2, func(s *script) { s.chunk(0, "a", "b"); s.raw(engine.DoneEvent) }},
 	{"doubled chunk", 2, func(s *script) { s.chunk(0, "a", "b"); s.chunk(0, "a", "b"); s.last(2, "c", "d") }},
@@ -42,9 +43,9 @@
 		s.chunk(0, "a")
 		s.raw(fmt.Sprintf(`{"id":%q,"model":"other","choices":[{"offset":1,"tokens":["z"]}]}`, s.id))
 	}},
-	{"silent from the start", 0, func(s *script) { s.header(); s.hang() }},
-	{"silent after a token", 1, func(s *script) { s.chunk(0, "a"); s.hang() }},
-	{"drips comments", 1, func(s *script) {
+	{"no event after the header", 0, func(s *script) { s.header(); s.waitForCancel() }},
+	{"no event after a token", 1, func(s *script) { s.chunk(0, "a"); s.waitForCancel() }},
+	{"only comments after a token", 1, func(s *script) {
 		s.chunk(0, "a")
 		for s.r.Context().Err() == nil {
 			_, _ = io.WriteString(s.w, ": still here\n")
@@ -54,57 +55,58 @@
 	}},
 }
 
-// An engine's stream goes wrong in the middle and another engine goes on. The
-// caller would see words twice, miss some, read another caller's, or wait for
-// ever for an engine that hangs.
-func TestBrokenStreamIsCompletedElsewhere(t *testing.T) {
-	for _, broken := range brokenStreams {
-		t.Run(broken.name, func(t *testing.T) {
+// The stream of an engine fails and another engine completes the answer. The
+// caller must get each token exactly once, no tokens of another request, and
+// must not wait forever for an engine that is unresponsive.
+func TestFaultyStreamIsCompletedByAnotherEngine(t *testing.T) {
+	for _, faulty := range faultyStreams {
+		t.Run(faulty.name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, rigOptions{patience: impatient})
-			r.engine("e1", scripted(broken.play))
-			r.engine("e2", scripted(func(s *script) { s.whole() }))
+			r := newHarness(t, harnessOptions{timeouts: shortTimeouts})
+			r.engine("e1", scripted(faulty.play))
+			r.engine("e2", scripted(func(s *script) { s.complete() }))
 			got := r.call(http.MethodPost, "/v1/generate", generateText)
-			var whole GenerateAnswer
-			if err := json.Unmarshal(got.body, &whole); err != nil || whole.Text != "abcd" || whole.Attempts != 2 {
+			var complete GenerateAnswer
+			if err := json.Unmarshal(got.body, &complete); err != nil || complete.Text != "abcd" || complete.Attempts != 2 {
 				t.Fatalf("got %d %s", got.status, got.body)
 			}
-			wantSpans(t, whole.Spans, broken.good)
+			wantSpans(t, complete.Spans, faulty.beforeFault)
 		})
-		t.Run(broken.name+", streamed", func(t *testing.T) {
+		t.Run(faulty.name+", streamed", func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, rigOptions{patience: impatient})
-			r.engine("e1", scripted(broken.play))
-			r.engine("e2", scripted(func(s *script) { s.whole() }))
+			r := newHarness(t, harnessOptions{timeouts: shortTimeouts})
+			r.engine("e1", scripted(faulty.play))
+			r.engine("e2", scripted(func(s *script) { s.complete() }))
 			got := r.call(http.MethodPost, "/v1/generate", streamText("16"))
 			tokens, end := readEvents(t, got.body)
-			var whole GenerateAnswer
-			if err := json.Unmarshal([]byte(end.Data), &whole); err != nil || end.Type != eventAnswer {
+			var complete GenerateAnswer
+			if err := json.Unmarshal([]byte(end.Data), &complete); err != nil || end.Type != eventAnswer {
 				t.Fatalf("the stream ended with %s %s", end.Type, end.Data)
 			}
-			if tokens != "abcd" || whole.Tokens != 4 {
-				t.Errorf("got %q, %d tokens", tokens, whole.Tokens)
+			if tokens != "abcd" || complete.Tokens != 4 {
+				t.Errorf("got %q, %d tokens", tokens, complete.Tokens)
 			}
-			wantSpans(t, whole.Spans, broken.good)
+			wantSpans(t, complete.Spans, faulty.beforeFault)
 		})
 	}
 }
 
-// wantSpans checks that e1 ran the first good tokens and e2 the rest.
-func wantSpans(t *testing.T, spans []generate.Span, good int) {
+// wantSpans checks that e1 generated the first beforeFault tokens and e2 the
+// rest.
+func wantSpans(t *testing.T, spans []generate.Span, beforeFault int) {
 	t.Helper()
-	want := []generate.Span{{Start: 0, End: good, Version: 7, Upstream: "e1", Incarnation: "i1"}}
-	if good == 0 {
+	want := []generate.Span{{Start: 0, End: beforeFault, Version: 7, Upstream: "e1", Incarnation: "i1"}}
+	if beforeFault == 0 {
 		want = nil
 	}
-	want = append(want, generate.Span{Start: good, End: 4, Version: 7, Upstream: "e2", Incarnation: "i1"})
+	want = append(want, generate.Span{Start: beforeFault, End: 4, Version: 7, Upstream: "e2", Incarnation: "i1"})
 	if fmt.Sprint(spans) != fmt.Sprint(want) {
 		t.Errorf("spans %v, want %v", spans, want)
 	}
 }
 
-// readEvents returns the tokens of a stream's chunks, which must follow each
-// other without a gap, and its last event.
+// readEvents returns the tokens of a stream's chunks, which must be contiguous,
+// and the last event of the stream.
 func readEvents(t *testing.T, body []byte) (string, sse.Event) {
 	t.Helper()
 	var tokens []string
@@ -129,12 +131,12 @@
 	return strings.Join(tokens, ""), end
 }
 
-// The last chunk arrives and the connection breaks before the terminal event.
-// Resuming a finished answer elsewhere would make an engine write on after its
-// end; the finish reason already says that it is whole.
-func TestLostTerminalEventDoesNotReopenAFinishedAnswer(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.last(0, "a", "b", "c", "d"); s.cut() }))
+// The connection breaks between the last chunk and the terminal event. The
+// finish reason already says that the answer is complete; if it were resumed,
+// another engine would append tokens to it.
+func TestFinishedAnswerIsNotResumedAfterLostTerminalEvent(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.last(0, "a", "b", "c", "d"); s.disconnect() }))
 	second := r.engine("e2", scripted(func(s *script) { s.chunk(s.resume, "z") }))
 	got := r.call(http.MethodPost, "/v1/generate", generateText)
 	if !strings.Contains(string(got.body), `"abcd"`) || second.requests.Load() != 0 {
@@ -142,10 +144,11 @@
 	}
 }
 
-// An engine goes on after the last chunk. What of it is the answer can't be
-// told, so the caller must not get any of it as a whole answer.
-func TestChunkAfterTheLastIsNoAnswer(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// An engine sends another chunk after the one with the finish reason. It is not
+// clear which chunks form the answer, so the caller must not get any of them as
+// a complete answer.
+func TestChunkAfterFinishReasonFailsTheCall(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	r.engine("e1", scripted(func(s *script) { s.last(0, "a"); s.last(1, "b"); s.raw(engine.DoneEvent) }))
 	got := r.call(http.MethodPost, "/v1/generate", generateText)
 	if got.refusal.Code != fault.CodeUpstreamFailed || got.refusal.Execution != fault.Ran {
@@ -153,16 +156,17 @@
 	}
 }
 
-// The engine is lost in the middle of a stream and no other is there. The caller
-// must not take the part for the whole: it gets an error event and no answer.
-func TestStreamThatCannotBeCompletedEndsWithAnError(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// The engine fails in the middle of a stream and no other engine is available.
+// The stream must end with an error event, so that the caller does not take the
+// partial answer for a complete one.
+func TestIncompleteStreamEndsWithAnError(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	r.engine("e1", scripted(func(s *script) {
 		s.header()
 		if s.resume == 0 {
 			s.chunk(0, "a")
 		}
-		s.cut()
+		s.disconnect()
 	}))
 	got := r.call(http.MethodPost, "/v1/generate", streamText("16"))
 	tokens, end := readEvents(t, got.body)
@@ -175,14 +179,14 @@
 	}
 }
 
-// A caller hangs up. An engine that goes on writes tokens for nobody and keeps
-// its place from those who wait.
-func TestEngineIsCancelledWhenItsCallerLeaves(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// A caller disconnects. If the engine were not cancelled, it would continue to
+// generate tokens that nobody reads and hold a slot that queued requests need.
+func TestEngineIsCancelledWhenCallerDisconnects(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	cancelled := make(chan struct{})
 	r.engine("e1", scripted(func(s *script) {
 		s.chunk(0, "a")
-		s.hang()
+		s.waitForCancel()
 		close(cancelled)
 	}))
 	request, err := http.NewRequest(http.MethodPost, r.serve()+"/v1/generate", strings.NewReader(streamText("16")))
@@ -198,11 +202,11 @@
 	<-cancelled
 }
 
-// The key of a caller that has stopped reading is withdrawn. Its handler waits
-// in a write that no cancellation reaches, so the connection would stay open and
-// a planned stop would wait for it.
-func TestWithdrawalReachesACallerThatDoesNotRead(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// The key of a caller that has stopped reading is withdrawn. The handler is
+// blocked in a write that does not observe cancellation, so without a write
+// deadline the connection would stay open and a planned stop would wait for it.
+func TestKeyWithdrawalEndsCallOfCallerThatDoesNotRead(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	cancelled := make(chan struct{})
 	full := make(chan struct{}, 1)
 	r.engine("e1", scripted(func(s *script) {
@@ -231,32 +235,34 @@
 	select {
 	case <-full:
 	case <-time.After(2 * time.Second):
-		// The buffers on the way are full earlier on some machines; the
-		// handler then waits in its write already.
+		// On some machines the network buffers are full earlier; the
+		// handler is then already blocked in its write.
 	}
 	r.withdraw("k1")
 	<-cancelled
-	// Far above the time for a last event, far below the time for a slow write.
+	// Half the write timeout is far above lastWriteTimeout and far below the
+	// time after which a slow write would fail anyway.
 	r.awaitIdle(defaultWriteTimeout / 2)
 }
 
-// awaitIdle waits until no request runs.
-func (r *rig) awaitIdle(patience time.Duration) {
+// awaitIdle waits until no request is running.
+func (r *harness) awaitIdle(timeout time.Duration) {
 	r.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(timeout)
 	for r.server.sessions.count() > 0 {
 		if time.Now().After(deadline) {
-			r.t.Fatal("the handler still waits for its caller")
+			r.t.Fatal("a request is still running")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// A caller asks for something large and never reads it. Its handler would hold
-// the answer, and a planned stop would wait for it until the drain time is over.
-func TestCallerThatDoesNotReadIsCutOff(t *testing.T) {
+// A caller requests a large answer and never reads it. Without a write timeout,
+// the handler would hold the answer, and a planned stop would wait for it until
+// the drain time has passed.
+func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	for _, path := range []string{"/v1/services/desk/fields", "/v1/generate"} {
-		r := newRig(t, rigOptions{writeTimeout: 100 * time.Millisecond})
+		r := newHarness(t, harnessOptions{writeTimeout: 100 * time.Millisecond})
 		large := strings.Repeat("x", 8<<20)
 		r.service("s1", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) })
 		r.engine("e1", scripted(func(s *script) {
@@ -278,13 +284,13 @@
 		}
 		r.awaitIdle(defaultWriteTimeout / 2)
 		if _, err := io.Copy(io.Discard, response.Body); err == nil {
-			t.Errorf("%s: the cut answer ended like a whole one", path)
+			t.Errorf("%s: the truncated answer ended without an error", path)
 		}
 		_ = response.Body.Close()
 	}
 }
 
-// count returns how many requests run.
+// count returns the number of running requests.
 func (s *sessions) count() int {
 	total := 0
 	for i := range s.shards {
@@ -298,8 +304,8 @@
 	return total
 }
 
-// brokenAnswers are the ways in which a plain service's answer goes wrong.
-var brokenAnswers = map[string]http.HandlerFunc{
+// faultyAnswers are the faults that the answer of a plain service can have.
+var faultyAnswers = map[string]http.HandlerFunc{
 	"closed before the answer": abort,
 	"shorter than its length": func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -324,44 +330,44 @@
 	},
 }
 
-// A desk breaks off its answer, or answers another family's request. A caller
-// that takes it for its own reads a booking that it does not have.
-func TestBrokenServiceAnswerIsNeverPassedOn(t *testing.T) {
-	for name, handler := range brokenAnswers {
+// A service truncates its answer or answers another caller's request. If it
+// were delivered, the caller would read a booking that it does not have.
+func TestFaultyServiceAnswerIsNotDelivered(t *testing.T) {
+	for name, handler := range faultyAnswers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, rigOptions{})
-			broken := r.service("s1", handler)
+			r := newHarness(t, harnessOptions{})
+			faulty := r.service("s1", handler)
 			r.service("s2", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
 			got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
 			if got.status != http.StatusBadGateway || got.refusal.Execution != fault.Unknown {
 				t.Errorf("POST got %d %s", got.status, got.body)
 			}
 			if runs := r.metered[0].requests.Load() + r.metered[1].requests.Load(); runs != 1 {
-				t.Errorf("POST reached the desks %d times", runs)
+				t.Errorf("the services got the POST %d times", runs)
 			}
-			broken.requests.Store(0)
+			faulty.requests.Store(0)
 			for range 2 {
 				got = r.call(http.MethodGet, "/v1/services/desk/fields", "")
 				if got.status != http.StatusOK || string(got.body) != "whole" {
 					t.Errorf("GET got %d %s", got.status, got.body)
 				}
 			}
-			if broken.requests.Load() == 0 {
-				t.Error("no GET met the broken desk")
+			if faulty.requests.Load() == 0 {
+				t.Error("no GET was sent to the faulty service")
 			}
 		})
 	}
 }
 
-// The caller gives its request two seconds. An engine that does not know works
-// on for minutes for a caller that is gone.
+// The deadline of a caller is two seconds away. An engine that does not know
+// the deadline could work for minutes on a request that is no longer of use.
 func TestDeadlineAndRequestIDReachTheUpstream(t *testing.T) {
-	r := newRig(t, rigOptions{})
+	r := newHarness(t, harnessOptions{})
 	seen := make(chan http.Header, 2)
 	r.engine("e1", func(w http.ResponseWriter, q *http.Request) {
 		seen <- q.Header
-		scripted(func(s *script) { s.whole() })(w, q)
+		scripted(func(s *script) { s.complete() })(w, q)
 	})
 	r.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.Header })
 	for _, got := range []answer{
@@ -379,10 +385,10 @@
 	}
 }
 
-// Two callers ask at once, each for its own prompt, over the same connections.
-// An answer that is matched by anything but its request would reach the other.
-func TestAnswersAreNotCrossed(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// Callers send requests concurrently over the same connections. If answers were
+// not matched to their requests, a caller would get another caller's answer.
+func TestCallersGetTheirOwnAnswers(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	echo := func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		_, _ = w.Write(body)
@@ -408,10 +414,10 @@
 	}
 }
 
-// A path is passed on as the caller wrote it; an escaped slash that became a
-// slash would name another booking.
-func TestServicePathIsPassedOnAsWritten(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// The path is forwarded as the caller wrote it. If an escaped slash became a
+// slash, the path would name another booking.
+func TestServicePathIsForwardedUnchanged(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	seen := make(chan string, 1)
 	r.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.RequestURI })
 	for _, path := range []string{"/a%2Fb/c", "/a//b", "/a/../b", "/", "/x%20y?q=1&q=2", "/%E2%82%AC"} {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -29,17 +29,19 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"maxTokens"`
 	Seed      int64  `json:"seed,omitempty"`
-	// Group brings calls with a shared prefix to the same engine.
+	// Group identifies calls with a shared prefix. They are preferably sent to
+	// the same engine.
 	Group string `json:"group,omitempty"`
-	// Stream asks for server-sent events.
+	// Stream requests the answer as server-sent events.
 	Stream bool `json:"stream,omitempty"`
-	// TimeoutSeconds bounds the call; 0 means ten minutes. A VM bounds it by
-	// the time that its planned stop leaves, so that no stop cuts it off.
+	// TimeoutSeconds is the timeout of the call; 0 means ten minutes. A VM caps
+	// it at the drain time of a planned stop, so that a stop does not interrupt
+	// the call.
 	TimeoutSeconds int `json:"timeoutSeconds,omitempty"`
 }
 
-// GenerateAnswer is the answer to a generate call, and the last event of a
-// stream, where Text is empty.
+// GenerateAnswer is the answer to a generate call. It is also the last event of
+// a stream; Text is then empty.
 type GenerateAnswer struct {
 	RequestID    string          `json:"requestId"`
 	Text         string          `json:"text,omitempty"`
@@ -49,6 +51,7 @@
 	Attempts     int             `json:"attempts"`
 }
 
+// parseGenerate decodes and validates the body of a generate call.
 func parseGenerate(body []byte) (GenerateBody, error) {
 	var call GenerateBody
 	if err := decodeStrict(body, &call); err != nil {
@@ -67,7 +70,7 @@
 	return call, nil
 }
 
-// timeout returns the bound that the caller wants.
+// timeout returns the timeout that the caller requests.
 func (b GenerateBody) timeout() time.Duration {
 	if b.TimeoutSeconds == 0 {
 		return defaultTimeout
@@ -75,11 +78,14 @@
 	return time.Duration(b.TimeoutSeconds) * time.Second
 }
 
-// badField refuses a request whose content can't be understood; it has not run.
+// badField returns the failure of a request with an invalid field. The request
+// has not run.
 func badField(field, problem string) error {
 	return fault.WithExecution(errors.WithStack(&fault.BadRequest{Field: field, Problem: problem}), fault.NotRun)
 }
 
+// decodeStrict decodes a body that must be exactly one JSON value without
+// unknown fields.
 func decodeStrict(body []byte, into any) error {
 	dec := json.NewDecoder(strings.NewReader(string(body)))
 	dec.DisallowUnknownFields()
@@ -89,7 +95,8 @@
 	return nil
 }
 
-func (s *Server) generate(ctx context.Context, c caller, _ *restful.Request, w *restful.Response) error {
+// generate serves a generate call.
+func (s *Server) generate(ctx context.Context, c clientCall, _ *restful.Request, w *restful.Response) error {
 	call, err := parseGenerate(c.body)
 	if err != nil {
 		return err
@@ -103,7 +110,7 @@
 		MaxTokens: call.MaxTokens,
 		Seed:      call.Seed,
 		Group:     call.Group,
-		Timeout:   s.bounded(call.timeout()),
+		Timeout:   s.capTimeout(call.timeout()),
 	}
 	if call.Stream {
 		return s.generateStream(ctx, c, request, w)
@@ -112,15 +119,15 @@
 	if err != nil {
 		return causeOf(ctx, err)
 	}
-	s.count(c, result)
+	s.noteAnswered(c, result)
 	answer := answerOf(result)
 	answer.Text = strings.Join(result.Tokens, "")
 	writeJSON(w, http.StatusOK, answer)
 	return nil
 }
 
-// causeOf prefers the reason why the request was cancelled, such as a withdrawn
-// key, to what the cancelled call returned. What is known about the run stays.
+// causeOf returns the typed failure that cancelled ctx, such as a withdrawn
+// key, or err if there is none. What err says about the execution is preserved.
 func causeOf(ctx context.Context, err error) error {
 	var f fault.Failure
 	if cause := context.Cause(ctx); errors.As(cause, &f) {
@@ -139,7 +146,8 @@
 	}
 }
 
-func (s *Server) count(c caller, result generate.Result) {
+// noteAnswered records the usage and the event of an answered generate call.
+func (s *Server) noteAnswered(c clientCall, result generate.Result) {
 	s.Usage.Add(c.contract.Account, usage.Figures{Requests: 1, Tokens: int64(len(result.Tokens))})
 	s.Events.Emit(event.RequestAnswered, event.Subject{
 		Request: c.requestID,
@@ -148,9 +156,10 @@
 	})
 }
 
-// generateStream passes chunks on as they come. The header is written with the
-// first chunk, so that an earlier failure is still an ordinary refusal.
-func (s *Server) generateStream(ctx context.Context, c caller, request generate.Request, w *restful.Response) error {
+// generateStream delivers chunks to the caller as they arrive. The header is
+// written with the first chunk, so that an earlier failure is still reported as
+// an ordinary refusal.
+func (s *Server) generateStream(ctx context.Context, c clientCall, request generate.Request, w *restful.Response) error {
 	out := newEventWriter(ctx, w.ResponseWriter)
 	defer out.close()
 	result, err := s.Runner.Generate(ctx, request, func(chunk generate.Chunk) error {
@@ -165,7 +174,7 @@
 		_ = out.send(eventError, refusal)
 		return nil
 	}
-	s.count(c, result)
+	s.noteAnswered(c, result)
 	_ = out.send(eventAnswer, answerOf(result))
 	return nil
 }
--- a/internal/entry/rig_test.go
+++ b/internal/entry/harness_test.go
@@ -36,54 +36,55 @@
 )
 
 const (
-	testAccount = contract.Account("strathallan")
-	testSecret  = "correct-horse-battery-staple"
-	testKey     = "dwp_k1_" + testSecret
-	otherSecret = "another-callers-own-secret"
-	otherKey    = "dwp_k2_" + otherSecret
-	goneKey     = "dwp_k3_the-secret-of-a-withdrawn-key"
-	bareKey     = "dwp_k4_the-key-of-no-contract-at-all"
-	testModel   = "berry-1"
-	testService = "desk"
+	testAccount   = contract.Account("strathallan")
+	testSecret    = "correct-horse-battery-staple"
+	testKey       = "dwp_k1_" + testSecret
+	otherSecret   = "another-callers-own-secret"
+	otherKey      = "dwp_k2_" + otherSecret
+	withdrawnKey  = "dwp_k3_the-secret-of-a-withdrawn-key"
+	noContractKey = "dwp_k4_the-key-of-no-contract-at-all"
+	testModel     = "berry-1"
+	testService   = "desk"
 )
 
-// rig is one callers' server with its parts; upstreams and store are fakes.
-type rig struct {
-	t        testing.TB
-	server   *Server
-	view     *contract.View
-	ager     *fixedAge
-	tables   *unsteadyTables
-	places   *places
-	steps    *fakeSteps
-	registry *prometheus.Registry
-	events   *event.Recorder
-	log      *syncBuffer
-	http     *httptest.Server
-	opened   sync.Once
-	metered  []*metered
-}
-
-// meters returns the upstreams that the rig has so far.
-func (r *rig) meters() []*metered { return r.metered }
-
-// rigOptions change the parts of a rig.
-type rigOptions struct {
-	patience engine.Patience
+// harness runs one Server with its dependencies; the upstreams and the store
+// are fakes.
+type harness struct {
+	t          testing.TB
+	server     *Server
+	view       *contract.View
+	ager       *fakeAge
+	tables     *faultyTables
+	dispatcher *dispatcher
+	steps      *fakeSteps
+	registry   *prometheus.Registry
+	events     *event.Recorder
+	log        *logBuffer
+	http       *httptest.Server
+	opened     sync.Once
+	metered    []*metered
+}
+
+// upstreams returns the fake upstreams added so far.
+func (r *harness) upstreams() []*metered { return r.metered }
+
+// harnessOptions change the dependencies of a harness.
+type harnessOptions struct {
+	timeouts engine.Patience
 	runner   generate.Runner
 	quiet    bool
-	// writeTimeout bounds one write to a caller.
+	// writeTimeout is the timeout of one write to a caller.
 	writeTimeout time.Duration
-	// bodyTimeout bounds the time of a caller's body.
+	// bodyTimeout is the timeout of reading a request body.
 	bodyTimeout time.Duration
 }
 
-func newRig(t testing.TB, options rigOptions) *rig {
+func newHarness(t testing.TB, options harnessOptions) *harness {
 	t.Helper()
-	r := &rig{
-		t: t, view: contract.NewView(), ager: &fixedAge{}, places: &places{}, steps: &fakeSteps{},
-		tables:   &unsteadyTables{Tables: memory.NewTables()},
-		registry: prometheus.NewRegistry(), log: &syncBuffer{},
+	r := &harness{
+		t: t, view: contract.NewView(), ager: &fakeAge{}, dispatcher: &dispatcher{}, steps: &fakeSteps{},
+		tables:   &faultyTables{Tables: memory.NewTables()},
+		registry: prometheus.NewRegistry(), log: &logBuffer{},
 	}
 	log := zap.NewNop()
 	if !options.quiet {
@@ -92,23 +93,23 @@
 	r.events = event.NewRecorder("vm-1", 4096, event.NewClock(time.Now), log)
 	r.configure()
 	retries := retry.NewPolicy(r.registry, r.events)
-	if options.patience == (engine.Patience{}) {
-		options.patience = engine.DefaultPatience
+	if options.timeouts == (engine.Patience{}) {
+		options.timeouts = engine.DefaultPatience
 	}
 	if options.runner == nil {
-		options.runner = generate.NewLocal(r.view, r.places, engine.NewPatientClient(options.patience), retries, r.events)
+		options.runner = generate.NewLocal(r.view, r.dispatcher, engine.NewPatientClient(options.timeouts), retries, r.events)
 	}
 	r.server = NewServer(Config{
-		View: r.view, Ager: r.ager, Runner: options.runner, Dispatcher: r.places, Retries: retries,
+		View: r.view, Ager: r.ager, Runner: options.runner, Dispatcher: r.dispatcher, Retries: retries,
 		Services: service.NewClient(), Claims: request.NewClaims(r.tables), Steps: r.steps,
-		Usage: usageNowhere{}, Events: r.events, Registry: r.registry, WriteTimeout: options.writeTimeout,
+		Usage: discardUsage{}, Events: r.events, Registry: r.registry, WriteTimeout: options.writeTimeout,
 		BodyTimeout: options.bodyTimeout,
 	})
 	return r
 }
 
-// serve opens the rig's listener and returns its base URL.
-func (r *rig) serve() string {
+// serve starts the HTTP server of the harness once and returns its base URL.
+func (r *harness) serve() string {
 	r.opened.Do(func() {
 		r.http = httptest.NewServer(r.server.Handler())
 		r.t.Cleanup(r.http.Close)
@@ -116,8 +117,8 @@
 	return r.http.URL
 }
 
-// configure puts two contracts and four keys in force.
-func (r *rig) configure() {
+// configure applies two contracts and four keys.
+func (r *harness) configure() {
 	bounded := contract.DefaultContract(testAccount)
 	bounded.Limits.BodyBytes = 4096
 	r.edit(contract.Entry{Contract: &bounded})
@@ -125,19 +126,20 @@
 	for _, k := range []struct {
 		text    string
 		account contract.Account
-	}{{testKey, testAccount}, {otherKey, "brazicod"}, {goneKey, testAccount}, {bareKey, "nobody"}} {
+	}{{testKey, testAccount}, {otherKey, "brazicod"}, {withdrawnKey, testAccount}, {noContractKey, "nobody"}} {
 		presented, err := contract.ParseKey(k.text)
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		key := contract.Key{ID: presented.ID, Account: k.account, SecretSHA256: contract.HashSecret(presented.Secret)}
-		key.Withdrawn = k.text == goneKey
+		key.Withdrawn = k.text == withdrawnKey
 		r.edit(contract.Entry{Key: &key})
 	}
 }
 
-// edit applies an edit and tells the server, as the configuration's syncer does.
-func (r *rig) edit(e contract.Entry) {
+// edit applies a configuration edit and revokes withdrawn keys, as the
+// configuration's syncer does.
+func (r *harness) edit(e contract.Entry) {
 	r.t.Helper()
 	e.Revision = r.view.Load().Revision + 1
 	next, err := r.view.Load().Apply(e)
@@ -150,14 +152,13 @@
 	}
 }
 
-// withdraw withdraws a key.
-func (r *rig) withdraw(id string) {
+func (r *harness) withdraw(id string) {
 	key := r.view.Load().Keys[id]
 	key.Withdrawn = true
 	r.edit(contract.Entry{Key: &key})
 }
 
-// answer is what a caller got.
+// answer is the HTTP response that a caller received.
 type answer struct {
 	status  int
 	header  http.Header
@@ -165,8 +166,9 @@
 	refusal Refusal
 }
 
-// call sends one request with the test key.
-func (r *rig) call(method, path, body string, change ...func(*http.Request)) answer {
+// call sends one request with the test key. It fails the test if there is no
+// complete response.
+func (r *harness) call(method, path, body string, change ...func(*http.Request)) answer {
 	r.t.Helper()
 	got, err := r.try(method, path, body, change...)
 	if err != nil {
@@ -175,8 +177,8 @@
 	return got
 }
 
-// try is call for callers that may get no whole answer.
-func (r *rig) try(method, path, body string, change ...func(*http.Request)) (answer, error) {
+// try is like call, but returns the error if there is no complete response.
+func (r *harness) try(method, path, body string, change ...func(*http.Request)) (answer, error) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, r.serve()+path, strings.NewReader(body))
 	if err != nil {
@@ -209,28 +211,29 @@
 	return `{"model":"berry-1","prompt":"When?","stream":true,"maxTokens":` + maxTokens + `}`
 }
 
-// fixedAge is the age of the configuration.
-type fixedAge struct {
+// fakeAge is a fake Ager with an adjustable age.
+type fakeAge struct {
 	age atomic.Int64
-	// hook runs before each answer: after the key's check, before its session.
+	// hook runs on each call of Age: after the key was checked, before its
+	// session begins.
 	hook func()
 }
 
 // Age implements Ager.
-func (a *fixedAge) Age() time.Duration {
+func (a *fakeAge) Age() time.Duration {
 	if a.hook != nil {
 		a.hook()
 	}
 	return time.Duration(a.age.Load())
 }
 
-// usageNowhere drops usage.
-type usageNowhere struct{}
+// discardUsage is a UsageRecorder that discards usage.
+type discardUsage struct{}
 
 // Add implements UsageRecorder.
-func (usageNowhere) Add(contract.Account, usage.Figures) {}
+func (discardUsage) Add(contract.Account, usage.Figures) {}
 
-// fakeSteps fails as told.
+// fakeSteps is a fake of Steps whose methods return err.
 type fakeSteps struct{ err error }
 
 // Open implements Steps.
@@ -246,8 +249,9 @@
 // Ack implements Steps.
 func (f *fakeSteps) Ack(context.Context, contract.Account, string, int64) error { return f.err }
 
-// places is a dispatcher that grants upstreams in turn. A hook may refuse.
-type places struct {
+// dispatcher is a fake dispatch.Dispatcher that grants upstreams in round-robin
+// order. The hook may refuse a request.
+type dispatcher struct {
 	mu        sync.Mutex
 	upstreams []platform.Upstream
 	next      int
@@ -255,14 +259,14 @@
 	granted   int
 }
 
-func (p *places) add(u platform.Upstream) {
+func (p *dispatcher) add(u platform.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.upstreams = append(p.upstreams, u)
 }
 
 // Acquire implements dispatch.Dispatcher.
-func (p *places) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
+func (p *dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
 	if p.hook != nil {
 		if err := p.hook(ctx, work); err != nil {
 			return dispatch.Grant{}, err
@@ -282,26 +286,28 @@
 	return dispatch.Grant{}, errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: time.Second})
 }
 
-// metered is an upstream that counts the bytes that reached it.
+// metered is a fake upstream that counts the requests and bytes that it
+// received.
 type metered struct {
 	*httptest.Server
 	bytes    atomic.Int64
 	requests atomic.Int64
 }
 
-// engine adds an upstream that serves completions by the handler.
-func (r *rig) engine(id string, handler http.HandlerFunc) *metered {
+// engine adds an engine whose requests are served by handler.
+func (r *harness) engine(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.places.add(platform.Upstream{ID: id, Kind: platform.KindEngine, Model: testModel, Address: m.address()})
+	r.dispatcher.add(platform.Upstream{ID: id, Kind: platform.KindEngine, Model: testModel, Address: m.address()})
 	return m
 }
 
-// service adds an upstream that serves the plain service by the handler.
-func (r *rig) service(id string, handler http.HandlerFunc) *metered {
+// service adds an upstream of the plain service whose requests are served by
+// handler.
+func (r *harness) service(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.places.add(platform.Upstream{ID: id, Kind: platform.KindService, Service: testService, Address: m.address()})
+	r.dispatcher.add(platform.Upstream{ID: id, Kind: platform.KindService, Service: testService, Address: m.address()})
 	return m
 }
 
@@ -348,13 +354,13 @@
 	return n, err
 }
 
-// unsteadyTables is a table service that can be made to fail.
-type unsteadyTables struct {
+// faultyTables is a table service that fails while down is set.
+type faultyTables struct {
 	platform.Tables
 	down atomic.Bool
 }
 
-func (u *unsteadyTables) err() error {
+func (u *faultyTables) err() error {
 	if u.down.Load() {
 		return errors.WithStack(&fault.StoreUnavailable{Operation: "test"})
 	}
@@ -362,7 +368,7 @@
 }
 
 // Get implements platform.Tables.
-func (u *unsteadyTables) Get(ctx context.Context, key string) (platform.Row, error) {
+func (u *faultyTables) Get(ctx context.Context, key string) (platform.Row, error) {
 	if err := u.err(); err != nil {
 		return platform.Row{}, err
 	}
@@ -370,46 +376,47 @@
 }
 
 // Commit implements platform.Tables.
-func (u *unsteadyTables) Commit(ctx context.Context, txn platform.Txn) error {
+func (u *faultyTables) Commit(ctx context.Context, txn platform.Txn) error {
 	if err := u.err(); err != nil {
 		return err
 	}
 	return u.Tables.Commit(ctx, txn)
 }
 
-// syncBuffer is a buffer for a log.
-type syncBuffer struct {
+// syncBuffer is a log buffer that is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (b *syncBuffer) Write(p []byte) (int, error) {
+func (b *logBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(p)
 }
 
 // Sync implements zapcore.WriteSyncer.
-func (*syncBuffer) Sync() error { return nil }
+func (*logBuffer) Sync() error { return nil }
 
 // String returns everything written.
-func (b *syncBuffer) String() string {
+func (b *logBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
 }
 
-// script is the handler of an engine that writes what a test says.
+// script writes the response of a fake engine as a test specifies.
 type script struct {
 	w  http.ResponseWriter
 	r  *http.Request
 	id string
-	// resume is how many tokens the request already has.
+	// resume is the number of tokens that the request already contains.
 	resume int
 }
 
-// scripted returns a handler that hands the decoded request to play.
+// scripted returns a handler that decodes the request and calls play to answer
+// it.
 func scripted(play func(s *script)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var request engine.CompletionRequest
@@ -420,19 +427,21 @@
 	}
 }
 
-// chunk sends tokens that start at an offset.
+// chunk sends tokens that start at offset.
 func (s *script) chunk(offset int, tokens ...string) { s.send(s.id, offset, "", tokens...) }
 
-// last sends the chunk with the finish reason.
+// last sends tokens that start at offset, with the finish reason.
 func (s *script) last(offset int, tokens ...string) { s.send(s.id, offset, "stop", tokens...) }
 
-// whole completes the answer "a b c d" from where the request stands.
-func (s *script) whole() {
+// complete sends the rest of the answer "a b c d" after the tokens that the
+// request contains.
+func (s *script) complete() {
 	tokens := []string{"a", "b", "c", "d"}
 	s.last(s.resume, tokens[s.resume:]...)
 	s.raw(engine.DoneEvent)
 }
 
+// send sends one chunk as the answer to the request id.
 func (s *script) send(id string, offset int, finish string, tokens ...string) {
 	text, _ := json.Marshal(engine.CompletionChunk{
 		ID: id, Model: testModel, WeightVersion: 7, Incarnation: "i1",
@@ -441,7 +450,7 @@
 	s.raw(string(text))
 }
 
-// header sends the header of the answer.
+// header sends the response header.
 func (s *script) header() {
 	s.w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(s.w).Flush()
@@ -453,8 +462,8 @@
 	_ = http.NewResponseController(s.w).Flush()
 }
 
-// cut breaks the connection off.
-func (s *script) cut() { panic(http.ErrAbortHandler) }
+// disconnect closes the connection.
+func (s *script) disconnect() { panic(http.ErrAbortHandler) }
 
-// hang waits until the client gives up.
-func (s *script) hang() { <-s.r.Context().Done() }
+// waitForCancel blocks until the client cancels the request.
+func (s *script) waitForCancel() { <-s.r.Context().Done() }
--- a/internal/entry/once_test.go
+++ b/internal/entry/idempotency_test.go
@@ -19,15 +19,16 @@
 	"dogwoodpond/internal/platform"
 )
 
-// droppingDesk answers the first request of each connection and drops the
-// connection after it has read the second, as a desk does that dies while it
-// works. It counts the requests that it read, by method and path.
+// droppingDesk is a fake service that answers the first request of each
+// connection and closes the connection after reading the second, like a service
+// that crashes while it processes a request. It counts the requests that it
+// read by method and path.
 type droppingDesk struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func newDroppingDesk(r *rig) *droppingDesk {
+func newDroppingDesk(r *harness) *droppingDesk {
 	d := &droppingDesk{runs: make(map[string]int)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,7 +44,7 @@
 			go d.serve(conn)
 		}
 	}()
-	r.places.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: listener.Addr().String()})
+	r.dispatcher.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: listener.Addr().String()})
 	return d
 }
 
@@ -71,17 +72,17 @@
 	return d.runs[call]
 }
 
-// A desk reads a deposit on a kept connection and dies. Go's HTTP transport
-// repeats some requests by itself on kept connections; the deposit would be
-// charged twice and nobody here would know.
-func TestTransportNeverRepeatsACallThatMayHaveRun(t *testing.T) {
+// A service reads a deposit on a reused connection and crashes. Go's HTTP
+// transport retries some requests on reused connections by itself; the deposit
+// would be charged twice without a trace on the VM.
+func TestTransportDoesNotRetryCallThatMayHaveRun(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
 		{http.MethodPost, "tree 17"}, {http.MethodPost, ""}, {http.MethodPut, "tree 17"}, {http.MethodPut, ""}, {http.MethodDelete, ""},
 	} {
 		for _, key := range []string{"", "tree-17"} {
 			t.Run(fmt.Sprintf("%s %q key %q", c.method, c.body, key), func(t *testing.T) {
 				t.Parallel()
-				r := newRig(t, rigOptions{})
+				r := newHarness(t, harnessOptions{})
 				desk := newDroppingDesk(r)
 				if got := r.call(http.MethodGet, "/v1/services/desk/warm", ""); got.status != http.StatusOK {
 					t.Fatalf("got %d %s", got.status, got.body)
@@ -92,17 +93,18 @@
 					}
 				})
 				if runs := desk.count(c.method + " /deposit"); runs != 1 || got.refusal.Execution != fault.Unknown {
-					t.Errorf("the desk read the call %d times, the caller was told %d %s", runs, got.status, got.body)
+					t.Errorf("the service read the call %d times, the caller got %d %s", runs, got.status, got.body)
 				}
 			})
 		}
 	}
 }
 
-// A desk fails in the middle of a GET. Repeats that the transport makes by itself
-// are in no budget and no event, and add to the load of a desk in trouble.
-func TestTransportNeverRepeatsAGetByItself(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// A service fails in the middle of a GET. Retries made by the transport itself
+// are not limited by the retry budget, emit no event, and add load to a service
+// in trouble.
+func TestTransportDoesNotRetryGet(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	desk := newDroppingDesk(r)
 	for range 2 {
 		if got := r.call(http.MethodGet, "/v1/services/desk/fields", ""); got.status != http.StatusOK {
@@ -116,21 +118,21 @@
 		}
 	}
 	if runs := desk.count("GET /fields"); runs != dispatched || runs < 3 {
-		t.Errorf("the desk read %d requests, %d were dispatched", runs, dispatched)
+		t.Errorf("the service read %d requests, %d were dispatched", runs, dispatched)
 	}
 }
 
-// chargingDesk counts the charges by body. A hook may act between the charge and
-// its answer.
+// chargingDesk is a fake service that counts the charges by request body. The
+// hook runs between the charge and its answer.
 type chargingDesk struct {
 	mu      sync.Mutex
 	charges map[string]int
 	hook    http.HandlerFunc
 }
 
-func newChargingDesk(rigs ...*rig) *chargingDesk {
+func newChargingDesk(harnesses ...*harness) *chargingDesk {
 	d := &chargingDesk{charges: make(map[string]int)}
-	for _, r := range rigs {
+	for _, r := range harnesses {
 		r.service("s1", d.serve)
 	}
 	return d
@@ -166,27 +168,27 @@
 	return d.charges[body]
 }
 
-// sharing returns a second VM's rig over the first one's store.
-func (r *rig) sharing() *rig {
-	second := newRig(r.t, rigOptions{})
+// peer returns the harness of another VM that uses the same store.
+func (r *harness) peer() *harness {
+	second := newHarness(r.t, harnessOptions{})
 	second.tables.Tables = r.tables.Tables
 	return second
 }
 
-// A family's browser sends the same deposit to several VMs at once. Run by each,
-// it is charged as often.
-func TestConcurrentRepeatsRunOnce(t *testing.T) {
-	first := newRig(t, rigOptions{})
-	second := first.sharing()
+// A browser sends the same deposit to several VMs at once. If each VM ran it,
+// it would be charged several times.
+func TestConcurrentDuplicatesRunOnce(t *testing.T) {
+	first := newHarness(t, harnessOptions{})
+	second := first.peer()
 	desk := newChargingDesk(first, second)
 	first.serve()
 	second.serve()
 	const repeats = 16
 	answers := make(chan answer, repeats)
 	for n := range repeats {
-		r := []*rig{first, second}[n%2]
+		r := []*harness{first, second}[n%2]
 		go func() {
-			got, err := r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+			got, err := r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 			if err != nil {
 				t.Error(err)
 			}
@@ -209,19 +211,20 @@
 	}
 }
 
-// The desk charges and its answer is lost. A repeat that runs charges a second
-// deposit; one that is told "not run" makes the family pay elsewhere.
-func TestLostAnswerStaysUnknown(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// The service charges a deposit and its answer is lost. If the duplicate ran, a
+// second deposit would be charged; if it were reported as not run, the caller
+// would pay elsewhere.
+func TestDuplicateAfterLostAnswerIsUnknown(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	desk := newChargingDesk(r)
 	desk.setHook(abort)
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.status != http.StatusBadGateway || first.refusal.Execution != fault.Unknown {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
 	desk.setHook(nil)
-	for _, vm := range []*rig{r, r.sharing()} {
-		repeat := vm.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	for _, vm := range []*harness{r, r.peer()} {
+		repeat := vm.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 		if repeat.status != http.StatusConflict || repeat.refusal.Execution != fault.Unknown {
 			t.Errorf("repeat: %d %s", repeat.status, repeat.body)
 		}
@@ -231,85 +234,86 @@
 	}
 }
 
-// No desk could be reached, and the caller was told that its deposit has not
-// run. If the claim stayed, the repeat would be told "unknown" for ever.
-func TestRefusedCallCanBeRepeated(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	closedPort(r)
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+// No service could be reached, and the caller was answered that its deposit has
+// not run. If the claim remained, duplicates would be reported as unknown
+// forever.
+func TestCallThatDidNotRunCanBeRepeated(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	addUnreachableUpstreams(r)
+	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.refusal.Execution != fault.NotRun {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
-	second := r.sharing()
+	second := r.peer()
 	desk := newChargingDesk(second)
-	repeat := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	repeat := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.status != http.StatusOK || desk.count("tree 17") != 1 {
 		t.Errorf("repeat: %d %s, %d charges", repeat.status, repeat.body, desk.count("tree 17"))
 	}
 }
 
-// The store fails while the desk charges, so the outcome can't be kept. The
-// caller still gets its answer; a repeat must not run.
-func TestOutcomeThatCannotBeStoredIsUnknownToRepeats(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// The store fails while the service charges, so the outcome can't be stored.
+// The caller still gets its answer, and a duplicate must not run.
+func TestUnstoredOutcomeIsUnknownToDuplicates(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	desk := newChargingDesk(r)
 	desk.setHook(func(http.ResponseWriter, *http.Request) { r.tables.down.Store(true) })
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.status != http.StatusOK {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
 	r.tables.down.Store(false)
-	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.refusal.Execution != fault.Unknown || desk.count("tree 17") != 1 {
 		t.Errorf("repeat: %d %s, %d charges", repeat.status, repeat.body, desk.count("tree 17"))
 	}
 }
 
-// A family's phone loses its connection while the desk charges. Were the call
-// cut off with it, nobody could ever say what became of the deposit; so it goes
-// on, a planned stop waits for it, and the repeat gets its answer.
-func TestKeyedCallOutlivesItsCaller(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// A caller loses its connection while the service charges. If the call were
+// cancelled, the outcome of the deposit would stay unknown. So the call
+// continues, a planned stop waits for it, and a duplicate gets its answer.
+func TestIdempotentCallContinuesWithoutItsCaller(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	desk := newChargingDesk(r)
 	charging, proceed := make(chan struct{}), make(chan struct{})
-	var cut atomic.Bool
+	var cancelled atomic.Bool
 	desk.setHook(func(_ http.ResponseWriter, q *http.Request) {
 		close(charging)
 		<-proceed
-		cut.Store(q.Context().Err() != nil)
+		cancelled.Store(q.Context().Err() != nil)
 	})
-	ctx, leave := context.WithCancel(t.Context())
-	left := make(chan struct{})
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(left)
-		_, _ = r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed, func(q *http.Request) { *q = *q.WithContext(ctx) })
+		defer close(disconnected)
+		_, _ = r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey, func(q *http.Request) { *q = *q.WithContext(ctx) })
 	}()
 	<-charging
-	leave()
-	<-left
+	disconnect()
+	<-disconnected
 	for r.server.sessions.count() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(proceed)
 	r.server.Wait()
-	if cut.Load() {
-		t.Error("the desk lost its connection with the caller's")
+	if cancelled.Load() {
+		t.Error("the call was cancelled when its caller disconnected")
 	}
 	desk.setHook(nil)
-	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.status != http.StatusOK || string(repeat.body) != "charge 1" {
 		t.Errorf("repeat: %d %s", repeat.status, repeat.body)
 	}
 }
 
-// A key is withdrawn while its caller's deposit is in the queue. The deposit of
-// a caller that has lost its rights must not run when its turn comes.
-func TestQueuedCallOfAWithdrawnKeyNeverRuns(t *testing.T) {
-	for _, change := range []func(*http.Request){func(*http.Request) {}, keyed} {
-		r := newRig(t, rigOptions{})
+// A key is withdrawn while a deposit of its caller is queued. The deposit must
+// not run when a slot is granted.
+func TestQueuedCallOfWithdrawnKeyDoesNotRun(t *testing.T) {
+	for _, change := range []func(*http.Request){func(*http.Request) {}, withIdempotencyKey} {
+		r := newHarness(t, harnessOptions{})
 		desk := newChargingDesk(r)
-		// The place is granted in the very moment of the withdrawal.
-		r.places.hook = func(context.Context, dispatch.Work) error { r.withdraw("k1"); return nil }
+		// The slot is granted at the moment of the withdrawal.
+		r.dispatcher.hook = func(context.Context, dispatch.Work) error { r.withdraw("k1"); return nil }
 		got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change)
 		r.server.Wait()
 		if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || desk.count("tree 17") != 0 {
@@ -318,10 +322,10 @@
 	}
 }
 
-// A POST without an idempotency key fails in the middle while other desks are
-// well. Sent to them too, it would run twice.
-func TestUnkeyedCallIsSentOnce(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// A POST without an idempotency key fails after it was sent, while other
+// services are available. If it were retried there, it would run twice.
+func TestPostWithoutIdempotencyKeyIsSentOnce(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	desk := newChargingDesk(r, r, r)
 	desk.setHook(abort)
 	got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
@@ -330,11 +334,12 @@
 	}
 }
 
-// A caller asks again while its deposit is being charged. Told "not run" it would
-// pay elsewhere; it is told that nothing is known yet, and when to ask again.
-func TestRepeatOfARunningCallIsToldWhenToAskAgain(t *testing.T) {
-	first := newRig(t, rigOptions{})
-	second := first.sharing()
+// A caller repeats a deposit that is being charged. If the duplicate were
+// reported as not run, the caller would pay elsewhere. It is reported as
+// unknown, with the time after which to ask again.
+func TestDuplicateOfRunningCallGetsRetryAfter(t *testing.T) {
+	first := newHarness(t, harnessOptions{})
+	second := first.peer()
 	desk := newChargingDesk(first, second)
 	charging, proceed := make(chan struct{}), make(chan struct{})
 	desk.setHook(func(http.ResponseWriter, *http.Request) {
@@ -343,15 +348,15 @@
 	})
 	ended := make(chan answer)
 	go func() {
-		got, _ := first.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+		got, _ := first.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 		ended <- got
 	}()
 	<-charging
-	same := first.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	same := first.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if same.refusal.Code != fault.CodeClaimInProgress || same.refusal.Execution != fault.Unknown || same.header.Get("Retry-After") == "" {
 		t.Errorf("on the same VM: %d %s", same.status, same.body)
 	}
-	other := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", keyed)
+	other := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if other.refusal.Code != fault.CodeClaimUnknown || other.refusal.Execution != fault.Unknown {
 		t.Errorf("on another VM: %d %s", other.status, other.body)
 	}
--- a/internal/entry/bad_input_test.go
+++ b/internal/entry/invalid_request_test.go
@@ -17,8 +17,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// badInputs are requests that no handler can serve.
-var badInputs = []struct {
+// invalidRequests are requests that no handler can serve.
+var invalidRequests = []struct {
 	name, method, path, body string
 	status                   int
 	code                     fault.Code
@@ -49,18 +49,18 @@
 	{"query with semicolon", http.MethodGet, "/v1/services/desk/x?a=1;b=2", "", 400, fault.CodeBadRequest},
 }
 
-// Something that is not a request reaches the VM: a script with a typo, a
-// scanner, a broken proxy. A caller that gets no code can't tell what to mend;
-// a panic or a redirect would look like a fault of the VM.
-func TestBadInputGetsATypedRefusal(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	for _, c := range badInputs {
+// A VM receives invalid requests from faulty scripts, scanners and faulty
+// proxies. Without a code, a caller can't tell what to correct, and a panic or
+// a redirect would look like a fault of the VM.
+func TestInvalidRequestGetsTypedRefusal(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	for _, c := range invalidRequests {
 		t.Run(c.name, func(t *testing.T) {
 			got := r.call(c.method, c.path, c.body)
 			if got.status != c.status || got.refusal.Code != c.code || got.refusal.Execution != fault.NotRun {
 				t.Errorf("got %d %s", got.status, got.body)
 			}
-			wantWholeRefusal(t, got)
+			wantCompleteRefusal(t, got)
 		})
 	}
 	if strings.Contains(r.log.String(), "panic") {
@@ -68,11 +68,11 @@
 	}
 }
 
-// wantWholeRefusal checks that a refusal is JSON with every field.
-func wantWholeRefusal(t *testing.T, got answer) {
+// wantCompleteRefusal checks that a refusal is JSON and has all fields.
+func wantCompleteRefusal(t *testing.T, got answer) {
 	t.Helper()
 	if got.header.Get("Content-Type") != "application/json" {
-		t.Errorf("the refusal is %s", got.header.Get("Content-Type"))
+		t.Errorf("the refusal has content type %s", got.header.Get("Content-Type"))
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(got.body, &fields); err != nil {
@@ -80,26 +80,26 @@
 	}
 	for _, name := range []string{"code", "execution", "retryAfterSeconds", "requestId", "message"} {
 		if _, ok := fields[name]; !ok {
-			t.Errorf("the refusal lacks %s", name)
+			t.Errorf("the refusal has no field %s", name)
 		}
 	}
 	if fields["requestId"] == "" || fields["requestId"] != got.header.Get("X-Request-Id") {
-		t.Errorf("request ID %v, the header says %q", fields["requestId"], got.header.Get("X-Request-Id"))
+		t.Errorf("request ID is %v in the body and %q in the header", fields["requestId"], got.header.Get("X-Request-Id"))
 	}
 }
 
-// badKeys are headers that hold no key.
-var badKeys = []string{
+// invalidKeys are Authorization headers without a valid key.
+var invalidKeys = []string{
 	"", " ", "Bearer", "Bearer ", "bearer " + testKey, "Basic ZHdw", "Bearer dwp_", "Bearer dwp__", "Bearer dwp_k1",
 	"Bearer dwp_k1_", "Bearer dwp_k1_short", "Bearer " + testKey + "x", "Bearer  " + testKey, "Bearer DWP_k1_" + testSecret,
 	"Bearer dwp_K1_" + testSecret, "Bearer dwp_\u20ac_0123456789abcdef", "Bearer " + strings.Repeat("dwp_", 1000),
 }
 
-// A key is mistyped in some way. Whatever the way, the refusal must not differ,
-// or a guesser learns which part was right.
-func TestBadKeysAreNotToldApart(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	for _, header := range badKeys {
+// Keys are malformed or wrong in different ways. If the refusals differed, an
+// attacker who guesses keys would learn which part of a key was right.
+func TestInvalidKeysGetTheSameRefusal(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	for _, header := range invalidKeys {
 		got := r.call(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header))
 		want := fault.CodeKeyInvalid
 		if strings.TrimSpace(header) == "" {
@@ -108,18 +108,17 @@
 		if got.status != http.StatusUnauthorized || got.refusal.Code != want || got.refusal.Execution != fault.NotRun {
 			t.Errorf("%q: %d %s", header, got.status, got.body)
 		}
-		wantWholeRefusal(t, got)
+		wantCompleteRefusal(t, got)
 	}
 }
 
-// A defect makes a handler panic, before or in the middle of its answer. The
-// caller must learn of it, other callers must not notice, and a part of an
-// answer must not look whole.
-func TestPanicEndsOnlyItsRequest(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.whole() }))
+// A handler panics because of a defect. Its caller must get a refusal, and
+// other requests must not be affected.
+func TestPanicFailsOnlyItsRequest(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.complete() }))
 	var asked atomic.Int64
-	r.places.hook = func(context.Context, dispatch.Work) error {
+	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
 		if asked.Add(1) == 1 {
 			panic("defect")
 		}
@@ -129,33 +128,33 @@
 	if got.status != http.StatusInternalServerError || got.refusal.Code != fault.CodeInternal || got.refusal.Execution != fault.Unknown {
 		t.Errorf("got %d %s", got.status, got.body)
 	}
-	wantWholeRefusal(t, got)
+	wantCompleteRefusal(t, got)
 	if got := r.call(http.MethodPost, "/v1/generate", generateText); got.status != http.StatusOK {
 		t.Errorf("the next request got %d %s", got.status, got.body)
 	}
 }
 
-// A defect makes a handler panic in the middle of a stream. Ended in good order,
-// the part of the answer would look whole to a caller that counts on HTTP.
-func TestPanicInAStreamCutsTheConnection(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.chunk(0, "a"); s.cut() }))
+// A handler panics in the middle of a stream. If the response ended normally,
+// the partial answer would look complete to a caller that relies on HTTP.
+func TestPanicInStreamClosesTheConnection(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.chunk(0, "a"); s.disconnect() }))
 	var asked atomic.Int64
-	r.places.hook = func(context.Context, dispatch.Work) error {
+	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
 		if asked.Add(1) > 1 {
 			panic("defect")
 		}
 		return nil
 	}
 	if part, err := r.try(http.MethodPost, "/v1/generate", streamText("16")); err == nil {
-		t.Errorf("the stream ended in good order after %s", part.body)
+		t.Errorf("the stream ended without an error after %s", part.body)
 	}
 }
 
-// A caller announces a body and sends less, or breaks the chunks. Half a deposit
-// must not run.
-func TestHalfABodyIsNotRun(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// A caller announces a body and sends less, or sends an invalid chunk. A call
+// with an incomplete body must not reach the service.
+func TestIncompleteBodyIsNotRun(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	m := r.service("s1", func(http.ResponseWriter, *http.Request) {})
 	address := strings.TrimPrefix(r.serve(), "http://")
 	for _, rest := range []string{
@@ -182,14 +181,15 @@
 		_ = conn.Close()
 	}
 	if m.bytes.Load() != 0 {
-		t.Errorf("the desk got %d bytes", m.bytes.Load())
+		t.Errorf("the service got %d bytes", m.bytes.Load())
 	}
 }
 
-// A caller sends half a body and then nothing, with its connection open. Its
-// request would stay for ever, and a planned stop would wait for it.
-func TestStalledBodyIsRefused(t *testing.T) {
-	r := newRig(t, rigOptions{bodyTimeout: 100 * time.Millisecond})
+// A caller sends a part of its body and then nothing, on an open connection.
+// Without a timeout, its request would stay open forever, and a planned stop
+// would wait for it.
+func TestStalledBodyTimesOut(t *testing.T) {
+	r := newHarness(t, harnessOptions{bodyTimeout: 100 * time.Millisecond})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.serve(), "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -207,7 +207,7 @@
 }
 
 func FuzzGenerateBody(f *testing.F) {
-	for _, c := range badInputs {
+	for _, c := range invalidRequests {
 		f.Add([]byte(c.body))
 	}
 	f.Add([]byte(generateText))
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -15,7 +15,7 @@
 	"dogwoodpond/internal/fault"
 )
 
-// jsonEscaped writes every character of a text as a JSON escape.
+// jsonEscaped returns text with every character written as a JSON escape.
 func jsonEscaped(text string) string {
 	var out strings.Builder
 	for _, c := range text {
@@ -24,7 +24,7 @@
 	return out.String()
 }
 
-// percentEscaped writes every character of a text as a percent escape.
+// percentEscaped returns text with every byte written as a percent escape.
 func percentEscaped(text string) string {
 	var out strings.Builder
 	for _, c := range []byte(text) {
@@ -33,80 +33,84 @@
 	return out.String()
 }
 
-func prompt(text string) string {
+// generateBody returns the body of a generate call with the prompt text.
+func generateBody(text string) string {
 	return `{"model":"berry-1","prompt":"` + text + `","maxTokens":4}`
 }
 
-// exposures are requests that carry a key where an upstream could see it.
-var exposures = map[string]func(r *rig) (answer, error){
-	"path": func(r *rig) (answer, error) {
+// exposedKeyRequests send a key in a part of the request that could reach an
+// upstream.
+var exposedKeyRequests = map[string]func(r *harness) (answer, error){
+	"path": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/"+testSecret, "")
 	},
-	"path, percent-encoded": func(r *rig) (answer, error) {
+	"path, percent-encoded": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/"+percentEscaped(testSecret), "")
 	},
-	"path, percent-encoded twice": func(r *rig) (answer, error) {
+	"path, percent-encoded twice": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/"+strings.ReplaceAll(percentEscaped(testSecret), "%", "%25"), "")
 	},
-	"service name": func(r *rig) (answer, error) {
+	"service name": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/"+testSecret, "")
 	},
-	"query": func(r *rig) (answer, error) {
+	"query": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/x?key="+testSecret, "")
 	},
-	"query, percent-encoded": func(r *rig) (answer, error) {
+	"query, percent-encoded": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/x?"+percentEscaped(testKey)+"=1", "")
 	},
-	"body": func(r *rig) (answer, error) { return r.try(http.MethodPost, "/v1/services/desk/x", testKey) },
-	"form": func(r *rig) (answer, error) {
+	"body": func(r *harness) (answer, error) { return r.try(http.MethodPost, "/v1/services/desk/x", testKey) },
+	"form": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", "a="+percentEscaped(testSecret))
 	},
-	"prompt": func(r *rig) (answer, error) { return r.try(http.MethodPost, "/v1/generate", prompt(testSecret)) },
-	"JSON escape": func(r *rig) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", prompt(jsonEscaped(testSecret)))
+	"prompt": func(r *harness) (answer, error) {
+		return r.try(http.MethodPost, "/v1/generate", generateBody(testSecret))
 	},
-	"JSON escape in JSON": func(r *rig) (answer, error) {
+	"JSON escape": func(r *harness) (answer, error) {
+		return r.try(http.MethodPost, "/v1/generate", generateBody(jsonEscaped(testSecret)))
+	},
+	"JSON escape in JSON": func(r *harness) (answer, error) {
 		quoted, _ := json.Marshal(`"` + jsonEscaped(testSecret) + `"`)
-		return r.try(http.MethodPost, "/v1/generate", prompt(strings.Trim(string(quoted), `"`)))
+		return r.try(http.MethodPost, "/v1/generate", generateBody(strings.Trim(string(quoted), `"`)))
 	},
-	"JSON field name": func(r *rig) (answer, error) {
+	"JSON field name": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", `{"`+testSecret+`":1}`)
 	},
-	"seventeen layers": func(r *rig) (answer, error) {
+	"seventeen layers": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", "%"+strings.Repeat("25", 20)+"41")
 	},
-	"header": func(r *rig) (answer, error) {
+	"header": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Accept", testSecret))
 	},
-	"cookie": func(r *rig) (answer, error) {
+	"cookie": func(r *harness) (answer, error) {
 		return r.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Cookie", "key="+url.QueryEscape(testKey)))
 	},
-	"idempotency key": func(r *rig) (answer, error) {
+	"idempotency key": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", "", withHeader("Idempotency-Key", testKey))
 	},
-	"trailer": func(r *rig) (answer, error) {
+	"trailer": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", "tree", func(q *http.Request) {
 			q.ContentLength = -1
 			q.Trailer = http.Header{"X-Key": {testKey}}
 		})
 	},
-	"another caller's key": func(r *rig) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", prompt("use "+otherKey+" please"))
+	"another caller's key": func(r *harness) (answer, error) {
+		return r.try(http.MethodPost, "/v1/generate", generateBody("use "+otherKey+" please"))
 	},
-	"another caller's key, escaped": func(r *rig) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", prompt(jsonEscaped(otherKey)))
+	"another caller's key, escaped": func(r *harness) (answer, error) {
+		return r.try(http.MethodPost, "/v1/generate", generateBody(jsonEscaped(otherKey)))
 	},
 }
 
-// A caller pastes its key into a prompt, a link or a header of its own. Passed
-// on, the key would lie in an upstream's logs, and whoever reads them could act
-// for the client account.
-func TestRequestThatCarriesAKeyElsewhereIsNotRun(t *testing.T) {
-	for name, call := range exposures {
+// A caller puts a key into a prompt, a link or one of its own headers. If the
+// request were forwarded, the key could appear in the logs of an upstream, and
+// readers of the logs could act for the client account.
+func TestRequestWithExposedKeyIsNotRun(t *testing.T) {
+	for name, call := range exposedKeyRequests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, rigOptions{})
-			r.engine("e1", scripted(func(s *script) { s.whole() }))
+			r := newHarness(t, harnessOptions{})
+			r.engine("e1", scripted(func(s *script) { s.complete() }))
 			r.service("s1", func(http.ResponseWriter, *http.Request) {})
 			got, err := call(r)
 			if err != nil || got.refusal.Code != fault.CodeKeyExposed || got.refusal.Execution != fault.NotRun {
@@ -119,26 +123,26 @@
 	}
 }
 
-// Text with escapes, or with something that looks like a key, is ordinary; a
-// check that refuses it loses honest requests.
-func TestOrdinaryTextIsNotTakenForAKey(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.whole() }))
+// Ordinary text may contain escapes or something that resembles a key. Refusing
+// it would fail valid requests.
+func TestTextWithoutActiveKeyIsAccepted(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.complete() }))
 	for _, text := range []string{
 		`100 % sure`, `50%25 off`, `a \"quoted\" word`, `a line\nand another\t`, `dwp_k1_`, `dwp_k1_0123456789abcdef`,
-		`\\\\\\\\`, `\u20ac 5 and \ud83c\udf53`, goneKey, `%zz %`, `\\u00`,
+		`\\\\\\\\`, `\u20ac 5 and \ud83c\udf53`, withdrawnKey, `%zz %`, `\\u00`,
 	} {
-		if got := r.call(http.MethodPost, "/v1/generate", prompt(text)); got.status != http.StatusOK {
+		if got := r.call(http.MethodPost, "/v1/generate", generateBody(text)); got.status != http.StatusOK {
 			t.Errorf("%s: %d %s", text, got.status, got.body)
 		}
 	}
 }
 
-// A stream breaks, is retried and resumed elsewhere; a GET is repeated; callers
-// bring headers of their own. An attempt that is built from the caller's
-// request, and not anew, takes the key along.
-func TestNoAttemptCarriesTheKey(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// Streams are retried and resumed at another engine, a GET is retried, and
+// callers send additional headers. An attempt that copied the caller's request
+// instead of building a new one would forward the key.
+func TestUpstreamsReceiveNoKey(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	seen := make(chan string, 64)
 	record := func(next http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
@@ -148,8 +152,8 @@
 			next(w, q)
 		}
 	}
-	r.engine("e1", record(scripted(func(s *script) { s.chunk(s.resume, "a"); s.cut() })))
-	r.engine("e2", record(scripted(func(s *script) { s.whole() })))
+	r.engine("e1", record(scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() })))
+	r.engine("e2", record(scripted(func(s *script) { s.complete() })))
 	r.service("s1", record(abort))
 	r.service("s2", record(func(http.ResponseWriter, *http.Request) {}))
 	extra := func(q *http.Request) {
@@ -159,14 +163,14 @@
 	r.call(http.MethodPost, "/v1/generate", generateText, extra)
 	r.call(http.MethodPost, "/v1/generate", streamText("16"), extra)
 	r.call(http.MethodGet, "/v1/services/desk/fields", "", extra)
-	r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", extra, keyed)
+	r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", extra, withIdempotencyKey)
 	r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", extra)
 	attempts := len(seen)
 	for range attempts {
 		text := <-seen
-		for _, hidden := range []string{testSecret, otherSecret, "dwp_", "Authorization", "X-Forwarded-For"} {
-			if strings.Contains(text, hidden) {
-				t.Errorf("an upstream got %q in %s", hidden, text)
+		for _, forbidden := range []string{testSecret, otherSecret, "dwp_", "Authorization", "X-Forwarded-For"} {
+			if strings.Contains(text, forbidden) {
+				t.Errorf("an upstream got %q in %s", forbidden, text)
 			}
 		}
 	}
@@ -176,10 +180,11 @@
 }
 
 // A key is withdrawn after a request was authenticated and before its session
-// is known. The withdrawal's sweep misses it, and it would run to its end.
-func TestWithdrawalBetweenCheckAndSession(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	m := r.engine("e1", scripted(func(s *script) { s.whole() }))
+// began. Revoke does not see the session, so without a second check the request
+// would run to completion.
+func TestKeyWithdrawnBetweenCheckAndSession(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	m := r.engine("e1", scripted(func(s *script) { s.complete() }))
 	r.ager.hook = func() { r.withdraw("k1") }
 	got := r.call(http.MethodPost, "/v1/generate", generateText)
 	if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || m.bytes.Load() != 0 {
@@ -187,28 +192,29 @@
 	}
 }
 
-// Keys end up in logs, and logs are read by many. Every request of this test
-// carries a key in some way, and many fail in ways that quote their input.
-func TestNoOutputHoldsAKey(t *testing.T) {
-	r := newRig(t, rigOptions{})
-	r.engine("e1", scripted(func(s *script) { s.chunk(s.resume, "a"); s.cut() }))
+// Many people can read logs, so these must not contain keys. Every request of
+// this test contains a key, and many fail with errors that could quote their
+// input.
+func TestNoOutputContainsAKey(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
+	r.engine("e1", scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() }))
 	r.service("s1", abort)
 	var answers strings.Builder
-	note := func(got answer, err error) { fmt.Fprintln(&answers, got.header, string(got.body), err) }
-	for _, call := range exposures {
-		note(call(r))
+	record := func(got answer, err error) { fmt.Fprintln(&answers, got.header, string(got.body), err) }
+	for _, call := range exposedKeyRequests {
+		record(call(r))
 	}
-	note(r.try(http.MethodGet, "/v2/"+testSecret, ""))
-	note(r.try(testSecret, "/v1/generate", ""))
-	note(r.try(http.MethodPatch, "/v1/services/"+testSecret, ""))
-	note(r.try(http.MethodPost, "/v1/generate", `{"`+testSecret+`":1}`))
-	note(r.try(http.MethodPost, "/v1/generate", generateText))
-	note(r.try(http.MethodPost, "/v1/services/desk/x", "tree", keyed))
-	for _, header := range []string{testKey, "Bearer x" + testKey, "Bearer dwp_" + testSecret, "Bearer " + goneKey, "Bearer " + bareKey, "Bearer dwp_k1_" + otherSecret} {
-		note(r.try(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header)))
+	record(r.try(http.MethodGet, "/v2/"+testSecret, ""))
+	record(r.try(testSecret, "/v1/generate", ""))
+	record(r.try(http.MethodPatch, "/v1/services/"+testSecret, ""))
+	record(r.try(http.MethodPost, "/v1/generate", `{"`+testSecret+`":1}`))
+	record(r.try(http.MethodPost, "/v1/generate", generateText))
+	record(r.try(http.MethodPost, "/v1/services/desk/x", "tree", withIdempotencyKey))
+	for _, header := range []string{testKey, "Bearer x" + testKey, "Bearer dwp_" + testSecret, "Bearer " + withdrawnKey, "Bearer " + noContractKey, "Bearer dwp_k1_" + otherSecret} {
+		record(r.try(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header)))
 	}
 	r.withdraw("k1")
-	note(r.try(http.MethodPost, "/v1/generate", generateText))
+	record(r.try(http.MethodPost, "/v1/generate", generateText))
 
 	events, err := json.Marshal(r.events.Since(event.Stamp{}))
 	if err != nil {
@@ -228,19 +234,19 @@
 	}
 	for name, text := range outputs {
 		if text == "" {
-			t.Errorf("%s: nothing to look at", name)
+			t.Errorf("%s is empty", name)
 		}
-		for _, secret := range []string{testSecret, otherSecret, strings.SplitN(goneKey, "_", 3)[2], strings.SplitN(bareKey, "_", 3)[2]} {
+		for _, secret := range []string{testSecret, otherSecret, strings.SplitN(withdrawnKey, "_", 3)[2], strings.SplitN(noContractKey, "_", 3)[2]} {
 			if strings.Contains(text, secret) {
 				at := strings.Index(text, secret)
-				t.Errorf("%s holds a key: …%s…", name, text[max(0, at-80):at+len(secret)])
+				t.Errorf("%s contains a key: …%s…", name, text[max(0, at-80):at+len(secret)])
 			}
 		}
 	}
 }
 
-// metrics returns the text of all metrics.
-func (r *rig) metrics() string {
+// metrics returns the text of the metrics endpoint.
+func (r *harness) metrics() string {
 	got := r.call(http.MethodGet, "/metrics", "")
 	return string(got.body)
 }
@@ -252,12 +258,12 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		next := unescape(text)
 		if next != nil && len(next) >= len(text) {
-			t.Errorf("%q grew to %q", text, next)
+			t.Errorf("unescaping %q gave the longer %q", text, next)
 		}
-		guard := exposureGuard{secret: []byte(testSecret), snapshot: contract.Empty()}
+		detector := keyDetector{secret: []byte(testSecret), snapshot: contract.Empty()}
 		escaped := append([]byte(percentEscaped(testSecret)), text...)
-		if !guard.exposed(escaped) {
-			t.Errorf("the secret before %q was missed", text)
+		if !detector.containsKey(escaped) {
+			t.Errorf("the escaped secret before %q was not found", text)
 		}
 	})
 }
--- a/internal/entry/open.go
+++ b/internal/entry/open.go
@@ -11,21 +11,21 @@
 	"dogwoodpond/internal/fault"
 )
 
-// openCalls counts the open calls of each client account on this VM, from
-// before their body is read to the end of their answer. Each holds a connection
-// and memory. Without a bound one account that sends its bodies slowly, or reads
-// its streams slowly, would use up the VM, and the others would notice it as
-// connections that are not taken.
+// openCalls counts the open calls of each client account on this VM. A call is
+// open from before its body is read until its answer is complete, and holds a
+// connection and memory. Without a limit, one account that sends its bodies or
+// reads its streams slowly could exhaust the VM, and the connections of other
+// accounts would not be accepted.
 type openCalls struct {
 	counts sync.Map
 }
 
-// openRetryAfter is when a caller above the limit should come back.
+// openRetryAfter is the retry delay given to callers above the limit.
 const openRetryAfter = time.Second
 
-// enter counts a call and returns what ends it. It fails with
-// *fault.LimitExceeded at the contract's limit.
-func (o *openCalls) enter(c contract.Contract) (leave func(), err error) {
+// acquire counts one more open call. The call is counted until release is
+// called. It fails with *fault.LimitExceeded at the limit of the contract.
+func (o *openCalls) acquire(c contract.Contract) (release func(), err error) {
 	value, ok := o.counts.Load(c.Account)
 	if !ok {
 		value, _ = o.counts.LoadOrStore(c.Account, new(atomic.Int64))
--- a/internal/entry/open_test.go
+++ b/internal/entry/open_test.go
@@ -14,13 +14,14 @@
 	"dogwoodpond/internal/fault"
 )
 
-// startSlowBody opens a call of a key that announces a body and sends a part.
-func startSlowBody(t *testing.T, r *rig, key string) net.Conn {
+// startSlowGenerate starts a generate call with the key; see startSlowCall.
+func startSlowGenerate(t *testing.T, r *harness, key string) net.Conn {
 	t.Helper()
 	return startSlowCall(t, r, "/v1/generate", key)
 }
 
-func startSlowCall(t *testing.T, r *rig, path, key string) net.Conn {
+// startSlowCall starts a call that announces a body of 100 bytes and sends one.
+func startSlowCall(t *testing.T, r *harness, path, key string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", strings.TrimPrefix(r.serve(), "http://"))
 	if err != nil {
@@ -34,30 +35,30 @@
 	return conn
 }
 
-// openOf returns how many calls of an account the server counts.
-func openOf(r *rig, account contract.Account) int64 {
-	leave, err := r.server.open.enter(contract.Contract{Account: account, Limits: contract.Limits{Open: 1 << 30}})
+// openCallCount returns how many open calls of an account the server counts.
+func openCallCount(r *harness, account contract.Account) int64 {
+	release, err := r.server.open.acquire(contract.Contract{Account: account, Limits: contract.Limits{Open: 1 << 30}})
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	defer leave()
+	defer release()
 	value, _ := r.server.open.counts.Load(account)
 	return value.(interface{ Load() int64 }).Load() - 1
 }
 
-// One account opens call after call and sends their bodies slowly. Each holds a
-// connection and memory of the VM; without a bound the other accounts would be
-// shut out.
-func TestOpenCallsOfOneAccountAreBounded(t *testing.T) {
-	r := newRig(t, rigOptions{})
+// An account opens many calls and sends their bodies slowly. Each call holds a
+// connection and memory of the VM, so without a limit the VM could no longer
+// serve other accounts.
+func TestOpenCallsOfAnAccountAreLimited(t *testing.T) {
+	r := newHarness(t, harnessOptions{})
 	c := r.view.Load().Contracts[testAccount]
 	c.Limits.Open = 2
 	r.edit(contract.Entry{Kind: contract.EditContract, Contract: &c})
-	first := startSlowBody(t, r, testKey)
-	startSlowBody(t, r, testKey)
-	eventually(t, func() bool { return openOf(r, testAccount) == 2 })
+	first := startSlowGenerate(t, r, testKey)
+	startSlowGenerate(t, r, testKey)
+	eventually(t, func() bool { return openCallCount(r, testAccount) == 2 })
 
-	third := startSlowBody(t, r, testKey)
+	third := startSlowGenerate(t, r, testKey)
 	if err := third.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
@@ -74,19 +75,19 @@
 		t.Errorf("the third call got %d %s", response.StatusCode, body)
 	}
 	if response.Header.Get("Retry-After") == "" {
-		t.Error("the refusal does not say when to come back")
+		t.Error("the refusal has no Retry-After header")
 	}
-	startSlowBody(t, r, otherKey)
-	eventually(t, func() bool { return openOf(r, r.view.Load().Keys["k2"].Account) == 1 })
+	startSlowGenerate(t, r, otherKey)
+	eventually(t, func() bool { return openCallCount(r, r.view.Load().Keys["k2"].Account) == 1 })
 	_ = first.Close()
-	eventually(t, func() bool { return openOf(r, testAccount) == 1 })
+	eventually(t, func() bool { return openCallCount(r, testAccount) == 1 })
 }
 
-// A caller sends its body slowly and is refused by its header alone. The answer
-// must not wait for a body that nobody will read, or the caller learns late that
-// it should go elsewhere.
+// A caller sends its body slowly, and its request is refused because of its
+// header. If the refusal waited for the rest of the body, the caller would
+// receive it late.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
-	r := newRig(t, rigOptions{})
+	r := newHarness(t, harnessOptions{})
 	cases := []struct {
 		name, path, key string
 		status          int
@@ -112,7 +113,7 @@
 	}
 }
 
-// eventually waits until a condition holds.
+// eventually waits until holds returns true, at most one minute.
 func eventually(t *testing.T, holds func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(time.Minute)
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -17,19 +17,20 @@
 
 const headerRequestID = "X-Request-Id"
 
-// Refusal is the body of every answer that is not a success.
+// Refusal is the body of every answer to a call that was refused or failed.
 type Refusal struct {
 	Code      fault.Code      `json:"code"`
 	Execution fault.Execution `json:"execution"`
-	// RetryAfterSeconds tells when a retry makes sense; 0 means that a retry of
-	// the same request does not.
+	// RetryAfterSeconds is the delay after which the caller can retry; 0 means
+	// that retrying the same request is of no use.
 	RetryAfterSeconds int    `json:"retryAfterSeconds"`
 	RequestID         string `json:"requestId"`
 	Message           string `json:"message"`
 }
 
-// statuses maps codes to HTTP statuses; other codes get 500.
-var statuses = map[fault.Code]int{
+// httpStatuses maps failure codes to HTTP statuses. All other codes have status
+// 500.
+var httpStatuses = map[fault.Code]int{
 	fault.CodeBadRequest:         http.StatusBadRequest,
 	fault.CodeBodyTooLarge:       http.StatusRequestEntityTooLarge,
 	fault.CodeRouteUnknown:       http.StatusNotFound,
@@ -55,12 +56,14 @@
 	fault.CodePullOvertaken:      http.StatusServiceUnavailable,
 }
 
-// defaultRetryAfter is told when a retry makes sense but no better time is known.
+// defaultRetryAfter is the retry delay of failures that can be retried but do
+// not have a delay of their own.
 const defaultRetryAfter = 2 * time.Second
 
+// refusalOf returns the refusal and the HTTP status for err.
 func refusalOf(id string, err error) (Refusal, int) {
 	code := fault.CodeOf(err)
-	status, ok := statuses[code]
+	status, ok := httpStatuses[code]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
@@ -73,8 +76,8 @@
 	return refusal, status
 }
 
-// messageOf returns the text of the typed failure; the text of an untyped one
-// might hold anything and stays inside.
+// messageOf returns the message of a typed failure. The message of any other
+// error could contain confidential data and is not sent to callers.
 func messageOf(err error) string {
 	var f fault.Failure
 	if errors.As(err, &f) {
@@ -83,6 +86,7 @@
 	return "internal failure"
 }
 
+// refuse writes the refusal for err and emits its event.
 func (s *Server) refuse(w *restful.Response, id string, err error) {
 	refusal, status := refusalOf(id, err)
 	s.noteRefusal(refusal)
@@ -92,6 +96,7 @@
 	writeJSON(w, status, refusal)
 }
 
+// noteRefusal emits the event of a refusal.
 func (s *Server) noteRefusal(refusal Refusal) {
 	s.Events.Emit(event.RequestRefused, event.Subject{
 		Request: refusal.RequestID,
@@ -99,28 +104,30 @@
 	})
 }
 
-// writeJSON answers with a value; an error means that the caller has gone.
+// writeJSON writes value as the answer. It ignores errors: they mean that the
+// caller has disconnected.
 func writeJSON(w *restful.Response, status int, value any) {
 	_ = w.WriteHeaderAndJson(status, value, restful.MIME_JSON)
 }
 
-// recovered answers after a panic, so that one request's defect ends only that
-// request. The event is how an operator notices. A connection on which an
-// answer has begun is cut instead, so that the part is not taken for the whole.
-func (s *Server) recovered(reason any, w http.ResponseWriter) {
+// handlePanic answers a request whose handler panicked, so that a defect fails
+// only that request. An event reports the panic to operators. If a part of the
+// answer has already been written, the connection is closed instead, so that
+// the caller does not take a partial answer for a complete one.
+func (s *Server) handlePanic(reason any, w http.ResponseWriter) {
 	if reason == http.ErrAbortHandler {
 		panic(http.ErrAbortHandler)
 	}
 	s.Events.Emit(event.PanicRecovered, event.Subject{Detail: "entry"})
-	if started, ok := w.(*callerWriter); ok && started.began {
+	if cw, ok := w.(*callerWriter); ok && cw.started {
 		panic(http.ErrAbortHandler)
 	}
 	s.refuse(restful.NewResponse(w), w.Header().Get(headerRequestID), errors.WithStack(&fault.Internal{Where: "entry"}))
 }
 
-// unrouted answers for unknown paths and methods. The path is not repeated: it
-// may hold a key.
-func (s *Server) unrouted(failure restful.ServiceError, r *restful.Request, w *restful.Response) {
+// handleUnrouted answers requests with an unknown path or method. The answer
+// does not contain the path, which may contain a key.
+func (s *Server) handleUnrouted(failure restful.ServiceError, r *restful.Request, w *restful.Response) {
 	id := uuid.NewString()
 	w.Header().Set(headerRequestID, id)
 	closeUnread(r, w)
@@ -133,7 +140,8 @@
 	writeJSON(w, failure.Code, refusal)
 }
 
-// knownMethod keeps words that a caller made up out of messages.
+// knownMethod returns method if it is a standard HTTP method, so that messages
+// never contain text made up by a caller.
 func knownMethod(method string) string {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodOptions:
--- a/internal/entry/refusal_page_test.go
+++ b/internal/entry/refusal_page_test.go
@@ -12,13 +12,13 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Callers write their handling of refusals from the page. A status that differs
-// makes them retry what they must not, or give up what they could retry.
+// Callers implement their handling of refusals from docs/API.md. If a status
+// differed, they would retry what they must not, or not retry what they could.
 func TestAPIPageHasTheStatusesOfAllCodes(t *testing.T) {
 	codes := doccheck.Column(t, "docs/API.md", "codes", 0)
 	cells := doccheck.Column(t, "docs/API.md", "codes", 1)
 	for i, code := range codes {
-		status, known := statuses[fault.Code(code)]
+		status, known := httpStatuses[fault.Code(code)]
 		want := strconv.Itoa(status)
 		if cells[i] == want || !known && (cells[i] == "-" || cells[i] == "500") {
 			continue
@@ -27,14 +27,14 @@
 	}
 }
 
-// A call that the page does not name is used by nobody, and one that only the
-// page names is refused.
+// Callers don't know of a route that docs/API.md does not list, and a route
+// that only the page lists is refused.
 func TestAPIPageListsTheCallersRoutes(t *testing.T) {
 	s := NewServer(Config{Registry: prometheus.NewRegistry()})
 	var routes []string
 	for _, route := range slices.Concat(s.health().Routes(), s.api().Routes()) {
 		path := strings.Replace(route.Path, "{path:*}", "{path}", 1)
-		// The path of a service may be empty.
+		// The router has a second route for a service without a path.
 		if strings.HasSuffix(path, "/{service}") {
 			continue
 		}
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -25,25 +25,27 @@
 
 const (
 	headerIdempotencyKey = "Idempotency-Key"
-	// maxIdempotencyKey bounds an idempotency key in bytes.
-	maxIdempotencyKey = 256
-	// serviceTimeout bounds a call whose caller names no shorter bound.
-	serviceTimeout = 30 * time.Second
-	// claimTimeout bounds the wait for the store before a keyed call is refused.
+	// maxIdempotencyKeyBytes is the maximum length of an idempotency key.
+	maxIdempotencyKeyBytes = 256
+	// maxServiceTimeout is the timeout of a call whose caller does not request
+	// a shorter one.
+	maxServiceTimeout = 30 * time.Second
+	// claimTimeout is how long a call with an idempotency key waits for the
+	// store before it is refused.
 	claimTimeout = 3 * time.Second
-	// maxServiceAttempts bounds the attempts of one call.
+	// maxServiceAttempts is the maximum number of attempts of one call.
 	maxServiceAttempts = 4
 )
 
-// callService passes a call on to a plain service.
-func (s *Server) callService(ctx context.Context, c caller, r *restful.Request, w *restful.Response) error {
-	wanted, err := serviceCall(c, r)
+// callService forwards a call to a plain service.
+func (s *Server) callService(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error {
+	req, err := parseServiceRequest(c, r)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.bounded(wanted.timeout))
+	ctx, cancel := context.WithTimeout(ctx, s.capTimeout(req.timeout))
 	defer cancel()
-	answer, err := s.runService(ctx, c, wanted)
+	answer, err := s.runService(ctx, c, req)
 	if err != nil {
 		return causeOf(ctx, err)
 	}
@@ -54,36 +56,37 @@
 	return nil
 }
 
-// wantedCall is what a caller asks of a service.
-type wantedCall struct {
+// serviceRequest is a caller's request to a service.
+type serviceRequest struct {
 	service        string
 	idempotencyKey string
 	timeout        time.Duration
 	call           service.Call
 }
 
-// repeatable reports whether a second run does no harm. Of all methods only GET
-// promises that for every service.
-func (w wantedCall) repeatable() bool { return w.call.Method == http.MethodGet }
+// repeatable reports whether running the call twice is harmless. GET is the
+// only method for which every service guarantees this.
+func (r serviceRequest) repeatable() bool { return r.call.Method == http.MethodGet }
 
-func serviceCall(c caller, r *restful.Request) (wantedCall, error) {
+// parseServiceRequest reads the call and its parameters from an HTTP request.
+func parseServiceRequest(c clientCall, r *restful.Request) (serviceRequest, error) {
 	query, err := url.ParseQuery(r.Request.URL.RawQuery)
 	if err != nil {
-		return wantedCall{}, badField("query", "can't be read")
+		return serviceRequest{}, badField("query", "can't be read")
 	}
 	path, rawPath, err := servicePath(r.Request.URL)
 	if err != nil {
-		return wantedCall{}, err
+		return serviceRequest{}, err
 	}
 	timeout, err := callTimeout(r.Request.Header.Get(service.HeaderTimeout))
 	if err != nil {
-		return wantedCall{}, err
+		return serviceRequest{}, err
 	}
 	idempotencyKey := r.Request.Header.Get(headerIdempotencyKey)
-	if len(idempotencyKey) > maxIdempotencyKey {
-		return wantedCall{}, badField(headerIdempotencyKey, "is longer than 256 bytes")
+	if len(idempotencyKey) > maxIdempotencyKeyBytes {
+		return serviceRequest{}, badField(headerIdempotencyKey, "is longer than 256 bytes")
 	}
-	return wantedCall{
+	return serviceRequest{
 		service:        r.PathParameter("service"),
 		idempotencyKey: idempotencyKey,
 		timeout:        timeout,
@@ -100,20 +103,23 @@
 	}, nil
 }
 
-// servicePrefix counts the parts of "/v1/services/{service}/".
-const servicePrefix = 4
+// servicePrefixParts is the number of slash-separated parts in
+// "/v1/services/{service}".
+const servicePrefixParts = 4
 
-// servicePath returns the part of the path that belongs to the service, as the
-// caller escaped it: an escaped slash is not the same as a slash.
+// servicePath returns the part of the path that belongs to the service,
+// unescaped and as the caller escaped it: an escaped slash is not equivalent to
+// a slash.
 func servicePath(u *url.URL) (path, rawPath string, err error) {
-	parts := strings.SplitN(u.EscapedPath(), "/", servicePrefix+1)
-	// The router skips empty parts; counting them would shift the rest.
-	if slices.Contains(parts[1:min(servicePrefix, len(parts))], "") {
+	parts := strings.SplitN(u.EscapedPath(), "/", servicePrefixParts+1)
+	// The router ignores empty parts; counting them here would shift the
+	// following parts.
+	if slices.Contains(parts[1:min(servicePrefixParts, len(parts))], "") {
 		return "", "", badField("path", "has an empty part before the service")
 	}
 	rawPath = "/"
-	if len(parts) > servicePrefix {
-		rawPath += parts[servicePrefix]
+	if len(parts) > servicePrefixParts {
+		rawPath += parts[servicePrefixParts]
 	}
 	path, err = url.PathUnescape(rawPath)
 	if err != nil {
@@ -122,25 +128,26 @@
 	return path, rawPath, nil
 }
 
-// callTimeout reads the caller's bound in milliseconds.
+// callTimeout parses the timeout header, in milliseconds, and caps it at
+// maxServiceTimeout.
 func callTimeout(text string) (time.Duration, error) {
 	if text == "" {
-		return serviceTimeout, nil
+		return maxServiceTimeout, nil
 	}
 	millis, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || millis < 1 {
 		return 0, badField(service.HeaderTimeout, "must be a number from 1")
 	}
-	return min(time.Duration(millis)*time.Millisecond, serviceTimeout), nil
+	return min(time.Duration(millis)*time.Millisecond, maxServiceTimeout), nil
 }
 
-// runService runs a call; one with an idempotency key runs at most once over
-// all VMs.
-func (s *Server) runService(ctx context.Context, c caller, wanted wantedCall) (service.Answer, error) {
-	if wanted.idempotencyKey == "" {
-		return s.sendService(ctx, ctx, &sendGate{}, c, wanted)
+// runService runs a call. A call with an idempotency key runs at most once
+// across all VMs.
+func (s *Server) runService(ctx context.Context, c clientCall, req serviceRequest) (service.Answer, error) {
+	if req.idempotencyKey == "" {
+		return s.sendWithRetries(ctx, ctx, &sendGate{}, c, req)
 	}
-	claim, err := s.takeClaim(ctx, c, wanted)
+	claim, err := s.acquireClaim(ctx, c, req)
 	if err != nil {
 		return service.Answer{}, err
 	}
@@ -148,47 +155,48 @@
 		return *claim.Answer, nil
 	}
 	s.Events.Emit(event.ClaimStored, event.Subject{Request: c.requestID, Account: string(c.contract.Account)})
-	return s.runClaimed(ctx, c, claim, wanted)
+	return s.runClaimed(ctx, c, claim, req)
 }
 
-// takeClaim claims the call's idempotency key. Whatever it fails with, this
-// request has not run; but an earlier one with the same key may have.
-func (s *Server) takeClaim(ctx context.Context, c caller, wanted wantedCall) (request.Claim, error) {
+// acquireClaim claims the idempotency key of the call. If it fails, this
+// request has not run, but an earlier request with the same key may have.
+func (s *Server) acquireClaim(ctx context.Context, c clientCall, req serviceRequest) (request.Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	claim, err := s.Claims.Take(ctx, c.contract.Account, wanted.idempotencyKey, request.Fingerprint(wanted.service, wanted.call))
+	claim, err := s.Claims.Take(ctx, c.contract.Account, req.idempotencyKey, request.Fingerprint(req.service, req.call))
 	if fault.Is[*fault.ClaimUnknown](err) || fault.Is[*fault.ClaimInProgress](err) {
 		return request.Claim{}, fault.WithExecution(err, fault.Unknown)
 	}
 	return claim, fault.WithExecution(err, fault.NotRun)
 }
 
-// runClaimed runs a claimed call. It goes on when its caller leaves: a deposit
-// that is cut off in the middle has an unknown outcome for ever, while one that
-// ends can be answered when the caller asks again.
-func (s *Server) runClaimed(ctx context.Context, c caller, claim request.Claim, wanted wantedCall) (service.Answer, error) {
-	sending, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.bounded(wanted.timeout))
-	ended := make(chan served, 1)
+// runClaimed runs a claimed call. The call continues after its caller
+// disconnects: the outcome of a deposit that is interrupted would stay unknown
+// forever, whereas the answer of a completed one is returned when the caller
+// repeats the request.
+func (s *Server) runClaimed(ctx context.Context, c clientCall, claim request.Claim, req serviceRequest) (service.Answer, error) {
+	sendCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.capTimeout(req.timeout))
+	done := make(chan serviceResult, 1)
 	gate := &sendGate{}
 	s.detached.Go(func() {
 		defer cancel()
-		answer, err := s.sendService(ctx, sending, gate, c, wanted)
-		s.settleClaim(sending, claim, answer, err)
-		ended <- served{answer: answer, err: err}
+		answer, err := s.sendWithRetries(ctx, sendCtx, gate, c, req)
+		s.finalizeClaim(sendCtx, claim, answer, err)
+		done <- serviceResult{answer: answer, err: err}
 	})
 	select {
-	case end := <-ended:
-		return end.answer, end.err
+	case result := <-done:
+		return result.answer, result.err
 	case <-ctx.Done():
 	}
-	if gate.giveUp() {
-		return service.Answer{}, fault.WithExecution(endedFailure(ctx), fault.NotRun)
+	if gate.cancelSend() {
+		return service.Answer{}, fault.WithExecution(contextFailure(ctx), fault.NotRun)
 	}
-	return service.Answer{}, fault.WithExecution(endedFailure(ctx), fault.Unknown)
+	return service.Answer{}, fault.WithExecution(contextFailure(ctx), fault.Unknown)
 }
 
-// sendGate settles the race between a call that is about to be sent and its
-// handler, which is about to say that it was not.
+// sendGate resolves the race between the goroutine that is about to send a call
+// and the handler that is about to report that the call was not sent.
 type sendGate struct {
 	state atomic.Int32
 }
@@ -197,30 +205,34 @@
 const (
 	gateOpen int32 = iota
 	gateSent
-	gateGivenUp
+	gateCancelled
 )
 
-// send reports whether the call may be sent.
-func (g *sendGate) send() bool {
+// allowSend reports whether the call may be sent. After it returned true,
+// cancelSend returns false.
+func (g *sendGate) allowSend() bool {
 	return g.state.CompareAndSwap(gateOpen, gateSent) || g.state.Load() == gateSent
 }
 
-// giveUp reports whether the call has not been sent, and then never will be.
-func (g *sendGate) giveUp() bool { return g.state.CompareAndSwap(gateOpen, gateGivenUp) }
+// cancelSend prevents the call from being sent. It reports false if the call
+// may already have been sent.
+func (g *sendGate) cancelSend() bool { return g.state.CompareAndSwap(gateOpen, gateCancelled) }
 
-// served is how a call ended.
-type served struct {
+// serviceResult is the answer or the failure of a call.
+type serviceResult struct {
 	answer service.Answer
 	err    error
 }
 
-// settleTimeout bounds the writes that settle a claim.
-const settleTimeout = 5 * time.Second
+// finalizeTimeout is the timeout of the writes that finish or withdraw a claim.
+const finalizeTimeout = 5 * time.Second
 
-// settleClaim stores the outcome, or gives the claim back if nothing ran. When
-// neither can be stored, a repeat is told "unknown", which stays true.
-func (s *Server) settleClaim(ctx context.Context, claim request.Claim, answer service.Answer, err error) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), settleTimeout)
+// finalizeClaim stores the answer of a claimed call, withdraws the claim if
+// nothing ran, or abandons it if the outcome is unknown. If the store fails,
+// repeats of the request are answered that the outcome is unknown, which
+// remains correct.
+func (s *Server) finalizeClaim(ctx context.Context, claim request.Claim, answer service.Answer, err error) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalizeTimeout)
 	defer cancel()
 	switch {
 	case err == nil:
@@ -232,54 +244,56 @@
 	}
 }
 
-// endedFailure turns the end of a call's context into a failure.
-func endedFailure(ctx context.Context) error {
+// contextFailure returns the failure for a context that has ended.
+func contextFailure(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return errors.WithStack(&fault.DeadlineExceeded{Wait: defaultRetryAfter})
 	}
 	return errors.WithStack(&fault.CallerGone{})
 }
 
-// sendService sends a call until it is answered or given up. A call that may
-// not be repeated is sent on only while no byte of it has gone out. It waits
-// for a place within waiting and for the answer within sending.
-func (s *Server) sendService(waiting, sending context.Context, gate *sendGate, c caller, wanted wantedCall) (service.Answer, error) {
+// sendWithRetries sends a call until it is answered or can't be retried. A call
+// that is not repeatable is retried only while no earlier attempt can have run.
+// queueCtx bounds the wait for a slot and the backoff, sendCtx the wait for the
+// answer.
+func (s *Server) sendWithRetries(queueCtx, sendCtx context.Context, gate *sendGate, c clientCall, req serviceRequest) (service.Answer, error) {
 	execution := fault.NotRun
-	delays := retry.NewDelays()
+	backoff := retry.NewDelays()
 	var exclude []string
 	for attempt := 1; ; attempt++ {
-		answer, upstreamID, err := s.attemptService(waiting, sending, gate, c, wanted, exclude, attempt)
+		answer, upstreamID, err := s.attemptService(queueCtx, sendCtx, gate, c, req, exclude, attempt)
 		if err == nil {
-			s.Retries.Success(wanted.service)
+			s.Retries.Success(req.service)
 			return answer, nil
 		}
 		execution = execution.Or(fault.ExecutionOf(err))
-		if waiting.Err() != nil {
-			return service.Answer{}, fault.WithExecution(endedFailure(waiting), execution)
+		if queueCtx.Err() != nil {
+			return service.Answer{}, fault.WithExecution(contextFailure(queueCtx), execution)
 		}
-		if sending.Err() != nil {
-			return service.Answer{}, fault.WithExecution(endedFailure(sending), execution)
+		if sendCtx.Err() != nil {
+			return service.Answer{}, fault.WithExecution(contextFailure(sendCtx), execution)
 		}
-		mayRepeat := wanted.repeatable() || execution == fault.NotRun
+		mayRetry := req.repeatable() || execution == fault.NotRun
 		switch {
 		case upstreamID == "" && len(exclude) > 0 && fault.Is[*fault.NoUpstream](err):
-			// Only upstreams that failed this call are left; one of them may be
-			// well again.
+			// Only upstreams at which this call failed are left. One of them
+			// may be available again.
 			exclude = nil
-		case upstreamID == "" || !mayRepeat || attempt >= maxServiceAttempts || !s.Retries.Take(wanted.service):
+		case upstreamID == "" || !mayRetry || attempt >= maxServiceAttempts || !s.Retries.Take(req.service):
 			return service.Answer{}, fault.WithExecution(err, execution)
 		default:
 			exclude = append(exclude, upstreamID)
 		}
-		if !delays.Wait(waiting) {
-			return service.Answer{}, fault.WithExecution(endedFailure(waiting), execution)
+		if !backoff.Wait(queueCtx) {
+			return service.Answer{}, fault.WithExecution(contextFailure(queueCtx), execution)
 		}
 	}
 }
 
-// attemptService sends a call once. Without an upstream nothing was sent.
-func (s *Server) attemptService(waiting, sending context.Context, gate *sendGate, c caller, wanted wantedCall, exclude []string, attempt int) (service.Answer, string, error) {
-	grant, report, err := s.acquireService(waiting, gate, c, wanted, exclude, attempt)
+// attemptService makes one attempt. It returns the ID of the upstream, or "" if
+// no slot was acquired and so nothing was sent.
+func (s *Server) attemptService(queueCtx, sendCtx context.Context, gate *sendGate, c clientCall, req serviceRequest, exclude []string, attempt int) (service.Answer, string, error) {
+	grant, report, err := s.acquireSlot(queueCtx, gate, c, req, exclude, attempt)
 	if err != nil {
 		return service.Answer{}, "", fault.WithExecution(err, fault.NotRun)
 	}
@@ -290,18 +304,19 @@
 		Attempt:  attempt,
 	}
 	s.Events.Emit(event.RequestDispatched, subject)
-	settled := false
-	// A panic must not keep the place: the service would look full for ever.
+	released := false
+	// Release the slot also after a panic: the service would otherwise appear
+	// full forever.
 	defer func() {
-		if !settled {
+		if !released {
 			report(retry.Abandoned)
 			grant.Done(dispatch.Result{})
 		}
 	}()
-	answer, _, err := s.Services.Do(sending, grant.Upstream.Address, wanted.call)
-	settled = true
-	failed := err != nil && sending.Err() == nil
-	report(serviceOutcome(err, failed))
+	answer, _, err := s.Services.Do(sendCtx, grant.Upstream.Address, req.call)
+	released = true
+	failed := err != nil && sendCtx.Err() == nil
+	report(attemptOutcome(err, failed))
 	grant.Done(dispatch.Result{Cost: 1, Failed: failed})
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
@@ -313,7 +328,9 @@
 	return answer, grant.Upstream.ID, nil
 }
 
-func serviceOutcome(err error, failed bool) retry.Outcome {
+// attemptOutcome returns the outcome to report to the retry policy. An attempt
+// that ended with its context counts as abandoned, not as failed.
+func attemptOutcome(err error, failed bool) retry.Outcome {
 	switch {
 	case err == nil:
 		return retry.Succeeded
@@ -324,16 +341,18 @@
 	}
 }
 
-// acquireService gets a place on an upstream whose circuit lets a call through.
-func (s *Server) acquireService(ctx context.Context, gate *sendGate, c caller, wanted wantedCall, exclude []string, attempt int) (dispatch.Grant, func(retry.Outcome), error) {
+// acquireSlot acquires a slot at an upstream whose circuit breaker allows a
+// call. It skips the upstreams in exclude. The caller must call the returned
+// function with the outcome of the attempt.
+func (s *Server) acquireSlot(ctx context.Context, gate *sendGate, c clientCall, req serviceRequest, exclude []string, attempt int) (dispatch.Grant, func(retry.Outcome), error) {
 	for {
 		grant, err := s.Dispatcher.Acquire(ctx, dispatch.Work{
 			Request:    c.requestID,
 			Account:    c.contract.Account,
 			Contract:   c.contract,
-			Pool:       dispatch.Pool{Kind: platform.KindService, Service: wanted.service},
+			Pool:       dispatch.Pool{Kind: platform.KindService, Service: req.service},
 			Cost:       1,
-			Repeatable: wanted.repeatable(),
+			Repeatable: req.repeatable(),
 			Exclude:    slices.Concat(exclude, s.Retries.Open()),
 			Retry:      attempt > 1,
 		})
@@ -341,12 +360,12 @@
 			return dispatch.Grant{}, nil, err
 		}
 		report, allowed := s.Retries.Allow(grant.Upstream.ID)
-		// The key may have been withdrawn, or the caller have left, while the
-		// call waited for its place.
-		if allowed && (ctx.Err() != nil || !gate.send()) {
+		// The key may have been withdrawn, or the caller may have disconnected,
+		// while the call was queued.
+		if allowed && (ctx.Err() != nil || !gate.allowSend()) {
 			report(retry.Abandoned)
 			grant.Done(dispatch.Result{})
-			return dispatch.Grant{}, nil, endedFailure(ctx)
+			return dispatch.Grant{}, nil, contextFailure(ctx)
 		}
 		if allowed {
 			return grant, report, nil
--- a/internal/entry/sessions.go
+++ b/internal/entry/sessions.go
@@ -12,17 +12,17 @@
 	"dogwoodpond/internal/fault"
 )
 
-// shards spread the sessions, so that requests of different keys seldom wait
-// for the same lock.
+// shards is the number of shards of the sessions. Requests with different keys
+// then rarely contend for the same lock.
 const shards = 64
 
-// sessions knows the running requests of each key, so that a withdrawal can
-// cancel them.
+// sessions holds the running requests of each key, so that they can be
+// cancelled when the key is withdrawn.
 type sessions struct {
 	shards [shards]sessionShard
 }
 
-// sessionShard holds the sessions of some of the keys.
+// sessionShard holds the sessions of the keys that hash to it.
 type sessionShard struct {
 	mu      sync.Mutex
 	running map[string]map[*session]struct{}
@@ -45,39 +45,39 @@
 	return &s.shards[xxhash.Sum64String(keyID)%shards]
 }
 
-// begin returns a context that a withdrawal of the key cancels. end must be
-// called when the request has ended.
+// begin starts a session and returns its context, which is cancelled when the
+// key is withdrawn. The caller must call end when the request has ended.
 func (s *sessions) begin(parent context.Context, keyID string) (ctx context.Context, end func()) {
 	ctx, cancel := context.WithCancelCause(parent)
-	one := &session{cancel: cancel}
+	sess := &session{cancel: cancel}
 	shard := s.shard(keyID)
-	shard.add(keyID, one)
+	shard.add(keyID, sess)
 	return ctx, func() {
-		shard.remove(keyID, one)
+		shard.remove(keyID, sess)
 		cancel(nil)
 	}
 }
 
-func (s *sessionShard) add(keyID string, one *session) {
+func (s *sessionShard) add(keyID string, sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[keyID] == nil {
 		s.running[keyID] = make(map[*session]struct{})
 	}
-	s.running[keyID][one] = struct{}{}
+	s.running[keyID][sess] = struct{}{}
 }
 
-func (s *sessionShard) remove(keyID string, one *session) {
+func (s *sessionShard) remove(keyID string, sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.running[keyID], one)
+	delete(s.running[keyID], sess)
 	if len(s.running[keyID]) == 0 {
 		delete(s.running, keyID)
 	}
 }
 
-// cancelWithdrawn cancels the sessions of withdrawn keys and returns how many
-// each of them had.
+// cancelWithdrawn cancels the sessions of withdrawn keys and returns the number
+// of cancelled sessions by key ID.
 func (s *sessionShard) cancelWithdrawn(snapshot *contract.Snapshot) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,15 +86,16 @@
 		if !snapshot.Keys[keyID].Withdrawn {
 			continue
 		}
-		for one := range running {
-			one.cancel(errors.WithStack(&fault.KeyWithdrawn{KeyID: keyID}))
+		for sess := range running {
+			sess.cancel(errors.WithStack(&fault.KeyWithdrawn{KeyID: keyID}))
 		}
 		cancelled[keyID] = len(running)
 	}
 	return cancelled
 }
 
-// Revoke cancels the running requests of every key that the snapshot withdraws.
+// Revoke cancels the running requests of all keys that are withdrawn in the
+// snapshot.
 func (s *Server) Revoke(snapshot *contract.Snapshot) {
 	for i := range s.sessions.shards {
 		for keyID, count := range s.sessions.shards[i].cancelWithdrawn(snapshot) {
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -19,15 +19,16 @@
 
 const (
 	mimeNDJSON = "application/x-ndjson"
-	// maxWait bounds how long a pull waits for the first sample.
-	maxWait = 60 * time.Second
-	// sendTime bounds how long after their judgement samples are sent.
-	sendTime = 5 * time.Second
+	// maxPullWait is the longest time a pull waits for its first sample.
+	maxPullWait = 60 * time.Second
+	// sendTimeout is the longest time from the validation of samples to the
+	// start of the write of the last one.
+	sendTimeout = 5 * time.Second
 )
 
-// AckBody is the body of an ack.
+// AckBody is the body of an ack call.
 type AckBody struct {
-	// Through is the number of the last sample that the trainer has.
+	// Through is the number of the last sample that the trainer has received.
 	Through int64 `json:"through"`
 }
 
@@ -39,7 +40,8 @@
 	ws.Route(ws.POST("/steps/{step}/ack").To(s.authenticated(s.ackSamples)))
 }
 
-func (s *Server) openStep(ctx context.Context, c caller, r *restful.Request, w *restful.Response) error {
+// openStep serves PUT /steps/{step}.
+func (s *Server) openStep(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error {
 	var definition sample.Definition
 	if err := decodeStrict(c.body, &definition); err != nil {
 		return err
@@ -58,15 +60,17 @@
 	return nil
 }
 
+// checkDefinition validates the definition of a step.
 func checkDefinition(d sample.Definition) error {
-	var broken validator.ValidationErrors
-	if err := validate.Struct(d); errors.As(err, &broken) {
-		return badField(broken[0].Namespace(), "must satisfy "+broken[0].Tag()+" "+broken[0].Param())
+	var invalid validator.ValidationErrors
+	if err := validate.Struct(d); errors.As(err, &invalid) {
+		return badField(invalid[0].Namespace(), "must satisfy "+invalid[0].Tag()+" "+invalid[0].Param())
 	}
 	return d.Check()
 }
 
-func (s *Server) pullSamples(ctx context.Context, c caller, r *restful.Request, w *restful.Response) error {
+// pullSamples serves GET /steps/{step}/samples.
+func (s *Server) pullSamples(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error {
 	after, err := queryNumber(r, "after")
 	if err != nil {
 		return err
@@ -79,11 +83,11 @@
 	if err != nil {
 		return err
 	}
-	pull := sample.Pull{After: after, Number: number, Wait: min(time.Duration(seconds)*time.Second, maxWait)}
+	pull := sample.Pull{After: after, Number: number, Wait: min(time.Duration(seconds)*time.Second, maxPullWait)}
 	step := r.PathParameter("step")
 	samples, err := s.Steps.Samples(ctx, c.contract.Account, step, pull)
 	if err != nil {
-		// A pull reads only the store.
+		// A pull only reads the store; it runs nothing.
 		return fault.WithExecution(err, fault.NotRun)
 	}
 	w.Header().Set("Content-Type", mimeNDJSON)
@@ -92,28 +96,29 @@
 		Request: c.requestID,
 		Account: string(c.contract.Account),
 		Step:    step,
-		Count:   whole(sent),
+		Count:   countNotWithdrawn(sent),
 	})
 	return nil
 }
 
-// sendSamples writes samples that were judged just now, and returns those that
-// it wrote. A trainer that reads slowly, or a VM that is paused in between,
-// would let the later ones go stale on their way. They are left out after
-// sendTime: the trainer's next pull asks for them, and judges them anew.
+// sendSamples writes samples whose staleness was just validated, and returns
+// those that it wrote. If the trainer reads slowly or the VM is paused, the
+// remaining samples could become stale before they are sent. They are left out
+// after sendTimeout; the next pull requests them, and they are validated again.
 func sendSamples(w io.Writer, samples []sample.Sample) []sample.Sample {
-	judged := time.Now()
+	checkedAt := time.Now()
 	encoder := json.NewEncoder(w)
-	for i, kept := range samples {
-		if time.Since(judged) > sendTime || encoder.Encode(kept) != nil {
+	for i, s := range samples {
+		if time.Since(checkedAt) > sendTimeout || encoder.Encode(s) != nil {
 			return samples[:i]
 		}
 	}
 	return samples
 }
 
-// whole counts the samples that are no tombstones.
-func whole(samples []sample.Sample) int64 {
+// countNotWithdrawn returns the number of samples that are not tombstones of
+// withdrawn samples.
+func countNotWithdrawn(samples []sample.Sample) int64 {
 	count := int64(0)
 	for _, s := range samples {
 		if !s.Withdrawn {
@@ -123,7 +128,7 @@
 	return count
 }
 
-// queryNumber reads a non-negative number; an absent one is 0.
+// queryNumber parses a non-negative query parameter. A missing parameter is 0.
 func queryNumber(r *restful.Request, name string) (int64, error) {
 	text := r.QueryParameter(name)
 	if text == "" {
@@ -136,13 +141,14 @@
 	return n, nil
 }
 
-func (s *Server) ackSamples(ctx context.Context, c caller, r *restful.Request, w *restful.Response) error {
+// ackSamples serves POST /steps/{step}/ack.
+func (s *Server) ackSamples(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error {
 	var ack AckBody
 	if err := decodeStrict(c.body, &ack); err != nil {
 		return err
 	}
 	if err := s.Steps.Ack(ctx, c.contract.Account, r.PathParameter("step"), ack.Through); err != nil {
-		// An ack writes only the store.
+		// An ack only writes to the store; it runs nothing.
 		return fault.WithExecution(err, fault.NotRun)
 	}
 	writeJSON(w, http.StatusOK, ack)
--- a/internal/entry/stream.go
+++ b/internal/entry/stream.go
@@ -11,33 +11,35 @@
 	"dogwoodpond/internal/fault"
 )
 
-// The types of a stream's events.
+// Event types of a stream.
 const (
 	eventChunk  = "chunk"
 	eventAnswer = "answer"
 	eventError  = "error"
 )
 
-// eventWriter writes server-sent events to one caller.
+// eventWriter writes server-sent events to a caller.
 type eventWriter struct {
 	w          http.ResponseWriter
 	connection *http.ResponseController
-	// started is true once the header is written.
+	// started is true once the header has been written.
 	started bool
-	// close ends the watch of the request's context.
+	// close stops watching the context of the request.
 	close func() bool
 }
 
-// newEventWriter returns a writer whose pending write ends soon after ctx.
+// newEventWriter returns an eventWriter. When ctx ends, its pending and later
+// writes must finish within lastWriteTimeout.
 func newEventWriter(ctx context.Context, w http.ResponseWriter) *eventWriter {
 	e := &eventWriter{w: w, connection: http.NewResponseController(w), close: func() bool { return true }}
-	if caller, ok := w.(*callerWriter); ok {
-		e.close = context.AfterFunc(ctx, caller.part)
+	if cw, ok := w.(*callerWriter); ok {
+		e.close = context.AfterFunc(ctx, cw.cancelWrites)
 	}
 	return e
 }
 
-// send writes one event and pushes it out. It fails with *fault.CallerGone.
+// send writes and flushes one event. It fails with *fault.CallerGone if the
+// caller can't be written to.
 func (e *eventWriter) send(kind string, value any) error {
 	text, err := json.Marshal(value)
 	if err != nil {
@@ -55,6 +57,7 @@
 	return nil
 }
 
+// start writes the header before the first event.
 func (e *eventWriter) start() {
 	if e.started {
 		return
--- a/internal/entry/writer.go
+++ b/internal/entry/writer.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// defaultWriteTimeout bounds one write to a caller that reads slowly.
-	// Without it such a caller holds its place on an engine for its whole
-	// deadline, and a planned stop waits for it.
+	// defaultWriteTimeout is the timeout of one write to a caller. Without it,
+	// a caller that reads slowly would hold its slot at an engine until its
+	// deadline, and a planned stop would wait for it.
 	defaultWriteTimeout = 30 * time.Second
-	// partingTimeout bounds the last event to a caller whose request was
-	// cancelled, for example because its key was withdrawn.
-	partingTimeout = time.Second
+	// lastWriteTimeout is the time left for pending writes and the last event
+	// after a request was cancelled, for example because its key was withdrawn.
+	lastWriteTimeout = time.Second
 )
 
-// callerWriter writes one answer to a caller, with a deadline for each write.
+// callerWriter writes the answer to a caller, with a timeout for each write.
 type callerWriter struct {
 	http.ResponseWriter
 	connection *http.ResponseController
 	timeout    time.Duration
-	// began is true once a part of the answer was written.
-	began bool
+	// started is true once a part of the answer has been written.
+	started bool
 
 	mu sync.Mutex
-	// parting is true once the caller only gets its last event.
-	parting bool
+	// cancelled is true once cancelWrites was called. Writes no longer extend
+	// the deadline.
+	cancelled bool
 }
 
 func newCallerWriter(w http.ResponseWriter, timeout time.Duration) *callerWriter {
@@ -35,39 +36,41 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (w *callerWriter) WriteHeader(status int) {
-	w.began = true
+	w.started = true
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *callerWriter) Write(p []byte) (int, error) {
-	w.began = true
-	w.extend()
+	w.started = true
+	w.extendDeadline()
 	return w.ResponseWriter.Write(p)
 }
 
-// extend gives the next write its time. net/http takes the deadline off the
-// connection after the answer.
-func (w *callerWriter) extend() {
+// extendDeadline sets the deadline of the next write. net/http removes the
+// deadline from the connection after the answer.
+func (w *callerWriter) extendDeadline() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.parting {
+	if !w.cancelled {
 		w.setDeadline(w.timeout)
 	}
 }
 
-// part ends a pending write soon, and gives what is still written no more time.
-// A write that waits for a slow caller does not look at its request's context; a
-// withdrawn key would stay connected until the caller reads.
-func (w *callerWriter) part() {
+// cancelWrites sets a final deadline, lastWriteTimeout from now, for pending
+// and later writes. A write that is blocked by a slow caller does not observe
+// the context of its request; without the deadline, a caller with a withdrawn
+// key would stay connected until it reads.
+func (w *callerWriter) cancelWrites() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.parting = true
-	w.setDeadline(partingTimeout)
+	w.cancelled = true
+	w.setDeadline(lastWriteTimeout)
 }
 
-// setDeadline bounds pending writes. A writer without deadlines, as in tests,
-// has no slow caller either.
+// setDeadline sets the write deadline of the connection to now plus after. It
+// ignores writers that do not support deadlines, as in tests, which have no
+// slow callers.
 func (w *callerWriter) setDeadline(after time.Duration) {
 	_ = w.connection.SetWriteDeadline(time.Now().Add(after))
 }
@@ -75,5 +78,6 @@
 // Flush implements http.Flusher.
 func (w *callerWriter) Flush() { _ = w.connection.Flush() }
 
-// Unwrap lets http.ResponseController find the connection.
+// Unwrap implements the interface by which http.ResponseController finds the
+// connection.
 func (w *callerWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
