--- a/internal/entry/account_test.go
+++ b/internal/entry/account_test.go
@@ -10,9 +10,9 @@
 )
 
 // Two client accounts send identical requests with the same idempotency key,
-// and name the other account in places that must be ignored. If a VM confused
-// them, one account would pay for the other's engines or receive the answer to
-// the other's deposit.
+// and name an account in the query and in a header, where it must be ignored.
+// If a VM confused the accounts, one would pay for the other's engines or
+// receive the answer to the other's deposit.
 func TestRequestRunsOnlyForTheAccountOfItsKey(t *testing.T) {
 	r := newHarness(t, harnessOptions{})
 	r.engine("e1", scripted(func(s *script) { s.complete() }))
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -57,9 +57,10 @@
 	}
 }
 
-// closeUnread closes the connection after the refusal of a request whose body
-// was not read. To reuse the connection, the HTTP server would first wait for
-// the rest of the body, and a slow caller would receive the refusal late.
+// closeUnread makes the HTTP server close the connection after the refusal of a
+// request whose body was not read. To reuse the connection, the server would
+// first wait for the rest of the body, and a slow caller would receive the
+// refusal late.
 func closeUnread(r *restful.Request, w *restful.Response) {
 	if r.Request.ContentLength != 0 {
 		w.Header().Set("Connection", "close")
@@ -94,8 +95,9 @@
 	snapshot  *contract.Snapshot
 }
 
-// checkHeader authenticates a request by its header alone and returns its
-// client account's contract.
+// checkHeader authenticates a request by its header alone. It fails while the
+// VM refuses new requests, and if the configuration is older than the contract
+// of the client account allows.
 func (s *Server) checkHeader(id string, r *restful.Request) (checkedHeader, error) {
 	if s.refusing.Load() {
 		return checkedHeader{}, errors.WithStack(&fault.Draining{Wait: drainRetryAfter})
@@ -173,7 +175,7 @@
 	_ = connection.SetReadDeadline(time.Now().Add(timeout))
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, errors.WithStack(&fault.BadRequest{Field: "body", Problem: "can't be read"})
+		return nil, errors.WithStack(&fault.BadRequest{Field: "body", Problem: "could not be read completely"})
 	}
 	if int64(len(body)) > limit {
 		return nil, errors.WithStack(&fault.BodyTooLarge{Limit: limit})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,7 +37,7 @@
 	Ack(ctx context.Context, account contract.Account, step string, through int64) error
 }
 
-// Ager returns the time since the configuration was last known to be current.
+// Ager reports how long ago the configuration was last known to be current.
 type Ager interface {
 	Age() time.Duration
 }
--- a/internal/entry/exposure.go
+++ b/internal/entry/exposure.go
@@ -13,10 +13,10 @@
 	"dogwoodpond/internal/fault"
 )
 
-// maxUnescapeRounds is how many layers of escapes are decoded: a path or a JSON
-// string may contain text that is itself escaped, as in a prompt that quotes
-// JSON. Each round reads the text once, so the limit also bounds the cost of a
-// malicious body.
+// maxUnescapeRounds is the maximum number of layers of escapes that are
+// decoded: a path or a JSON string may contain text that is itself escaped, as
+// in a prompt that quotes JSON. Each round reads the text once, so the limit
+// also bounds the cost of a malicious body.
 const maxUnescapeRounds = 16
 
 // checkExposure refuses a request that contains a key outside its Authorization
@@ -138,8 +138,8 @@
 	unicodeLength = len(`\uxxxx`)
 )
 
-// appendUnescaped appends the character that the escape at the start of text
-// represents, and returns the length of the escape, or 0 if text does not start
+// appendUnescaped appends the decoded form of the escape at the start of text
+// to out, and returns the length of the escape, or 0 if text does not start
 // with an escape.
 func appendUnescaped(out, text []byte) (grown []byte, length int) {
 	var raw [2]byte
--- a/internal/entry/faulty_answers_test.go
+++ b/internal/entry/faulty_answers_test.go
@@ -32,12 +32,12 @@
 	{"reset after a token", 1, func(s *script) { s.chunk(0, "a"); s.disconnect() }},
 	{"closed without the terminal event", 2, func(s *script) { s.chunk(0, "a", "b") }},
 	{"terminal event before the last chunk", 2, func(s *script) { s.chunk(0, "a", "b"); s.raw(engine.DoneEvent) }},
-	{"doubled chunk", 2, func(s *script) { s.chunk(0, "a", "b"); s.chunk(0, "a", "b"); s.last(2, "c", "d") }},
+	{"repeated chunk", 2, func(s *script) { s.chunk(0, "a", "b"); s.chunk(0, "a", "b"); s.last(2, "c", "d") }},
 	{"gap", 1, func(s *script) { s.chunk(0, "a"); s.last(2, "c", "d") }},
 	{"chunk of another request", 1, func(s *script) { s.chunk(0, "a"); s.send("other", 1, "", "z"); s.last(1, "b", "c", "d") }},
 	{"chunk is not JSON", 1, func(s *script) { s.chunk(0, "a"); s.raw(`{"id":`) }},
 	{"event of two megabytes", 1, func(s *script) { s.chunk(0, "a"); s.raw(strings.Repeat("x", 2<<20)) }},
-	{"more tokens than asked for", 1, func(s *script) { s.chunk(0, "a"); s.chunk(1, strings.Split(strings.Repeat("z", 40), "")...) }},
+	{"more tokens than requested", 1, func(s *script) { s.chunk(0, "a"); s.chunk(1, strings.Split(strings.Repeat("z", 40), "")...) }},
 	{"no choice", 1, func(s *script) { s.chunk(0, "a"); s.raw(fmt.Sprintf(`{"id":%q,"model":"berry-1","choices":[]}`, s.id)) }},
 	{"another model's chunk", 1, func(s *script) {
 		s.chunk(0, "a")
@@ -325,7 +325,7 @@
 		w.Header().Set("X-Request-Id", "another")
 		_, _ = io.WriteString(w, "somebody else's booking")
 	},
-	"larger than any answer": func(w http.ResponseWriter, _ *http.Request) {
+	"larger than the maximum": func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 17<<20))
 	},
 }
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	defaultTimeout    = 10 * time.Minute
-	maxTimeoutSeconds = 86400
-	maxTokensLimit    = 131072
+	defaultGenerateTimeout = 10 * time.Minute
+	maxTimeoutSeconds      = 86400
+	maxTokensLimit         = 131072
 )
 
 // GenerateBody is the body of a generate call.
@@ -73,7 +73,7 @@
 // timeout returns the timeout that the caller requests.
 func (b GenerateBody) timeout() time.Duration {
 	if b.TimeoutSeconds == 0 {
-		return defaultTimeout
+		return defaultGenerateTimeout
 	}
 	return time.Duration(b.TimeoutSeconds) * time.Second
 }
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -70,9 +70,13 @@
 
 // harnessOptions change the dependencies of a harness.
 type harnessOptions struct {
+	// timeouts are the stream timeouts of the engine client; zero means its
+	// defaults.
 	timeouts engine.Patience
-	runner   generate.Runner
-	quiet    bool
+	// runner replaces the local runner of generate calls.
+	runner generate.Runner
+	// quiet discards the log.
+	quiet bool
 	// writeTimeout is the timeout of one write to a caller.
 	writeTimeout time.Duration
 	// bodyTimeout is the timeout of reading a request body.
@@ -259,27 +263,27 @@
 	granted   int
 }
 
-func (p *dispatcher) add(u platform.Upstream) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.upstreams = append(p.upstreams, u)
+func (d *dispatcher) add(u platform.Upstream) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.upstreams = append(d.upstreams, u)
 }
 
 // Acquire implements dispatch.Dispatcher.
-func (p *dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
-	if p.hook != nil {
-		if err := p.hook(ctx, work); err != nil {
+func (d *dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
+	if d.hook != nil {
+		if err := d.hook(ctx, work); err != nil {
 			return dispatch.Grant{}, err
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for range p.upstreams {
-		u := p.upstreams[p.next%len(p.upstreams)]
-		p.next++
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for range d.upstreams {
+		u := d.upstreams[d.next%len(d.upstreams)]
+		d.next++
 		served := u.Kind == work.Pool.Kind && (u.Service == work.Pool.Service) && (u.Model == work.Pool.Model)
 		if served && !slices.Contains(work.Exclude, u.ID) {
-			p.granted++
+			d.granted++
 			return dispatch.Grant{Upstream: u, Done: func(dispatch.Result) {}}, nil
 		}
 	}
@@ -360,30 +364,30 @@
 	down atomic.Bool
 }
 
-func (u *faultyTables) err() error {
-	if u.down.Load() {
+func (f *faultyTables) err() error {
+	if f.down.Load() {
 		return errors.WithStack(&fault.StoreUnavailable{Operation: "test"})
 	}
 	return nil
 }
 
 // Get implements platform.Tables.
-func (u *faultyTables) Get(ctx context.Context, key string) (platform.Row, error) {
-	if err := u.err(); err != nil {
+func (f *faultyTables) Get(ctx context.Context, key string) (platform.Row, error) {
+	if err := f.err(); err != nil {
 		return platform.Row{}, err
 	}
-	return u.Tables.Get(ctx, key)
+	return f.Tables.Get(ctx, key)
 }
 
 // Commit implements platform.Tables.
-func (u *faultyTables) Commit(ctx context.Context, txn platform.Txn) error {
-	if err := u.err(); err != nil {
+func (f *faultyTables) Commit(ctx context.Context, txn platform.Txn) error {
+	if err := f.err(); err != nil {
 		return err
 	}
-	return u.Tables.Commit(ctx, txn)
+	return f.Tables.Commit(ctx, txn)
 }
 
-// syncBuffer is a log buffer that is safe for concurrent use.
+// logBuffer is a log buffer that is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/entry/invalid_request_test.go
+++ b/internal/entry/invalid_request_test.go
@@ -32,9 +32,9 @@
 	{"number out of range", http.MethodPost, "/v1/generate", `{"model":"m","prompt":"p","maxTokens":1e99}`, 400, fault.CodeBadRequest},
 	{"too many tokens", http.MethodPost, "/v1/generate", `{"model":"m","prompt":"p","maxTokens":131073}`, 400, fault.CodeBadRequest},
 	{"negative timeout", http.MethodPost, "/v1/generate", `{"model":"m","prompt":"p","maxTokens":1,"timeoutSeconds":-1}`, 400, fault.CodeBadRequest},
-	{"timeout beyond any clock", http.MethodPost, "/v1/generate", `{"model":"m","prompt":"p","maxTokens":1,"timeoutSeconds":9223372036854775807}`, 400, fault.CodeBadRequest},
+	{"timeout out of range", http.MethodPost, "/v1/generate", `{"model":"m","prompt":"p","maxTokens":1,"timeoutSeconds":9223372036854775807}`, 400, fault.CodeBadRequest},
 	{"deep nesting", http.MethodPost, "/v1/generate", strings.Repeat("[", 4000), 400, fault.CodeBadRequest},
-	{"larger than allowed", http.MethodPost, "/v1/generate", strings.Repeat(" ", 4097), 413, fault.CodeBodyTooLarge},
+	{"body above the limit", http.MethodPost, "/v1/generate", strings.Repeat(" ", 4097), 413, fault.CodeBodyTooLarge},
 	{"unknown path", http.MethodPost, "/v1/nothing", "", 404, fault.CodeRouteUnknown},
 	{"root", http.MethodGet, "/", "", 404, fault.CodeRouteUnknown},
 	{"doubled slash before a service", http.MethodGet, "//v1/services/desk/x", "", 400, fault.CodeBadRequest},
@@ -44,8 +44,8 @@
 	{"step is not JSON", http.MethodPut, "/v1/steps/s1", `{`, 400, fault.CodeBadRequest},
 	{"step without groups", http.MethodPut, "/v1/steps/s1", `{"model":"m","maxTokens":8}`, 400, fault.CodeBadRequest},
 	{"ack is not JSON", http.MethodPost, "/v1/steps/s1/ack", `x`, 400, fault.CodeBadRequest},
-	{"number is none", http.MethodGet, "/v1/steps/s1/samples?after=x", "", 400, fault.CodeBadRequest},
-	{"query is broken", http.MethodGet, "/v1/services/desk/x?a=%zz", "", 400, fault.CodeBadRequest},
+	{"parameter is not a number", http.MethodGet, "/v1/steps/s1/samples?after=x", "", 400, fault.CodeBadRequest},
+	{"invalid escape in the query", http.MethodGet, "/v1/services/desk/x?a=%zz", "", 400, fault.CodeBadRequest},
 	{"query with semicolon", http.MethodGet, "/v1/services/desk/x?a=1;b=2", "", 400, fault.CodeBadRequest},
 }
 
@@ -117,9 +117,9 @@
 func TestPanicFailsOnlyItsRequest(t *testing.T) {
 	r := newHarness(t, harnessOptions{})
 	r.engine("e1", scripted(func(s *script) { s.complete() }))
-	var asked atomic.Int64
+	var dispatched atomic.Int64
 	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
-		if asked.Add(1) == 1 {
+		if dispatched.Add(1) == 1 {
 			panic("defect")
 		}
 		return nil
@@ -139,9 +139,9 @@
 func TestPanicInStreamClosesTheConnection(t *testing.T) {
 	r := newHarness(t, harnessOptions{})
 	r.engine("e1", scripted(func(s *script) { s.chunk(0, "a"); s.disconnect() }))
-	var asked atomic.Int64
+	var dispatched atomic.Int64
 	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
-		if asked.Add(1) > 1 {
+		if dispatched.Add(1) > 1 {
 			panic("defect")
 		}
 		return nil
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -33,8 +33,9 @@
 	return out.String()
 }
 
-// generateBody returns the body of a generate call with the prompt text.
-func generateBody(text string) string {
+// bodyWithPrompt returns the body of a generate call whose prompt is text.
+// Escapes in text are not changed.
+func bodyWithPrompt(text string) string {
 	return `{"model":"berry-1","prompt":"` + text + `","maxTokens":4}`
 }
 
@@ -64,19 +65,19 @@
 		return r.try(http.MethodPost, "/v1/services/desk/x", "a="+percentEscaped(testSecret))
 	},
 	"prompt": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", generateBody(testSecret))
+		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(testSecret))
 	},
 	"JSON escape": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", generateBody(jsonEscaped(testSecret)))
+		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(testSecret)))
 	},
 	"JSON escape in JSON": func(r *harness) (answer, error) {
 		quoted, _ := json.Marshal(`"` + jsonEscaped(testSecret) + `"`)
-		return r.try(http.MethodPost, "/v1/generate", generateBody(strings.Trim(string(quoted), `"`)))
+		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(strings.Trim(string(quoted), `"`)))
 	},
 	"JSON field name": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", `{"`+testSecret+`":1}`)
 	},
-	"seventeen layers": func(r *harness) (answer, error) {
+	"more layers of escapes than are decoded": func(r *harness) (answer, error) {
 		return r.try(http.MethodPost, "/v1/services/desk/x", "%"+strings.Repeat("25", 20)+"41")
 	},
 	"header": func(r *harness) (answer, error) {
@@ -95,10 +96,10 @@
 		})
 	},
 	"another caller's key": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", generateBody("use "+otherKey+" please"))
+		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt("use "+otherKey+" please"))
 	},
 	"another caller's key, escaped": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", generateBody(jsonEscaped(otherKey)))
+		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(otherKey)))
 	},
 }
 
@@ -132,7 +133,7 @@
 		`100 % sure`, `50%25 off`, `a \"quoted\" word`, `a line\nand another\t`, `dwp_k1_`, `dwp_k1_0123456789abcdef`,
 		`\\\\\\\\`, `\u20ac 5 and \ud83c\udf53`, withdrawnKey, `%zz %`, `\\u00`,
 	} {
-		if got := r.call(http.MethodPost, "/v1/generate", generateBody(text)); got.status != http.StatusOK {
+		if got := r.call(http.MethodPost, "/v1/generate", bodyWithPrompt(text)); got.status != http.StatusOK {
 			t.Errorf("%s: %d %s", text, got.status, got.body)
 		}
 	}
@@ -258,7 +259,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		next := unescape(text)
 		if next != nil && len(next) >= len(text) {
-			t.Errorf("unescaping %q gave the longer %q", text, next)
+			t.Errorf("unescaping %q gave %q, which is not shorter", text, next)
 		}
 		detector := keyDetector{secret: []byte(testSecret), snapshot: contract.Empty()}
 		escaped := append([]byte(percentEscaped(testSecret)), text...)
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -17,7 +17,8 @@
 
 const headerRequestID = "X-Request-Id"
 
-// Refusal is the body of every answer to a call that was refused or failed.
+// Refusal is the body of every answer to a call that was refused or failed, and
+// the last event of a stream that fails.
 type Refusal struct {
 	Code      fault.Code      `json:"code"`
 	Execution fault.Execution `json:"execution"`
--- a/internal/entry/refusal_execution_test.go
+++ b/internal/entry/refusal_execution_test.go
@@ -29,18 +29,22 @@
 	notRunByProtocol bool
 }
 
+// generateCall sends a generate call.
 func generateCall(change ...func(*http.Request)) func(*harness) answer {
 	return func(r *harness) answer { return r.call(http.MethodPost, "/v1/generate", generateText, change...) }
 }
 
+// timedGenerate sends a generate call with a timeout of one second.
 func timedGenerate(r *harness) answer {
 	return r.call(http.MethodPost, "/v1/generate", strings.Replace(generateText, "{", `{"timeoutSeconds":1,`, 1))
 }
 
+// bodyCall sends a generate call with the given body.
 func bodyCall(body string) func(*harness) answer {
 	return func(r *harness) answer { return r.call(http.MethodPost, "/v1/generate", body) }
 }
 
+// post sends a POST request to the service.
 func post(change ...func(*http.Request)) func(*harness) answer {
 	return func(r *harness) answer {
 		return r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change...)
@@ -49,6 +53,7 @@
 
 var withIdempotencyKey = withHeader("Idempotency-Key", "tree-17")
 
+// refuseWith makes the dispatcher refuse requests with err.
 func refuseWith(err error) func(*harness) {
 	return func(r *harness) {
 		r.dispatcher.hook = func(context.Context, dispatch.Work) error { return errors.WithStack(err) }
@@ -76,16 +81,19 @@
 	r.dispatcher.add(platform.Upstream{ID: "s0", Kind: platform.KindService, Service: testService, Address: unreachableAddress})
 }
 
+// scriptedEngine adds an engine that answers as play specifies.
 func scriptedEngine(play func(*script)) func(*harness) {
 	return func(r *harness) { r.engine("e1", scripted(play)) }
 }
 
+// engineStatus adds an engine that answers with an HTTP status and no body.
 func engineStatus(status int) func(*harness) {
 	return func(r *harness) {
 		r.engine("e1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
 }
 
+// fakeService adds a service whose requests are served by handler.
 func fakeService(handler http.HandlerFunc) func(*harness) {
 	return func(r *harness) { r.service("s1", handler) }
 }
@@ -102,6 +110,7 @@
 	r.service("s1", blockUntilWithdrawn)
 }
 
+// abort closes the connection without an answer.
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 // blockUntilCancelled reads the request and does not answer until the client
@@ -195,10 +204,10 @@
 			arrange: func(r *harness) { fakeService(blockUntilCancelled)(r); r.tables.down.Store(true) }, call: post(withIdempotencyKey)},
 		{name: "claim: used with another body", code: fault.CodeClaimMismatch, want: fault.NotRun,
 			arrange: func(r *harness) {
-				closing := r.service("s1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+				desk := r.service("s1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 				r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", withIdempotencyKey)
-				closing.bytes.Store(0)
-				closing.requests.Store(0)
+				desk.bytes.Store(0)
+				desk.requests.Store(0)
 			}, call: post(withIdempotencyKey)},
 		{name: "steps: mismatch", code: fault.CodeStepMismatch, want: fault.NotRun,
 			arrange: func(r *harness) { r.steps.err = errors.WithStack(&fault.StepMismatch{}) }, call: openStep},
--- a/internal/entry/refusal_timing_test.go
+++ b/internal/entry/refusal_timing_test.go
@@ -99,8 +99,8 @@
 }
 
 // A VM must not delay a refusal in order to slow its caller down: the caller
-// would wait for nothing, and the request would hold its memory and connection
-// on the VM.
+// would wait for nothing, and its request would occupy the VM longer than
+// needed.
 func TestRefusalIsSentAtOnce(t *testing.T) {
 	for _, c := range refusalCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -72,7 +72,7 @@
 func parseServiceRequest(c clientCall, r *restful.Request) (serviceRequest, error) {
 	query, err := url.ParseQuery(r.Request.URL.RawQuery)
 	if err != nil {
-		return serviceRequest{}, badField("query", "can't be read")
+		return serviceRequest{}, badField("query", "is not a valid query string")
 	}
 	path, rawPath, err := servicePath(r.Request.URL)
 	if err != nil {
@@ -123,7 +123,7 @@
 	}
 	path, err = url.PathUnescape(rawPath)
 	if err != nil {
-		return "", "", badField("path", "can't be read")
+		return "", "", badField("path", "contains an invalid escape")
 	}
 	return path, rawPath, nil
 }
@@ -136,7 +136,7 @@
 	}
 	millis, err := strconv.ParseInt(text, 10, 32)
 	if err != nil || millis < 1 {
-		return 0, badField(service.HeaderTimeout, "must be a number from 1")
+		return 0, badField(service.HeaderTimeout, "must be a positive integer")
 	}
 	return min(time.Duration(millis)*time.Millisecond, maxServiceTimeout), nil
 }
@@ -201,7 +201,7 @@
 	state atomic.Int32
 }
 
-// The states of a gate.
+// States of a sendGate.
 const (
 	gateOpen int32 = iota
 	gateSent
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -106,10 +106,10 @@
 // remaining samples could become stale before they are sent. They are left out
 // after sendTimeout; the next pull requests them, and they are validated again.
 func sendSamples(w io.Writer, samples []sample.Sample) []sample.Sample {
-	checkedAt := time.Now()
+	validatedAt := time.Now()
 	encoder := json.NewEncoder(w)
 	for i, s := range samples {
-		if time.Since(checkedAt) > sendTimeout || encoder.Encode(s) != nil {
+		if time.Since(validatedAt) > sendTimeout || encoder.Encode(s) != nil {
 			return samples[:i]
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
-		return 0, badField(name, "must be a number from 0")
+		return 0, badField(name, "must be a non-negative integer")
 	}
 	return n, nil
 }
