--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -76,7 +76,9 @@
 	Config
 	sessions *sessions
 	open     openCalls
+	// draining is set by Drain.
 	draining atomic.Bool
+	// refusing is set by Refuse.
 	refusing atomic.Bool
 	// detached counts the calls with an idempotency key, which continue after
 	// their callers disconnect.
--- a/internal/entry/exposure.go
+++ b/internal/entry/exposure.go
@@ -13,10 +13,10 @@
 	"dogwoodpond/internal/fault"
 )
 
-// maxUnescapeRounds is the maximum number of layers of escapes that are
-// decoded: a path or a JSON string may contain text that is itself escaped, as
-// in a prompt that quotes JSON. Each round reads the text once, so the limit
-// also bounds the cost of a malicious body.
+// maxUnescapeRounds is how many times text is searched and then unescaped: a
+// path or a JSON string may contain text that is itself escaped, as in a prompt
+// that quotes JSON. Each round reads the text once, so the limit also bounds
+// the cost of a malicious body.
 const maxUnescapeRounds = 16
 
 // checkExposure refuses a request that contains a key outside its Authorization
@@ -61,7 +61,7 @@
 }
 
 // containsKey reports whether text contains a key, plain or escaped. Text with
-// more than maxUnescapeRounds layers of escapes counts as containing one.
+// maxUnescapeRounds or more layers of escapes counts as containing one.
 func (d keyDetector) containsKey(text []byte) bool {
 	for range maxUnescapeRounds {
 		if bytes.Contains(text, d.secret) || d.containsActiveKey(text) {
@@ -73,7 +73,7 @@
 		}
 		text = next
 	}
-	// More layers of escapes may hide a key.
+	// The remaining layers of escapes could hide a key.
 	return true
 }
 
--- a/internal/entry/faulty_answers_test.go
+++ b/internal/entry/faulty_answers_test.go
@@ -304,7 +304,7 @@
 	return total
 }
 
-// faultyAnswers are the faults that the answer of a plain service can have.
+// faultyAnswers are the faults that the answer of a service can have.
 var faultyAnswers = map[string]http.HandlerFunc{
 	"closed before the answer": abort,
 	"shorter than its length": func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -17,9 +17,13 @@
 )
 
 const (
+	// defaultGenerateTimeout is the timeout of a generate call whose caller does
+	// not request one.
 	defaultGenerateTimeout = 10 * time.Minute
-	maxTimeoutSeconds      = 86400
-	maxTokensLimit         = 131072
+	// maxTimeoutSeconds is the largest timeoutSeconds of a generate call: a day.
+	maxTimeoutSeconds = 86400
+	// maxTokensLimit is the largest maxTokens of a generate call.
+	maxTokensLimit = 131072
 )
 
 // GenerateBody is the body of a generate call.
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -306,8 +306,8 @@
 	return m
 }
 
-// service adds an upstream of the plain service whose requests are served by
-// handler.
+// service adds an upstream of the service testService whose requests are served
+// by handler.
 func (r *harness) service(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -25,7 +25,8 @@
 
 const (
 	headerIdempotencyKey = "Idempotency-Key"
-	// maxIdempotencyKeyBytes is the maximum length of an idempotency key.
+	// maxIdempotencyKeyBytes is the maximum length of an idempotency key in
+	// bytes.
 	maxIdempotencyKeyBytes = 256
 	// maxServiceTimeout is the timeout of a call whose caller does not request
 	// a shorter one.
@@ -37,7 +38,8 @@
 	maxServiceAttempts = 4
 )
 
-// callService forwards a call to a plain service.
+// callService forwards a call to a service, which is an upstream other than a
+// model engine.
 func (s *Server) callService(ctx context.Context, c clientCall, r *restful.Request, w *restful.Response) error {
 	req, err := parseServiceRequest(c, r)
 	if err != nil {
@@ -253,9 +255,9 @@
 }
 
 // sendWithRetries sends a call until it is answered or can't be retried. A call
-// that is not repeatable is retried only while no earlier attempt can have run.
-// queueCtx bounds the wait for a slot and the backoff, sendCtx the wait for the
-// answer.
+// that is not repeatable is retried only if all its attempts are known not to
+// have run. queueCtx bounds the wait for a slot and the backoff, sendCtx the
+// wait for the answer.
 func (s *Server) sendWithRetries(queueCtx, sendCtx context.Context, gate *sendGate, c clientCall, req serviceRequest) (service.Answer, error) {
 	execution := fault.NotRun
 	backoff := retry.NewDelays()
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -87,7 +87,7 @@
 	step := r.PathParameter("step")
 	samples, err := s.Steps.Samples(ctx, c.contract.Account, step, pull)
 	if err != nil {
-		// A pull only reads the store; it runs nothing.
+		// A pull only reads from the store; it runs nothing.
 		return fault.WithExecution(err, fault.NotRun)
 	}
 	w.Header().Set("Content-Type", mimeNDJSON)
