--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -26,8 +26,8 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/generate"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/request"
 	"dogwoodpond/internal/retry"
 	"dogwoodpond/internal/sample"
@@ -87,7 +87,7 @@
 	t.Helper()
 	r := &harness{
 		t: t, view: contract.NewView(), ager: &fakeAge{}, dispatcher: &dispatcher{}, steps: &fakeSteps{},
-		tables:   &faultyTables{Tables: memory.NewTables()},
+		tables:   &faultyTables{Tables: memtables.NewTables()},
 		registry: prometheus.NewRegistry(), log: &logBuffer{},
 	}
 	log := zap.NewNop()
@@ -257,13 +257,13 @@
 // order. The hook may refuse a request.
 type dispatcher struct {
 	mu        sync.Mutex
-	upstreams []platform.Upstream
+	upstreams []platformapi.Upstream
 	next      int
 	hook      func(ctx context.Context, work dispatch.Work) error
 	granted   int
 }
 
-func (d *dispatcher) add(u platform.Upstream) {
+func (d *dispatcher) add(u platformapi.Upstream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.upstreams = append(d.upstreams, u)
@@ -302,7 +302,7 @@
 func (r *harness) engine(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.dispatcher.add(platform.Upstream{ID: id, Kind: platform.KindEngine, Model: testModel, Address: m.address()})
+	r.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindEngine, Model: testModel, Address: m.address()})
 	return m
 }
 
@@ -311,7 +311,7 @@
 func (r *harness) service(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.dispatcher.add(platform.Upstream{ID: id, Kind: platform.KindService, Service: testService, Address: m.address()})
+	r.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindService, Service: testService, Address: m.address()})
 	return m
 }
 
@@ -360,7 +360,7 @@
 
 // faultyTables is a table service that fails while down is set.
 type faultyTables struct {
-	platform.Tables
+	platformapi.Tables
 	down atomic.Bool
 }
 
@@ -371,16 +371,16 @@
 	return nil
 }
 
-// Get implements platform.Tables.
-func (f *faultyTables) Get(ctx context.Context, key string) (platform.Row, error) {
+// Get implements platformapi.Tables.
+func (f *faultyTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	if err := f.err(); err != nil {
-		return platform.Row{}, err
+		return platformapi.Row{}, err
 	}
 	return f.Tables.Get(ctx, key)
 }
 
-// Commit implements platform.Tables.
-func (f *faultyTables) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables.
+func (f *faultyTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if err := f.err(); err != nil {
 		return err
 	}
--- a/internal/entry/idempotency_test.go
+++ b/internal/entry/idempotency_test.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // droppingDesk is a fake service that answers the first request of each
@@ -44,7 +44,7 @@
 			go d.serve(conn)
 		}
 	}()
-	r.dispatcher.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: listener.Addr().String()})
+	r.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: listener.Addr().String()})
 	return d
 }
 
--- a/internal/entry/refusal_execution_test.go
+++ b/internal/entry/refusal_execution_test.go
@@ -13,7 +13,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // failureCase is one way in which a request is refused or fails.
@@ -77,8 +77,8 @@
 
 // addUnreachableUpstreams adds an engine and a service that refuse connections.
 func addUnreachableUpstreams(r *harness) {
-	r.dispatcher.add(platform.Upstream{ID: "e0", Kind: platform.KindEngine, Model: testModel, Address: unreachableAddress})
-	r.dispatcher.add(platform.Upstream{ID: "s0", Kind: platform.KindService, Service: testService, Address: unreachableAddress})
+	r.dispatcher.add(platformapi.Upstream{ID: "e0", Kind: platformapi.KindEngine, Model: testModel, Address: unreachableAddress})
+	r.dispatcher.add(platformapi.Upstream{ID: "s0", Kind: platformapi.KindService, Service: testService, Address: unreachableAddress})
 }
 
 // scriptedEngine adds an engine that answers as play specifies.
--- a/internal/entry/refusal_timing_test.go
+++ b/internal/entry/refusal_timing_test.go
@@ -15,7 +15,7 @@
 
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // timedRefusal is a refusal and its delay since the request was sent.
@@ -132,8 +132,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newHarness(t, harnessOptions{})
 			// An address that can't be dialled fails without a network.
-			r.dispatcher.add(platform.Upstream{ID: "e1", Kind: platform.KindEngine, Model: testModel, Address: "no address"})
-			r.dispatcher.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: "no address"})
+			r.dispatcher.add(platformapi.Upstream{ID: "e1", Kind: platformapi.KindEngine, Model: testModel, Address: "no address"})
+			r.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: "no address"})
 			started := time.Now()
 			var last time.Duration
 			r.dispatcher.hook = func(context.Context, dispatch.Work) error {
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/request"
 	"dogwoodpond/internal/retry"
 	"dogwoodpond/internal/service"
@@ -165,7 +165,7 @@
 func (s *Server) acquireClaim(ctx context.Context, c clientCall, req serviceRequest) (request.Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	claim, err := s.Claims.Take(ctx, c.contract.Account, req.idempotencyKey, request.Fingerprint(req.service, req.call))
+	claim, err := s.Claims.Acquire(ctx, c.contract.Account, req.idempotencyKey, request.Fingerprint(req.service, req.call))
 	if fault.Is[*fault.ClaimUnknown](err) || fault.Is[*fault.ClaimInProgress](err) {
 		return request.Claim{}, fault.WithExecution(err, fault.Unknown)
 	}
@@ -242,7 +242,7 @@
 	case fault.ExecutionOf(err) == fault.NotRun:
 		_ = s.Claims.Withdraw(ctx, claim)
 	default:
-		s.Claims.Leave(claim)
+		s.Claims.Abandon(claim)
 	}
 }
 
@@ -260,12 +260,12 @@
 // wait for the answer.
 func (s *Server) sendWithRetries(queueCtx, sendCtx context.Context, gate *sendGate, c clientCall, req serviceRequest) (service.Answer, error) {
 	execution := fault.NotRun
-	backoff := retry.NewDelays()
+	backoff := retry.NewBackoff()
 	var exclude []string
 	for attempt := 1; ; attempt++ {
 		answer, upstreamID, err := s.attemptService(queueCtx, sendCtx, gate, c, req, exclude, attempt)
 		if err == nil {
-			s.Retries.Success(req.service)
+			s.Retries.NoteSuccess(req.service)
 			return answer, nil
 		}
 		execution = execution.Or(fault.ExecutionOf(err))
@@ -311,7 +311,7 @@
 	// full forever.
 	defer func() {
 		if !released {
-			report(retry.Abandoned)
+			report(retry.Inconclusive)
 			grant.Done(dispatch.Result{})
 		}
 	}()
@@ -339,7 +339,7 @@
 	case failed:
 		return retry.Failed
 	default:
-		return retry.Abandoned
+		return retry.Inconclusive
 	}
 }
 
@@ -352,10 +352,10 @@
 			Request:    c.requestID,
 			Account:    c.contract.Account,
 			Contract:   c.contract,
-			Pool:       dispatch.Pool{Kind: platform.KindService, Service: req.service},
+			Pool:       dispatch.Pool{Kind: platformapi.KindService, Service: req.service},
 			Cost:       1,
 			Repeatable: req.repeatable(),
-			Exclude:    slices.Concat(exclude, s.Retries.Open()),
+			Exclude:    slices.Concat(exclude, s.Retries.OpenUpstreams()),
 			Retry:      attempt > 1,
 		})
 		if err != nil {
@@ -365,7 +365,7 @@
 		// The key may have been withdrawn, or the caller may have disconnected,
 		// while the call was queued.
 		if allowed && (ctx.Err() != nil || !gate.allowSend()) {
-			report(retry.Abandoned)
+			report(retry.Inconclusive)
 			grant.Done(dispatch.Result{})
 			return dispatch.Grant{}, nil, contextFailure(ctx)
 		}
