--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -8,7 +8,7 @@
 	"dogwoodpond/internal/doccheck"
 )
 
-func TestEventsPageIsTheCatalogue(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	var page strings.Builder
 	page.WriteString("| number | level | event | meaning |\n|---|---|---|---|\n")
 	for _, d := range Catalogue {
@@ -17,20 +17,20 @@
 	doccheck.Section(t, "docs/EVENTS.md", "events", page.String())
 }
 
-// Two events with one number would be read as each other, and one that lacks in
-// the catalogue would show without a name.
-func TestNumbersAreUniqueAndInOrder(t *testing.T) {
+// Two events with the same number could not be told apart, and an event without
+// an entry in the catalogue would be recorded without a name.
+func TestCatalogueNumbersAscendAndNamesAreUnique(t *testing.T) {
 	last := Number(0)
 	names := map[string]bool{}
 	for _, d := range Catalogue {
 		if d.Number <= last {
-			t.Errorf("%s comes after %s", d.Number, last)
+			t.Errorf("%s is listed after %s", d.Number, last)
 		}
 		if names[d.Name] {
-			t.Errorf("the name %q stands twice", d.Name)
+			t.Errorf("duplicate name %q", d.Name)
 		}
 		if d.Name == "" || !strings.HasSuffix(d.Meaning, ".") {
-			t.Errorf("%s has the name %q and the meaning %q", d.Number, d.Name, d.Meaning)
+			t.Errorf("%s has name %q and meaning %q; want a name, and a meaning that ends with a full stop", d.Number, d.Name, d.Meaning)
 		}
 		last, names[d.Name] = d.Number, true
 	}
--- a/internal/event/clock.go
+++ b/internal/event/clock.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Stamp is a hybrid logical clock reading. Stamps order events over all
-// processes in agreement with cause and effect: a message carries its
-// sender's stamp, and whatever its receiver does later has a larger one.
+// Stamp is a reading of a hybrid logical clock. Stamps order the events of all
+// processes consistently with causality: each message contains its sender's
+// stamp, and all later events of the receiver have larger stamps.
 type Stamp struct {
 	// WallMicros is the wall time in microseconds since the Unix epoch, or a
-	// larger value learned from a peer.
+	// larger value received from a peer.
 	WallMicros int64 `json:"wallMicros"`
 	// Logical orders stamps with the same WallMicros.
 	Logical uint32 `json:"logical"`
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%d.%06d+%d", s.WallMicros/microsPerSecond, s.WallMicros%microsPerSecond, s.Logical)
 }
 
-// ParseStamp reads what String wrote; ok is false when text is not a stamp.
+// ParseStamp parses the output of String; ok is false if text is not a stamp.
 func ParseStamp(text string) (s Stamp, ok bool) {
 	var seconds, micros int64
 	var logical uint32
@@ -42,8 +42,8 @@
 	return Stamp{WallMicros: seconds*1_000_000 + micros, Logical: logical}, true
 }
 
-// Clock is a hybrid logical clock. It is used for the order of events only;
-// no decision about leases or leadership depends on it.
+// Clock is a hybrid logical clock. It is used only to order events and the digests of
+// peers; no decision about leases or leadership depends on it.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
@@ -55,7 +55,8 @@
 	return &Clock{now: now}
 }
 
-// Now returns a stamp larger than all that the clock returned or saw before.
+// Now returns a stamp larger than every stamp that the clock has returned or
+// observed before.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,11 +69,12 @@
 	return c.last
 }
 
-// Observe moves the clock past a stamp that came with a message.
-func (c *Clock) Observe(seen Stamp) {
+// Observe advances the clock to at least the stamp of a received message, so
+// that the next stamp is larger.
+func (c *Clock) Observe(received Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last.Before(seen) {
-		c.last = seen
+	if c.last.Before(received) {
+		c.last = received
 	}
 }
--- a/internal/event/dependency.go
+++ b/internal/event/dependency.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Lost returns a function that tells of the loss of a dependency.
-func (r *Recorder) Lost(what string) func(error) {
+// Lost returns a function that records that a dependency does not answer, with
+// the error.
+func (r *Recorder) Lost(dependency string) func(error) {
 	return func(err error) {
-		r.Emit(DependencyLost, Subject{Detail: what + ": " + err.Error()})
+		r.Emit(DependencyLost, Subject{Detail: dependency + ": " + err.Error()})
 	}
 }
 
-// Regained returns a function that tells that a dependency is back.
-func (r *Recorder) Regained(what string) func(time.Duration) {
-	return func(away time.Duration) {
-		r.Emit(DependencyRegained, Subject{Detail: what, Count: away.Milliseconds()})
+// Regained returns a function that records that a dependency is available again
+// after an outage of the given duration.
+func (r *Recorder) Regained(dependency string) func(time.Duration) {
+	return func(outage time.Duration) {
+		r.Emit(DependencyRegained, Subject{Detail: dependency, Count: outage.Milliseconds()})
 	}
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,6 +1,7 @@
-// Package event records numbered events. Each process keeps its latest events
-// in a ring and writes them to its log; the time line merges the rings of all
-// processes by their hybrid logical clock. docs/EVENTS.md lists all numbers.
+// Package event records numbered events. Each process holds its latest events
+// in a ring buffer and writes every event to its log. The timeline merges the
+// ring buffers of all processes in the order of the hybrid logical clock.
+// docs/EVENTS.md lists all numbers.
 package event
 
 import (
@@ -11,14 +12,14 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Number identifies a kind of event, printed as DWP-<number>. A number keeps
-// its meaning for ever.
+// Number identifies a kind of event and is printed as DWP-<number>. The meaning of a
+// number never changes.
 type Number int
 
 // String returns the printed form, for example "DWP-1203".
 func (n Number) String() string { return fmt.Sprintf("DWP-%d", int(n)) }
 
-// Level is the weight of an event in the log.
+// Level is the log level of an event.
 type Level = zapcore.Level
 
 // Definition describes one kind of event in the catalogue.
@@ -29,8 +30,8 @@
 	Meaning string
 }
 
-// Subject names what an event is about. Empty fields don't apply. It never
-// holds a key, a prompt or an answer.
+// Subject identifies the objects that an event concerns. Fields that don't apply
+// are empty. A subject never contains a key, a prompt or an answer.
 type Subject struct {
 	Request  string `json:"request,omitempty"`
 	Account  string `json:"account,omitempty"`
@@ -41,15 +42,15 @@
 	Peer     string `json:"peer,omitempty"`
 	Revision uint64 `json:"revision,omitempty"`
 	Epoch    uint64 `json:"epoch,omitempty"`
-	// Attempt counts the attempts of a request or a slot from 1.
+	// Attempt is the number of the attempt at a request or slot, counted from 1.
 	Attempt int `json:"attempt,omitempty"`
-	// Count is a number whose meaning the catalogue gives.
+	// Count is a number; the catalogue defines its meaning for each event.
 	Count int64 `json:"count,omitempty"`
-	// Detail is a short text, for example the code of a failure.
+	// Detail is a short text, for example a failure code.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Record is one event that happened.
+// Record is one recorded event.
 type Record struct {
 	Stamp  Stamp  `json:"stamp"`
 	VM     string `json:"vm"`
@@ -58,23 +59,26 @@
 	Subject
 }
 
-// Recorder keeps the latest events of a process. It is safe for concurrent use.
+// Recorder holds the latest events of a process and writes every event to its
+// log. It is safe for concurrent use.
 type Recorder struct {
 	vm    string
 	clock *Clock
 	log   *zap.Logger
 
-	// observe is set before the first event and never after.
+	// observe is set before the first event and not changed afterwards.
 	observe func(Record)
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// ring holds the events in a circle; next is the index of the next write, and
+	// full is true once all elements are set.
 	ring []Record
 	next int
 	full bool
 }
 
-// NewRecorder returns a recorder for the process named vm that keeps the
-// latest capacity events and writes each to log.
+// NewRecorder returns a recorder for the VM vm. The recorder holds the latest
+// capacity events and writes each event to log.
 func NewRecorder(vm string, capacity int, clock *Clock, log *zap.Logger) *Recorder {
 	return &Recorder{vm: vm, clock: clock, log: log, ring: make([]Record, capacity)}
 }
@@ -82,16 +86,16 @@
 // Clock returns the clock that stamps the recorder's events.
 func (r *Recorder) Clock() *Clock { return r.clock }
 
-// Observe makes the recorder show each event to an observer, for example to
-// count it. It is called once, before the first event; the observer must be
-// fast and safe for concurrent use.
+// Observe sets the function that is called with each event, for example to count
+// events. Observe must be called at most once, before the first event; the
+// observer must be fast and safe for concurrent use.
 func (r *Recorder) Observe(observer func(Record)) { r.observe = observer }
 
 // Emit records an event and returns its stamp.
 func (r *Recorder) Emit(n Number, s Subject) Stamp {
 	def := catalogue[n]
 	rec := Record{Stamp: r.clock.Now(), VM: r.vm, Number: n, Name: def.Name, Subject: s}
-	r.keep(rec)
+	r.add(rec)
 	if r.observe != nil {
 		r.observe(rec)
 	}
@@ -101,7 +105,7 @@
 	return rec.Stamp
 }
 
-func (r *Recorder) keep(rec Record) {
+func (r *Recorder) add(rec Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ring[r.next] = rec
@@ -112,7 +116,8 @@
 	}
 }
 
-// Since returns the kept events with a stamp after the given one, oldest first.
+// Since returns the events in the ring buffer with a stamp later than after,
+// oldest first.
 func (r *Recorder) Since(after Stamp) []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,16 +126,16 @@
 		ordered = append(ordered, r.ring[r.next:]...)
 	}
 	ordered = append(ordered, r.ring[:r.next]...)
-	kept := ordered[:0]
+	later := ordered[:0]
 	for _, rec := range ordered {
 		if after.Before(rec.Stamp) {
-			kept = append(kept, rec)
+			later = append(later, rec)
 		}
 	}
-	return kept
+	return later
 }
 
-// logSubject writes the non-empty fields of a subject to the log.
+// logSubject encodes the non-empty fields of a subject for the log.
 type logSubject Subject
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -7,25 +7,25 @@
 	"go.uber.org/zap"
 )
 
-// A VM's wall clock is an hour behind. Ordered by wall time, an effect on it
-// would stand before its cause on another VM, and the time line would mislead.
+// Guards against a wrong order of the timeline when the wall clock of one VM is an
+// hour slow: by wall time, an effect on that VM would precede its cause on another.
 func TestClockOrdersEffectsAfterCauses(t *testing.T) {
 	noon := time.Unix(1_000_000, 0)
-	ahead := NewClock(func() time.Time { return noon })
-	behind := NewClock(func() time.Time { return noon.Add(-time.Hour) })
-	cause := ahead.Now()
-	behind.Observe(cause)
-	effect := behind.Now()
+	fast := NewClock(func() time.Time { return noon })
+	slow := NewClock(func() time.Time { return noon.Add(-time.Hour) })
+	cause := fast.Now()
+	slow.Observe(cause)
+	effect := slow.Now()
 	if !cause.Before(effect) {
-		t.Errorf("the effect at %s is not after its cause at %s", effect, cause)
+		t.Errorf("effect at %s is not after its cause at %s", effect, cause)
 	}
-	ahead.Observe(effect)
-	if answer := ahead.Now(); !effect.Before(answer) {
-		t.Errorf("the answer at %s is not after %s", answer, effect)
+	fast.Observe(effect)
+	if reply := fast.Now(); !effect.Before(reply) {
+		t.Errorf("reply at %s is not after the effect at %s", reply, effect)
 	}
 }
 
-func TestStampsSurviveTheirText(t *testing.T) {
+func TestParseStampRoundTrip(t *testing.T) {
 	for _, s := range []Stamp{{}, {WallMicros: 1}, {WallMicros: 1_796_256_678_542_672, Logical: 7}, {WallMicros: 5_000_000, Logical: 1}} {
 		if got, ok := ParseStamp(s.String()); !ok || got != s {
 			t.Errorf("ParseStamp(%q) = %v, %v", s.String(), got, ok)
@@ -33,41 +33,41 @@
 	}
 	for _, text := range []string{"", "x", "1.2", "now"} {
 		if _, ok := ParseStamp(text); ok {
-			t.Errorf("ParseStamp(%q) is taken for a stamp", text)
+			t.Errorf("ParseStamp(%q) succeeded, want failure", text)
 		}
 	}
 }
 
-// A busy VM makes more events than its ring holds. The newest must be kept, and
-// in order.
-func TestRingKeepsTheNewest(t *testing.T) {
+// A VM may record more events than its ring buffer holds. The newest events must
+// remain, in order.
+func TestRecorderHoldsNewestEvents(t *testing.T) {
 	r := NewRecorder("vm-1", 4, NewClock(time.Now), zap.NewNop())
 	for i := range 10 {
 		r.Emit(RequestAccepted, Subject{Count: int64(i)})
 	}
-	kept := r.Since(Stamp{})
-	if len(kept) != 4 || kept[0].Count != 6 || kept[3].Count != 9 {
-		t.Errorf("the ring holds %v", kept)
+	events := r.Since(Stamp{})
+	if len(events) != 4 || events[0].Count != 6 || events[3].Count != 9 {
+		t.Errorf("the ring buffer holds %v, want the counts 6 to 9", events)
 	}
-	if rest := r.Since(kept[2].Stamp); len(rest) != 1 || rest[0].Count != 9 {
-		t.Errorf("after the third event it gives %v", rest)
+	if rest := r.Since(events[2].Stamp); len(rest) != 1 || rest[0].Count != 9 {
+		t.Errorf("events after the third = %v, want one with count 9", rest)
 	}
 }
 
-func TestObserversSeeEachEvent(t *testing.T) {
+func TestObserverIsCalledForEachEvent(t *testing.T) {
 	r := NewRecorder("vm-1", 4, NewClock(time.Now), zap.NewNop())
 	var seen []Number
 	r.Observe(func(e Record) { seen = append(seen, e.Number) })
 	r.Emit(DrainStarted, Subject{})
 	r.Emit(ProcessStopped, Subject{})
 	if len(seen) != 2 || seen[0] != DrainStarted || seen[1] != ProcessStopped {
-		t.Errorf("the observer saw %v", seen)
+		t.Errorf("observed events = %v", seen)
 	}
 }
 
-// A fleet has hundreds of VMs. Without the choice at each of them, one question
-// about one request would bring every event of all.
-func TestSelectPicksAtTheSource(t *testing.T) {
+// Guards against queries that transfer all events of a fleet: with hundreds of VMs,
+// each VM must select the matching events itself.
+func TestSelectReturnsOnlyMatchingEvents(t *testing.T) {
 	r := NewRecorder("vm-1", 8, NewClock(time.Now), zap.NewNop())
 	first := r.Emit(RequestAccepted, Subject{Request: "r1", Account: "a"})
 	r.Emit(RequestDispatched, Subject{Request: "r1", Upstream: "e1"})
@@ -88,7 +88,7 @@
 		{Query{Numbers: []Number{LeaseAcquired, LeaseLost}}, 1},
 	} {
 		if got := r.Select(c.query); len(got) != c.want {
-			t.Errorf("%+v picks %d events, want %d", c.query, len(got), c.want)
+			t.Errorf("%+v matches %d events, want %d", c.query, len(got), c.want)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 			return
 		}
 		if again, ok := ParseStamp(s.String()); !ok || again != s {
-			t.Errorf("%q is %v, which reads back as %v, %v", text, s, again, ok)
+			t.Errorf("ParseStamp(%q) = %v, whose text is parsed as %v, %v", text, s, again, ok)
 		}
 	})
 }
--- a/internal/event/query.go
+++ b/internal/event/query.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Query picks events. An empty field picks all. It travels to every VM, so that
-// only the events that are asked for travel back.
+// Query selects events. An empty field matches all events. A query is evaluated
+// at each VM, so that only matching events are transferred.
 type Query struct {
-	// After picks events with a later stamp.
+	// After matches events with a later stamp.
 	After   Stamp  `json:"after"`
 	Request string `json:"request,omitempty"`
 	Step    string `json:"step,omitempty"`
-	// Slot is an item of a step.
+	// Slot matches events of this slot or item of a step.
 	Slot    string `json:"slot,omitempty"`
 	Lease   string `json:"lease,omitempty"`
 	Account string `json:"account,omitempty"`
-	// Upstreams picks events of any of these upstreams.
+	// Upstreams matches events of any of these upstreams.
 	Upstreams []string `json:"upstreams,omitempty"`
-	// Numbers picks events of any of these kinds.
+	// Numbers matches events with any of these numbers.
 	Numbers []Number `json:"numbers,omitempty"`
 }
 
-// Picks reports whether the query picks a record.
+// Picks reports whether a record matches the query.
 func (q Query) Picks(r Record) bool {
 	return q.After.Before(r.Stamp) &&
 		matches(q.Request, r.Request) &&
@@ -27,17 +27,18 @@
 		matches(q.Slot, r.Slot) &&
 		matches(q.Lease, r.Lease) &&
 		matches(q.Account, r.Account) &&
-		among(q.Upstreams, r.Upstream) &&
-		among(q.Numbers, r.Number)
+		matchesAny(q.Upstreams, r.Upstream) &&
+		matchesAny(q.Numbers, r.Number)
 }
 
 func matches(wanted, got string) bool { return wanted == "" || wanted == got }
 
-func among[T comparable](wanted []T, got T) bool {
+func matchesAny[T comparable](wanted []T, got T) bool {
 	return len(wanted) == 0 || slices.Contains(wanted, got)
 }
 
-// Select returns the kept events that a query picks, oldest first.
+// Select returns the events in the ring buffer that match the query, oldest
+// first.
 func (r *Recorder) Select(q Query) []Record {
 	return slices.DeleteFunc(r.Since(q.After), func(e Record) bool { return !q.Picks(e) })
 }
--- a/internal/event/readlog.go
+++ b/internal/event/readlog.go
@@ -12,10 +12,11 @@
 	"dogwoodpond/internal/fault"
 )
 
-// maxLogLine bounds one line of a log in bytes; longer ones are passed over.
+// maxLogLine is the largest length of a line in bytes. A longer line ends the
+// read with an error.
 const maxLogLine = 1 << 20
 
-// logLine is a line of a log as Recorder writes it.
+// logLine is the format in which Recorder writes an event to the log.
 type logLine struct {
 	VM      string `json:"vm"`
 	Event   string `json:"event"`
@@ -24,33 +25,33 @@
 	Subject
 }
 
-// ReadLog returns the events in a log that processes wrote, in its order, and how
-// many lines were no events: other programs may write to the same output, and a
-// process that is killed breaks its last line off. It fails only when the log can't
-// be read.
-func ReadLog(log io.Reader) (records []Record, others int, err error) {
+// ReadLog returns the events in a log, in the order of the lines, and the number
+// of lines that are not events: other programs may write to the same output, and
+// the last line of a killed process may be truncated. It fails only if the log
+// can't be read.
+func ReadLog(log io.Reader) (records []Record, skipped int, err error) {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		record, ok := parseLine(lines.Bytes())
 		if !ok {
-			others++
+			skipped++
 			continue
 		}
 		records = append(records, record)
 	}
 	if err := lines.Err(); err != nil {
-		return records, others, errors.WithStack(&fault.BadRequest{Field: "log", Problem: err.Error()})
+		return records, skipped, errors.WithStack(&fault.BadRequest{Field: "log", Problem: err.Error()})
 	}
-	return records, others, nil
+	return records, skipped, nil
 }
 
-// parseLine reads one line. What collectors put in front of it, for example the
-// name of the VM, does not matter.
+// parseLine parses one line. It ignores a prefix added by a log collector, for
+// example the name of the VM.
 func parseLine(text []byte) (Record, bool) {
 	var line logLine
-	at := strings.IndexByte(string(text), '{')
-	if at < 0 || json.Unmarshal(text[at:], &line) != nil {
+	start := strings.IndexByte(string(text), '{')
+	if start < 0 || json.Unmarshal(text[start:], &line) != nil {
 		return Record{}, false
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(line.Event, "DWP-"))
