--- a/internal/fault/codes_test.go
+++ b/internal/fault/codes_test.go
@@ -11,21 +11,21 @@
 	"dogwoodpond/internal/doccheck"
 )
 
-// A code without a line on the pages leaves a caller and an operator alone with
-// a word that they can look up nowhere.
-func TestPagesListAllCodes(t *testing.T) {
+// Callers and operators look up failure codes in these documents, so every code must be
+// listed there.
+func TestDocumentsListAllCodes(t *testing.T) {
 	for _, page := range []string{"docs/API.md", "docs/OPERATIONS.md"} {
 		var listed []Code
 		for _, cell := range doccheck.Column(t, page, "codes", 0) {
 			listed = append(listed, Code(cell))
 		}
 		if !slices.Equal(listed, Codes) {
-			t.Errorf("%s lists\n%v\nthe code has\n%v", page, listed, Codes)
+			t.Errorf("%s lists\n%v\nCodes lists\n%v", page, listed, Codes)
 		}
 	}
 }
 
-func TestCodesListsAllConstants(t *testing.T) {
+func TestCodesListsAllDeclaredCodes(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "types.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fault/execution.go
+++ b/internal/fault/execution.go
@@ -2,43 +2,44 @@
 
 import "github.com/cockroachdb/errors"
 
-// marked is a failure together with what is known about its request's run.
-type marked struct {
+// executionError is an error with the known execution of its request.
+type executionError struct {
 	error
 	execution Execution
 }
 
-// Unwrap returns the failure itself.
-func (m *marked) Unwrap() error { return m.error }
+// Unwrap returns the error without the execution.
+func (m *executionError) Unwrap() error { return m.error }
 
-// WithExecution marks a failure with what is known about the run of its
-// request. Only the place that saw the failure knows that, so the mark is set
-// there and travels with the failure; an outer mark replaces an inner one.
+// WithExecution attaches to err whether its request ran. Only the code in which the
+// failure occurred knows this, so the execution is attached there and returned with
+// the error. An outer execution overrides an inner one. If err is nil, WithExecution
+// returns nil.
 func WithExecution(err error, execution Execution) error {
 	if err == nil {
 		return nil
 	}
-	return &marked{error: err, execution: execution}
+	return &executionError{error: err, execution: execution}
 }
 
-// ExecutionOf returns the outermost mark of a failure. Without a mark nothing
-// is known, and a caller who is told "not run" of a request that ran would
-// repeat it; so the answer is then Unknown.
+// ExecutionOf returns the outermost execution attached to err, or Unknown if there is
+// none. The default is not NotRun, because a caller that receives NotRun for a request
+// that ran would repeat it.
 func ExecutionOf(err error) Execution {
-	var m *marked
+	var m *executionError
 	if errors.As(err, &m) {
 		return m.execution
 	}
 	return Unknown
 }
 
-// certainty orders the executions by how much may have run.
-var certainty = map[Execution]int{NotRun: 0, Unknown: 1, Ran: 2}
+// executionRank orders the executions by the certainty that the request ran.
+var executionRank = map[Execution]int{NotRun: 0, Unknown: 1, Ran: 2}
 
-// Or returns what is known after two attempts of the same request: it has not
-// run only if neither attempt ran.
+// Or returns the execution of a request after two attempts with the executions e and
+// other: NotRun only if neither attempt ran, Ran if either ran, otherwise Unknown.
 func (e Execution) Or(other Execution) Execution {
-	if certainty[other] > certainty[e] {
+	if executionRank[other] > executionRank[e] {
 		return other
 	}
 	return e
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,8 +1,7 @@
-// Package fault defines the typed failures that travel through all layers of
-// dogwoodpond. Each failure is a Go type with a stable Code, so that a caller,
-// an operator and a log reader can tell failures apart without parsing text.
-// Wrap failures with github.com/cockroachdb/errors and find them again with
-// errors.As.
+// Package fault defines the typed failures that all layers of dogwoodpond return.
+// Each failure is a Go type with a stable Code, so that callers, operators and log
+// readers can distinguish failures without parsing text. Failures are wrapped with
+// github.com/cockroachdb/errors and found with errors.As.
 package fault
 
 import (
@@ -12,16 +11,16 @@
 )
 
 // Code is the stable, machine-readable name of a failure. It is part of the
-// public API and never changes its meaning.
+// public API, and its meaning never changes.
 type Code string
 
-// Execution says what is known about whether a refused request ran.
+// Execution says whether a refused request ran at an upstream, as far as is known.
 type Execution string
 
-// The possible values of Execution.
+// Values of Execution.
 const (
-	// NotRun means that no byte of the request reached any upstream, or that
-	// the upstream itself said so in a way that its protocol defines.
+	// NotRun means that no byte of the request reached any upstream, or that the
+	// upstream reported by means of its protocol that it did not run the request.
 	NotRun Execution = "not_run"
 	// Ran means that an upstream ran the request.
 	Ran Execution = "ran"
@@ -29,21 +28,21 @@
 	Unknown Execution = "unknown"
 )
 
-// Failure is implemented by every typed failure.
+// Failure is implemented by all typed failures.
 type Failure interface {
 	error
 	// Code returns the stable name of the failure.
 	Code() Code
 }
 
-// RetryAfterer is implemented by failures that know when a retry makes sense.
+// RetryAfterer is implemented by failures with a known retry delay.
 type RetryAfterer interface {
-	// RetryAfter returns how long the caller should wait before it retries.
+	// RetryAfter returns the time that the caller should wait before a retry.
 	RetryAfter() time.Duration
 }
 
 // CodeOf returns the code of the first typed failure in err's chain, or
-// CodeInternal when there is none.
+// CodeInternal if there is none.
 func CodeOf(err error) Code {
 	var f Failure
 	if errors.As(err, &f) {
@@ -52,8 +51,8 @@
 	return CodeInternal
 }
 
-// RetryAfterOf returns the retry delay of the first failure in err's chain
-// that knows one, or otherwise fallback.
+// RetryAfterOf returns the retry delay of the first RetryAfterer in err's chain, or
+// fallback if there is none.
 func RetryAfterOf(err error, fallback time.Duration) time.Duration {
 	var r RetryAfterer
 	if errors.As(err, &r) {
@@ -62,7 +61,7 @@
 	return fallback
 }
 
-// Is reports whether err's chain holds a failure of type T.
+// Is reports whether err's chain contains an error of type T.
 func Is[T error](err error) bool {
 	var target T
 	return errors.As(err, &target)
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -16,6 +16,6 @@
 		t.Errorf("RetryAfterOf = %v, want 1s", got)
 	}
 	if !Is[*QueueFull](err) || Is[*Draining](err) {
-		t.Error("Is does not tell failures apart")
+		t.Error("Is does not distinguish the types of failures")
 	}
 }
--- a/internal/fault/operators.go
+++ b/internal/fault/operators.go
@@ -5,27 +5,27 @@
 	"strings"
 )
 
-// KeyUnknown reports a key ID that no edit ever granted.
+// KeyUnknown reports the ID of a key that was never granted.
 type KeyUnknown struct {
 	KeyID string
 }
 
 // Error implements error.
-func (e *KeyUnknown) Error() string { return fmt.Sprintf("no key %q was ever granted", e.KeyID) }
+func (e *KeyUnknown) Error() string { return fmt.Sprintf("key %q was never granted", e.KeyID) }
 
 // Code implements Failure.
 func (*KeyUnknown) Code() Code { return CodeKeyUnknown }
 
-// RequestUnknown reports a request of which no reachable VM keeps an event.
+// RequestUnknown reports a request of which no reachable VM holds an event.
 type RequestUnknown struct {
 	Request string
-	// Missing names the VMs that did not answer and may keep some.
+	// Missing lists the VMs that did not answer and may hold events of the request.
 	Missing []string
 }
 
 // Error implements error.
 func (e *RequestUnknown) Error() string {
-	text := fmt.Sprintf("no event of request %q is kept", e.Request)
+	text := fmt.Sprintf("no event of request %q found", e.Request)
 	if len(e.Missing) > 0 {
 		text += "; these VMs did not answer: " + strings.Join(e.Missing, ", ")
 	}
@@ -35,11 +35,11 @@
 // Code implements Failure.
 func (*RequestUnknown) Code() Code { return CodeRequestUnknown }
 
-// EditPending reports an accepted edit that is not known to be in force
-// everywhere.
+// EditPending reports an accepted edit that is not known to be in force on all
+// VMs.
 type EditPending struct {
 	Revision uint64
-	// VMs have not confirmed the revision.
+	// VMs lists the VMs that have not confirmed the revision.
 	VMs []string
 }
 
@@ -51,11 +51,11 @@
 // Code implements Failure.
 func (*EditPending) Code() Code { return CodeEditPending }
 
-// EditOutcomeUnknown reports an edit whose answer was lost: it may have been
-// accepted. A repeat with the same ID is harmless.
+// EditOutcomeUnknown reports an edit whose answer was not received, so that the edit
+// may have been accepted. It is safe to repeat the edit with the same ID.
 type EditOutcomeUnknown struct {
 	EditID string
-	// Cause is the code of the failure that lost the answer.
+	// Cause is the code of the failure to receive the answer.
 	Cause Code
 }
 
--- a/internal/fault/remote.go
+++ b/internal/fault/remote.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Remote is a failure that another VM reported. Its code is that VM's code.
+// Remote is a failure that another VM reported.
 type Remote struct {
-	VM         string
+	VM string
+	// RemoteCode is the code that the other VM reported.
 	RemoteCode Code
 	Wait       time.Duration
 }
--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The stable codes of all failures.
+// Stable codes of all failures.
 const (
 	CodeInternal             Code = "internal"
 	CodeBadRequest           Code = "bad_request"
@@ -53,7 +53,8 @@
 	CodeEditOutcomeUnknown   Code = "edit_outcome_unknown"
 )
 
-// Codes lists every code, for the check of the documents.
+// Codes lists all codes in the order of their declaration, for the tests that compare
+// the documents with it.
 var Codes = []Code{
 	CodeInternal,
 	CodeBadRequest,
@@ -99,7 +100,7 @@
 	CodeEditOutcomeUnknown,
 }
 
-// Internal reports a defect of the program itself, such as a recovered panic.
+// Internal reports a defect of the program itself, for example a recovered panic.
 type Internal struct {
 	Where string
 }
@@ -112,7 +113,7 @@
 // Code implements Failure.
 func (*Internal) Code() Code { return CodeInternal }
 
-// BadRequest reports a request that can't be understood.
+// BadRequest reports a request that can't be processed because of the given field.
 type BadRequest struct {
 	Field   string
 	Problem string
@@ -140,14 +141,14 @@
 func (*BodyTooLarge) Code() Code { return CodeBodyTooLarge }
 
 // RouteUnknown reports a path or method that the API does not have. It does not
-// hold the path: a caller's mistake may have put a key there.
+// contain the path, because a caller may have put a key there by mistake.
 type RouteUnknown struct {
 	Method string
 }
 
 // Error implements error.
 func (e *RouteUnknown) Error() string {
-	return fmt.Sprintf("no route for this path with method %s", e.Method)
+	return fmt.Sprintf("no route for this path and method %s", e.Method)
 }
 
 // Code implements Failure.
@@ -162,7 +163,9 @@
 // Code implements Failure.
 func (*KeyMissing) Code() Code { return CodeKeyMissing }
 
-// KeyInvalid reports a key that is malformed, unknown or has the wrong secret. The three are not told apart, so that a guesser learns nothing.
+// KeyInvalid reports a key that is malformed, is unknown or has the wrong secret. The
+// failure does not distinguish the three cases, so that it reveals nothing to a caller
+// that guesses keys.
 type KeyInvalid struct{}
 
 // Error implements error.
@@ -184,14 +187,15 @@
 // Code implements Failure.
 func (*KeyWithdrawn) Code() Code { return CodeKeyWithdrawn }
 
-// KeyExposed reports a request that carries its key's secret outside the Authorization header.
+// KeyExposed reports a request that contains its key's secret outside the
+// Authorization header.
 type KeyExposed struct {
 	Part string
 }
 
 // Error implements error.
 func (e *KeyExposed) Error() string {
-	return fmt.Sprintf("the key's secret stands in the %s of the request", e.Part)
+	return fmt.Sprintf("the key's secret must not be in the %s of the request", e.Part)
 }
 
 // Code implements Failure.
@@ -210,7 +214,7 @@
 // Code implements Failure.
 func (*AccountUnknown) Code() Code { return CodeAccountUnknown }
 
-// QueueFull reports a request that was shed because the queue is full.
+// QueueFull reports a request that was shed because the account's queue is full.
 type QueueFull struct {
 	Account string
 	Wait    time.Duration
@@ -245,7 +249,7 @@
 // RetryAfter implements RetryAfterer.
 func (e *LimitExceeded) RetryAfter() time.Duration { return e.Wait }
 
-// NoUpstream reports that no upstream can take the request now.
+// NoUpstream reports that no upstream of a pool can accept the request now.
 type NoUpstream struct {
 	Pool string
 	Wait time.Duration
@@ -253,7 +257,7 @@
 
 // Error implements error.
 func (e *NoUpstream) Error() string {
-	return fmt.Sprintf("no upstream of pool %q can take the request", e.Pool)
+	return fmt.Sprintf("no upstream of pool %q can accept the request", e.Pool)
 }
 
 // Code implements Failure.
@@ -262,7 +266,8 @@
 // RetryAfter implements RetryAfterer.
 func (e *NoUpstream) RetryAfter() time.Duration { return e.Wait }
 
-// UpstreamFailed reports an upstream that broke off, answered wrongly or could not be reached.
+// UpstreamFailed reports an upstream that ended its answer early, returned an invalid
+// answer or could not be reached.
 type UpstreamFailed struct {
 	Upstream string
 	Reason   string
@@ -276,7 +281,8 @@
 // Code implements Failure.
 func (*UpstreamFailed) Code() Code { return CodeUpstreamFailed }
 
-// AnswerTruncated reports an upstream's answer that ended before its length or its terminal event.
+// AnswerTruncated reports an upstream's answer that ended before its announced length or
+// its terminal event.
 type AnswerTruncated struct {
 	Upstream string
 }
@@ -303,16 +309,16 @@
 // RetryAfter implements RetryAfterer.
 func (e *DeadlineExceeded) RetryAfter() time.Duration { return e.Wait }
 
-// CallerGone reports a request whose caller went away.
+// CallerGone reports a request whose caller cancelled it or disconnected.
 type CallerGone struct{}
 
 // Error implements error.
-func (*CallerGone) Error() string { return "the caller went away" }
+func (*CallerGone) Error() string { return "the caller cancelled the request or disconnected" }
 
 // Code implements Failure.
 func (*CallerGone) Code() Code { return CodeCallerGone }
 
-// Draining reports a VM that takes no new work because it is stopping.
+// Draining reports a VM that accepts no new work because it is stopping.
 type Draining struct {
 	Wait time.Duration
 }
@@ -326,7 +332,8 @@
 // RetryAfter implements RetryAfterer.
 func (e *Draining) RetryAfter() time.Duration { return e.Wait }
 
-// ConfigurationStale reports a VM that has been cut off longer than the contract's isolation bound.
+// ConfigurationStale reports a VM whose configuration has not been confirmed as current for
+// longer than the contract's isolation bound.
 type ConfigurationStale struct {
 	Account string
 	Age     time.Duration
@@ -340,12 +347,14 @@
 // Code implements Failure.
 func (*ConfigurationStale) Code() Code { return CodeConfigurationStale }
 
-// StoreUnavailable reports a table or object call that did not get an answer. EffectUnknown is true when the call may have taken effect.
-// Back is true when the store has answered other calls since, so that a repeat may follow at once.
+// StoreUnavailable reports a call to the table or object store that was not answered.
 type StoreUnavailable struct {
-	Operation     string
+	Operation string
+	// EffectUnknown is true if the call may have taken effect.
 	EffectUnknown bool
-	Back          bool
+	// Back is true if the store has answered other calls since, so that the call may
+	// be repeated without a backoff.
+	Back bool
 }
 
 // Error implements error.
@@ -356,7 +365,8 @@
 // Code implements Failure.
 func (*StoreUnavailable) Code() Code { return CodeStoreUnavailable }
 
-// PreconditionFailed reports a transaction that was refused because a row was not at the expected version. Nothing was written.
+// PreconditionFailed reports a transaction that was refused because a row did not have the
+// expected version. Nothing was written.
 type PreconditionFailed struct {
 	Row  string
 	Want uint64
@@ -365,26 +375,26 @@
 
 // Error implements error.
 func (e *PreconditionFailed) Error() string {
-	return fmt.Sprintf("row %s is at version %d, expected %d", e.Row, e.Have, e.Want)
+	return fmt.Sprintf("row %s has version %d, expected %d", e.Row, e.Have, e.Want)
 }
 
 // Code implements Failure.
 func (*PreconditionFailed) Code() Code { return CodePreconditionFailed }
 
-// ObjectUnknown reports an object that the object store does not hold.
+// ObjectUnknown reports an object that does not exist in the object store.
 type ObjectUnknown struct {
 	Key string
 }
 
 // Error implements error.
 func (e *ObjectUnknown) Error() string {
-	return fmt.Sprintf("no object %s", e.Key)
+	return fmt.Sprintf("object %s does not exist", e.Key)
 }
 
 // Code implements Failure.
 func (*ObjectUnknown) Code() Code { return CodeObjectUnknown }
 
-// PlatformRefused reports a request that the platform understood and refused; it did not take effect.
+// PlatformRefused reports a call that the platform refused. The call had no effect.
 type PlatformRefused struct {
 	Operation string
 	Status    int
@@ -398,7 +408,7 @@
 // Code implements Failure.
 func (*PlatformRefused) Code() Code { return CodePlatformRefused }
 
-// EditConflict reports an edit that was made against an outdated revision of the same contract or key.
+// EditConflict reports an edit that is based on an outdated revision of its contract or key.
 type EditConflict struct {
 	Subject string
 	Base    uint64
@@ -407,13 +417,13 @@
 
 // Error implements error.
 func (e *EditConflict) Error() string {
-	return fmt.Sprintf("edit of %s was made against revision %d, but it changed at revision %d", e.Subject, e.Base, e.Current)
+	return fmt.Sprintf("edit of %s is based on revision %d, but it changed at revision %d", e.Subject, e.Base, e.Current)
 }
 
 // Code implements Failure.
 func (*EditConflict) Code() Code { return CodeEditConflict }
 
-// EditInvalid reports an edit whose content breaks a rule.
+// EditInvalid reports an edit with an invalid field.
 type EditInvalid struct {
 	Field   string
 	Problem string
@@ -427,7 +437,8 @@
 // Code implements Failure.
 func (*EditInvalid) Code() Code { return CodeEditInvalid }
 
-// RevisionGap reports a log entry that does not directly follow the applied revision.
+// RevisionGap reports a configuration log entry that does not directly follow the applied
+// revision.
 type RevisionGap struct {
 	Have uint64
 	Got  uint64
@@ -435,13 +446,14 @@
 
 // Error implements error.
 func (e *RevisionGap) Error() string {
-	return fmt.Sprintf("entry %d does not follow revision %d", e.Got, e.Have)
+	return fmt.Sprintf("configuration log entry %d does not directly follow revision %d", e.Got, e.Have)
 }
 
 // Code implements Failure.
 func (*RevisionGap) Code() Code { return CodeRevisionGap }
 
-// ClaimUnknown reports a repeat of a non-idempotent request whose first run has no known outcome.
+// ClaimUnknown reports a repeat of a non-idempotent request whose first execution has an
+// unknown outcome.
 type ClaimUnknown struct {
 	IdempotencyKey string
 }
@@ -454,7 +466,8 @@
 // Code implements Failure.
 func (*ClaimUnknown) Code() Code { return CodeClaimUnknown }
 
-// ClaimInProgress reports a repeat of a non-idempotent request that may still be running.
+// ClaimInProgress reports a repeat of a non-idempotent request whose first execution may still
+// be running.
 type ClaimInProgress struct {
 	Wait time.Duration
 }
@@ -468,7 +481,7 @@
 // RetryAfter implements RetryAfterer.
 func (e *ClaimInProgress) RetryAfter() time.Duration { return e.Wait }
 
-// ClaimMismatch reports an idempotency key that was used before with another request.
+// ClaimMismatch reports an idempotency key that was used before with a different request.
 type ClaimMismatch struct{}
 
 // Error implements error.
@@ -477,7 +490,7 @@
 // Code implements Failure.
 func (*ClaimMismatch) Code() Code { return CodeClaimMismatch }
 
-// LeaseLost reports an action that was refused because its lease is not held any more.
+// LeaseLost reports an action that was refused because its lease is no longer held.
 type LeaseLost struct {
 	Lease string
 	Epoch uint64
@@ -491,7 +504,8 @@
 // Code implements Failure.
 func (*LeaseLost) Code() Code { return CodeLeaseLost }
 
-// OrderFenced reports an order that its receiver refused because it had seen a newer fencing number.
+// OrderFenced reports an order that its receiver refused because it has accepted a newer fencing
+// token.
 type OrderFenced struct {
 	Order string
 	Epoch uint64
@@ -499,46 +513,47 @@
 
 // Error implements error.
 func (e *OrderFenced) Error() string {
-	return fmt.Sprintf("order %s of epoch %d was fenced off", e.Order, e.Epoch)
+	return fmt.Sprintf("order %s was fenced (epoch %d)", e.Order, e.Epoch)
 }
 
 // Code implements Failure.
 func (*OrderFenced) Code() Code { return CodeOrderFenced }
 
-// StepUnknown reports a step that was never opened.
+// StepUnknown reports a step that does not exist.
 type StepUnknown struct {
 	Step string
 }
 
 // Error implements error.
 func (e *StepUnknown) Error() string {
-	return fmt.Sprintf("no step %q", e.Step)
+	return fmt.Sprintf("step %q does not exist", e.Step)
 }
 
 // Code implements Failure.
 func (*StepUnknown) Code() Code { return CodeStepUnknown }
 
-// StepMismatch reports a step that was opened before with another definition.
+// StepMismatch reports a step that already exists with a different definition.
 type StepMismatch struct {
 	Step string
 }
 
 // Error implements error.
 func (e *StepMismatch) Error() string {
-	return fmt.Sprintf("step %q exists with another definition", e.Step)
+	return fmt.Sprintf("step %q exists with a different definition", e.Step)
 }
 
 // Code implements Failure.
 func (*StepMismatch) Code() Code { return CodeStepMismatch }
 
-// PullOvertaken reports a pull of samples after which a later pull of the same step had its turn.
+// PullOvertaken reports a pull of samples that was refused because a later pull of the same
+// step is registered.
 type PullOvertaken struct {
 	Step string
 }
 
 // Error implements error.
 func (e *PullOvertaken) Error() string {
-	return fmt.Sprintf("a later pull of step %q has had its turn", e.Step)
+	return fmt.Sprintf("a later pull of step %q is registered", e.Step)
 }
 
 // Code implements Failure.
@@ -571,20 +586,20 @@
 // Code implements Failure.
 func (*SampleUnattributable) Code() Code { return CodeSampleUnattributable }
 
-// SpendingExceeded reports an order that would exceed the contract's spending rate.
+// SpendingExceeded reports an order that would exceed the spending rate of a contract.
 type SpendingExceeded struct {
 	Account string
 }
 
 // Error implements error.
 func (e *SpendingExceeded) Error() string {
-	return fmt.Sprintf("client account %q would exceed its spending", e.Account)
+	return fmt.Sprintf("client account %q would exceed its spending rate", e.Account)
 }
 
 // Code implements Failure.
 func (*SpendingExceeded) Code() Code { return CodeSpendingExceeded }
 
-// SettingsInvalid reports every fault of a settings file at once.
+// SettingsInvalid reports all faults of a settings file.
 type SettingsInvalid struct {
 	Faults []SettingFault
 }
@@ -594,7 +609,7 @@
 	return fmt.Sprintf("settings: %s", joinFaults(e.Faults))
 }
 
-// Names reports whether a fault of the field is listed.
+// Names reports whether the faults include one of the field.
 func (e *SettingsInvalid) Names(field string) bool {
 	return slices.ContainsFunc(e.Faults, func(f SettingFault) bool { return f.Field == field })
 }
@@ -602,20 +617,21 @@
 // Code implements Failure.
 func (*SettingsInvalid) Code() Code { return CodeSettingsInvalid }
 
-// PeerUnavailable reports a peer VM that did not answer.
+// PeerUnavailable reports a VM that did not answer.
 type PeerUnavailable struct {
+	// VM is the ID or the address of the VM.
 	VM string
 }
 
 // Error implements error.
 func (e *PeerUnavailable) Error() string {
-	return fmt.Sprintf("peer %s did not answer", e.VM)
+	return fmt.Sprintf("no answer from %s", e.VM)
 }
 
 // Code implements Failure.
 func (*PeerUnavailable) Code() Code { return CodePeerUnavailable }
 
-// SettingFault is one fault of a settings file.
+// SettingFault reports a setting with an invalid value.
 type SettingFault struct {
 	Field   string
 	Value   string
