--- a/internal/metrics/dispatcher.go
+++ b/internal/metrics/dispatcher.go
@@ -8,24 +8,25 @@
 	"dogwoodpond/internal/dispatch"
 )
 
-// Dispatcher measures the waits and the work of another dispatcher.
+// Dispatcher measures queue waits and work of another dispatcher.
 type Dispatcher struct {
 	next    dispatch.Dispatcher
 	metrics *Metrics
 }
 
-// NewDispatcher returns a dispatcher that measures next.
+// NewDispatcher returns a dispatcher that calls next and records its waits and work
+// in m.
 func NewDispatcher(next dispatch.Dispatcher, m *Metrics) *Dispatcher {
 	return &Dispatcher{next: next, metrics: m}
 }
 
-// Acquire implements dispatch.Dispatcher. Refused work counts as well: its wait
-// is what its caller saw.
+// Acquire implements dispatch.Dispatcher. It also records the wait of refused work,
+// because the caller waited as long.
 func (d *Dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
-	asked := time.Now()
+	started := time.Now()
 	grant, err := d.next.Acquire(ctx, work)
 	account := string(work.Account)
-	d.metrics.QueueWait.WithLabelValues(account).Observe(time.Since(asked).Seconds())
+	d.metrics.QueueWait.WithLabelValues(account).Observe(time.Since(started).Seconds())
 	if err != nil {
 		return grant, err
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,10 +1,10 @@
-// Package metrics holds the metrics of a VM that belong to no single package;
-// dispatch and rollout have their own. docs/METRICS.md lists all, and a test
-// holds it equal to what a daemon's registry exposes. No label ever holds a
-// key, a prompt or an answer.
+// Package metrics defines the metrics of a VM that belong to no single package;
+// dispatch and rollout define their own. docs/METRICS.md lists all metrics, and a
+// test compares it with the registry of a daemon. No label contains a key, a prompt
+// or an answer.
 //
-// Metrics are fed in three ways: from events (Observe), by a decorator around
-// the dispatcher (Dispatcher), and by direct calls of the package that knows.
+// The metrics are updated from events (Observe), by decorators (Dispatcher, Steps),
+// and by a collector of the list of upstreams (Upstreams).
 package metrics
 
 import (
@@ -13,55 +13,56 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics holds the collectors of one VM. All are safe for concurrent use.
+// Metrics holds the collectors of one VM. It is safe for concurrent use.
 type Metrics struct {
-	// Events counts events by their number. Fed by Observe.
+	// Events counts events by number. Updated by Observe.
 	Events *prometheus.CounterVec
-	// RequestsAnswered counts whole answers by account. Fed by Observe.
+	// RequestsAnswered counts complete answers by account. Updated by Observe.
 	RequestsAnswered *prometheus.CounterVec
-	// ServedTokens counts the tokens of these answers. Fed by Observe.
+	// ServedTokens counts the tokens of complete answers. Updated by Observe.
 	ServedTokens *prometheus.CounterVec
-	// RequestsRefused counts refusals by code and execution. Fed by Observe.
+	// RequestsRefused counts refused requests by code and execution. Updated by
+	// Observe.
 	RequestsRefused *prometheus.CounterVec
-	// AttemptsFailed counts failed attempts by code. Fed by Observe.
+	// AttemptsFailed counts failed attempts by code. Updated by Observe.
 	AttemptsFailed *prometheus.CounterVec
-	// Revision is the revision in force. Fed by Observe.
+	// Revision is the configuration revision in force. Updated by Observe.
 	Revision prometheus.Gauge
 
-	// QueueWait is how long work waited for an upstream, in seconds. Fed by the
-	// decorator Dispatcher.
+	// QueueWait is the time that work was queued for an upstream, in seconds.
+	// Updated by Dispatcher.
 	QueueWait *prometheus.HistogramVec
-	// WorkTokens counts the cost of all attempts, also failed ones, by account
-	// and by whether the upstream was reclaimable. Fed by the decorator
+	// WorkTokens counts the cost of all attempts in tokens, including failed
+	// attempts, by account and by whether the upstream is reclaimable. Updated by
 	// Dispatcher.
 	WorkTokens *prometheus.CounterVec
-	// FailedWorkTokens counts the part of WorkTokens whose attempt failed. Fed
-	// by the decorator Dispatcher.
+	// FailedWorkTokens counts the part of WorkTokens that belongs to failed
+	// attempts. Updated by Dispatcher.
 	FailedWorkTokens *prometheus.CounterVec
 
-	// TrainerIdle counts the seconds of trainers' pulls. Fed by the decorator
+	// TrainerIdle counts the duration of trainers' pulls in seconds. Updated by
 	// Steps.
 	TrainerIdle *prometheus.CounterVec
-	// SamplesDelivered counts delivered samples. Fed by Observe.
+	// SamplesDelivered counts samples sent to trainers. Updated by Observe.
 	SamplesDelivered *prometheus.CounterVec
 
-	// UsageReports counts reports that billing accepted. Fed by Observe.
+	// UsageReports counts usage reports that billing accepted. Updated by Observe.
 	UsageReports *prometheus.CounterVec
-	// UsageIncomplete counts reports that lack figures of a VM that died. Fed
+	// UsageIncomplete counts usage reports that lack usage of a dead VM. Updated
 	// by Observe.
 	UsageIncomplete *prometheus.CounterVec
-	// UsageCorrected counts reports with a correction of an earlier window. Fed
+	// UsageCorrected counts usage reports that correct an earlier window. Updated
 	// by Observe.
 	UsageCorrected *prometheus.CounterVec
-	// UsageDelay is the time from a window's end to billing's acceptance. Fed by
-	// Observe.
+	// UsageDelay is the time from the end of a usage window until billing accepts
+	// its report, in seconds. Updated by Observe.
 	UsageDelay prometheus.Histogram
 
 	// usageWindow is the length of a usage window.
 	usageWindow time.Duration
 }
 
-// Names of labels.
+// Label names.
 const (
 	labelAccount     = "account"
 	labelReclaimable = "reclaimable"
@@ -73,44 +74,45 @@
 )
 
 var (
-	// waitBuckets span from a place that is free to a wait beyond every timeout.
+	// waitBuckets range from the wait for a free slot to one longer than any timeout,
+	// in seconds.
 	waitBuckets = []float64{0.001, 0.005, 0.02, 0.1, 0.5, 2, 10, 60, 300}
-	// delayBuckets are in seconds around a few usage windows.
+	// delayBuckets range up to several usage windows, in seconds.
 	delayBuckets = []float64{1, 5, 15, 60, 300, 900, 3600}
 )
 
-// New registers all metrics and returns them; usageWindow is the length of a
+// New returns metrics registered with registerer. usageWindow is the length of a
 // usage window.
 func New(registerer prometheus.Registerer, usageWindow time.Duration) *Metrics {
 	b := builder{registerer: registerer}
 	return &Metrics{
 		usageWindow: usageWindow,
 
-		Events:           b.counter("events_total", "Events by their number.", labelNumber),
-		RequestsAnswered: b.counter("requests_answered_total", "Requests whose caller got the whole answer.", labelAccount),
-		ServedTokens:     b.counter("served_tokens_total", "Tokens of whole answers: the service delivered.", labelAccount),
-		RequestsRefused:  b.counter("requests_refused_total", "Refusals by code and by what is known of the run.", labelCode, labelExecution),
-		AttemptsFailed:   b.counter("attempts_failed_total", "Failed attempts by code.", labelCode),
-		Revision:         b.gauge("configuration_revision", "The revision in force on this VM."),
+		Events:           b.counter("events_total", "Events by number.", labelNumber),
+		RequestsAnswered: b.counter("requests_answered_total", "Requests whose caller received the complete answer.", labelAccount),
+		ServedTokens:     b.counter("served_tokens_total", "Tokens of complete answers: the service delivered.", labelAccount),
+		RequestsRefused:  b.counter("requests_refused_total", "Refused requests by failure code and by whether the request ran.", labelCode, labelExecution),
+		AttemptsFailed:   b.counter("attempts_failed_total", "Failed attempts by failure code.", labelCode),
+		Revision:         b.gauge("configuration_revision", "The configuration revision in force on this VM."),
 
-		QueueWait:        b.histogram("queue_wait_seconds", "Time in the fair queue until a place on an upstream was granted.", waitBuckets, labelAccount),
-		WorkTokens:       b.counter("work_tokens_total", "Cost of all attempts in tokens, by whether the upstream is reclaimable.", labelAccount, labelReclaimable),
-		FailedWorkTokens: b.counter("failed_work_tokens_total", "The part of work_tokens_total whose attempt failed by the upstream's fault.", labelAccount, labelReclaimable),
+		QueueWait:        b.histogram("queue_wait_seconds", "Time in the fair queue until a slot of an upstream was granted or the work was refused.", waitBuckets, labelAccount),
+		WorkTokens:       b.counter("work_tokens_total", "Cost of all attempts in tokens, including failed attempts, by whether the upstream is reclaimable.", labelAccount, labelReclaimable),
+		FailedWorkTokens: b.counter("failed_work_tokens_total", "The part of work_tokens_total that belongs to attempts that failed because of the upstream.", labelAccount, labelReclaimable),
 
-		TrainerIdle:      b.counter("trainer_idle_seconds_total", "Time of trainers' pulls until their first sample or their end.", labelAccount),
-		SamplesDelivered: b.counter("samples_delivered_total", "Samples sent to their trainer; a repeated pull counts again.", labelAccount),
+		TrainerIdle:      b.counter("trainer_idle_seconds_total", "Duration of trainers' pulls, until their first sample or their end without one.", labelAccount),
+		SamplesDelivered: b.counter("samples_delivered_total", "Samples sent to trainers; samples of a repeated pull count again.", labelAccount),
 
 		UsageReports:    b.counter("usage_reports_total", "Usage reports that billing accepted.", labelAccount),
-		UsageIncomplete: b.counter("usage_reports_incomplete_total", "Usage reports that lack figures of a VM that died.", labelAccount),
-		UsageCorrected:  b.counter("usage_reports_corrected_total", "Usage reports with a correction of an earlier window.", labelAccount),
-		UsageDelay:      b.plainHistogram("usage_report_delay_seconds", "Time from a window's end until billing accepted its report.", delayBuckets),
+		UsageIncomplete: b.counter("usage_reports_incomplete_total", "Usage reports that lack usage of a VM that died.", labelAccount),
+		UsageCorrected:  b.counter("usage_reports_corrected_total", "Usage reports that correct an earlier window.", labelAccount),
+		UsageDelay:      b.plainHistogram("usage_report_delay_seconds", "Time from the end of a usage window until billing accepted its report.", delayBuckets),
 	}
 }
 
-// namespace starts the name of every metric.
+// namespace is the prefix of all metric names.
 const namespace = "dogwoodpond"
 
-// builder registers collectors.
+// builder creates collectors and registers them.
 type builder struct {
 	registerer prometheus.Registerer
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 	"dogwoodpond/internal/sample"
 )
 
-var twoUpstreams = []platform.Upstream{
+var testUpstreams = []platform.Upstream{
 	{ID: "a", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 300, Account: "strathallan"},
 	{ID: "b", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
 	{ID: "c", Kind: platform.KindEngine, State: platform.UpstreamLeaving, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
@@ -26,12 +26,13 @@
 func newTestMetrics() (*Metrics, *prometheus.Registry) {
 	registry := prometheus.NewPedanticRegistry()
 	m := New(registry, 300*time.Second)
-	RegisterUpstreams(registry, func() []platform.Upstream { return twoUpstreams })
+	RegisterUpstreams(registry, func() []platform.Upstream { return testUpstreams })
 	return m, registry
 }
 
-// valueOf returns the value of one metric, or the number of a histogram's
-// observations; labels are the values in the order of the labels' names.
+// valueOf returns the value of one counter or gauge, or the number of observations of
+// one histogram; it is 0 if there is no such metric. labels are the label values in the
+// order of the label names.
 func valueOf(t *testing.T, registry *prometheus.Registry, name string, labels ...string) float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -55,7 +56,7 @@
 	return 0
 }
 
-// expectation is the value of one metric.
+// expectation is the expected value of one metric.
 type expectation struct {
 	name   string
 	labels []string
@@ -71,7 +72,7 @@
 	}
 }
 
-func TestEventsFeedMetrics(t *testing.T) {
+func TestObserveUpdatesMetrics(t *testing.T) {
 	m, registry := newTestMetrics()
 	m.Observe(event.Record{Number: event.RequestAnswered, Subject: event.Subject{Account: "brazicod", Count: 12}})
 	m.Observe(event.Record{Number: event.RequestRefused, Subject: event.Subject{Detail: "queue_full/not_run"}})
@@ -95,17 +96,18 @@
 	})
 }
 
-type grantOf platform.Upstream
+// fixedDispatcher grants its upstream to all work.
+type fixedDispatcher platform.Upstream
 
-func (g grantOf) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
+func (g fixedDispatcher) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
 	return dispatch.Grant{Upstream: platform.Upstream(g), Done: func(dispatch.Result) {}}, nil
 }
 
-func TestDispatcherCountsWorkByKindOfUpstream(t *testing.T) {
+func TestDispatcherCountsWorkByReclaimable(t *testing.T) {
 	m, registry := newTestMetrics()
 	work := dispatch.Work{Account: "strathallan"}
-	for _, u := range twoUpstreams[:2] {
-		grant, err := NewDispatcher(grantOf(u), m).Acquire(t.Context(), work)
+	for _, u := range testUpstreams[:2] {
+		grant, err := NewDispatcher(fixedDispatcher(u), m).Acquire(t.Context(), work)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +122,7 @@
 	})
 }
 
-func TestSpendingCountsLiveUpstreams(t *testing.T) {
+func TestUpstreamsReportsCountsAndPriceOfLive(t *testing.T) {
 	_, registry := newTestMetrics()
 	expect(t, registry, []expectation{
 		{"upstream_cents_per_hour", []string{"strathallan", "false"}, 300},
@@ -130,7 +132,7 @@
 	})
 }
 
-// waitingSteps answers a pull after a wait.
+// waitingSteps answers each pull without samples after the pull's wait.
 type waitingSteps struct{ entry.Steps }
 
 func (waitingSteps) Samples(_ context.Context, _ contract.Account, _ string, pull sample.Pull) ([]sample.Sample, error) {
@@ -138,7 +140,7 @@
 	return nil, nil
 }
 
-func TestTrainerIdleIsTheTimeOfPulls(t *testing.T) {
+func TestStepsRecordsDurationOfPulls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m, registry := newTestMetrics()
 		for range 2 {
--- a/internal/metrics/observe.go
+++ b/internal/metrics/observe.go
@@ -7,9 +7,9 @@
 	"dogwoodpond/internal/event"
 )
 
-// reported counts an accepted usage report. Count is the start of its window in
-// seconds since the Unix epoch.
-func (m *Metrics) reported(e event.Record) {
+// noteReport counts an accepted usage report. The Count of its event is the start of
+// the usage window in seconds since the Unix epoch.
+func (m *Metrics) noteReport(e event.Record) {
 	m.UsageReports.WithLabelValues(e.Account).Inc()
 	end := time.Unix(e.Count, 0).Add(m.usageWindow)
 	m.UsageDelay.Observe(time.UnixMicro(e.Stamp.WallMicros).Sub(end).Seconds())
@@ -18,7 +18,8 @@
 	}
 }
 
-// Observe counts an event. It is given to event.Recorder.Observe.
+// Observe updates the metrics that depend on an event. It is the observer to pass to
+// event.Recorder.Observe.
 func (m *Metrics) Observe(e event.Record) {
 	m.Events.WithLabelValues(e.Number.String()).Inc()
 	count := float64(e.Count)
@@ -36,7 +37,7 @@
 	case event.SamplesDelivered:
 		m.SamplesDelivered.WithLabelValues(e.Account).Add(count)
 	case event.UsageReported:
-		m.reported(e)
+		m.noteReport(e)
 	case event.UsageIncomplete:
 		m.UsageIncomplete.WithLabelValues(e.Account).Inc()
 	}
--- a/internal/metrics/steps.go
+++ b/internal/metrics/steps.go
@@ -9,20 +9,21 @@
 	"dogwoodpond/internal/sample"
 )
 
-// Steps measures how long trainers wait for the samples of other steps.
+// Steps measures how long trainers wait for samples. It forwards all other calls to the
+// embedded Steps.
 type Steps struct {
 	entry.Steps
 	metrics *Metrics
 }
 
-// NewSteps returns steps that measure next.
+// NewSteps returns a Steps that calls next and records the waits in m.
 func NewSteps(next entry.Steps, m *Metrics) *Steps { return &Steps{Steps: next, metrics: m} }
 
-// Samples implements entry.Steps. The time of a pull counts whether or not a
-// sample came: the trainer was idle.
+// Samples implements entry.Steps. It records the duration of each pull, also if the
+// pull returns no sample, because the trainer was idle.
 func (s *Steps) Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error) {
-	asked := time.Now()
+	started := time.Now()
 	samples, err := s.Steps.Samples(ctx, account, step, pull)
-	s.metrics.TrainerIdle.WithLabelValues(string(account)).Add(time.Since(asked).Seconds())
+	s.metrics.TrainerIdle.WithLabelValues(string(account)).Add(time.Since(started).Seconds())
 	return samples, err
 }
--- a/internal/metrics/upstreams.go
+++ b/internal/metrics/upstreams.go
@@ -8,21 +8,22 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Upstreams exposes the platform's list of upstreams as this VM sees it. All VMs
-// expose the same, so a fleet takes the maximum, not the sum.
+// Upstreams collects metrics of the platform's list of upstreams as this VM knows
+// it. All VMs expose the same list, so a query over a fleet must use the maximum, not
+// the sum.
 type Upstreams struct {
 	list     func() []platform.Upstream
 	count    *prometheus.Desc
 	spending *prometheus.Desc
 }
 
-// RegisterUpstreams registers the metrics of a list of upstreams.
+// RegisterUpstreams registers a collector of the upstreams that list returns.
 func RegisterUpstreams(registerer prometheus.Registerer, list func() []platform.Upstream) *Upstreams {
 	u := &Upstreams{
 		list: list,
 		count: prometheus.NewDesc(namespace+"_upstreams", "Upstreams in the platform's list.",
 			[]string{labelKind, labelState, labelReclaimable}, nil),
-		spending: prometheus.NewDesc(namespace+"_upstream_cents_per_hour", "Price of the live upstreams, by the account for which they were ordered.",
+		spending: prometheus.NewDesc(namespace+"_upstream_cents_per_hour", "Price of the live upstreams, by the client account for which they were ordered.",
 			[]string{labelAccount, labelReclaimable}, nil),
 	}
 	registerer.MustRegister(u)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -18,12 +18,12 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// callTimeout bounds the small calls; a generation has its own deadline.
+	// callTimeout limits all calls but Generate, which ends with its caller's context.
 	callTimeout = 2 * time.Second
-	// idleTime closes connections that were not used for a while.
-	idleTime = 30 * time.Second
-	// idlePerPeer bounds the kept connections to one peer.
-	idlePerPeer = 8
+	// idleTimeout is the time after which an unused connection is closed.
+	idleTimeout = 30 * time.Second
+	// maxIdlePerPeer is the largest number of idle connections to one peer.
+	maxIdlePerPeer = 8
 )
 
 // Client calls other VMs. It is safe for concurrent use.
@@ -33,14 +33,14 @@
 	pool    *drpcpool.Pool[string, *drpcconn.Conn]
 }
 
-// NewClient returns a client; Close frees its connections.
+// NewClient returns a client. The caller must close it with Close.
 func NewClient(events *event.Recorder, metrics *Metrics) *Client {
 	return &Client{
 		events:  events,
 		metrics: metrics,
 		pool: drpcpool.New[string, *drpcconn.Conn](drpcpool.Options{
-			Expiration:  idleTime,
-			KeyCapacity: idlePerPeer,
+			Expiration:  idleTimeout,
+			KeyCapacity: maxIdlePerPeer,
 		}),
 	}
 }
@@ -58,14 +58,14 @@
 	if err != nil {
 		return nil, err
 	}
-	return drpcconn.New(&countedConn{Conn: raw, bytes: c.metrics.bytes}), nil
+	return drpcconn.New(&countingConn{Conn: raw, bytes: c.metrics.bytes}), nil
 }
 
 func unavailable(address string) error {
 	return errors.WithStack(&fault.PeerUnavailable{VM: address})
 }
 
-// Exchange sends a digest and returns the peer's.
+// Exchange sends a digest to the peer at address and returns the peer's digest.
 func (c *Client) Exchange(ctx context.Context, address string, digest *peerpb.Digest) (*peerpb.Digest, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -73,39 +73,39 @@
 	if err != nil {
 		return nil, unavailable(address)
 	}
-	observe(c.events, reply.GetStamp())
+	observeStamp(c.events, reply.GetStamp())
 	return reply, nil
 }
 
-// FetchConfig asks for a snapshot newer than the revision after.
+// FetchConfig requests a snapshot that is newer than the revision after.
 func (c *Client) FetchConfig(ctx context.Context, address string, after uint64) (*peerpb.FetchConfigReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.peer(ctx, address).FetchConfig(ctx, &peerpb.FetchConfigRequest{Stamp: stamp(c.events), After: after})
+	reply, err := c.peer(ctx, address).FetchConfig(ctx, &peerpb.FetchConfigRequest{Stamp: wireStamp(c.events), After: after})
 	if err != nil {
 		return nil, unavailable(address)
 	}
-	observe(c.events, reply.GetStamp())
+	observeStamp(c.events, reply.GetStamp())
 	return reply, nil
 }
 
-// Events returns the peer's events that a query picks.
+// Events returns the events of the peer at address that match the query.
 func (c *Client) Events(ctx context.Context, address string, query event.Query) ([]event.Record, error) {
-	asked, err := json.Marshal(query)
+	encodedQuery, err := json.Marshal(query)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "event query"})
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.peer(ctx, address).Events(ctx, &peerpb.EventsRequest{Stamp: stamp(c.events), Query: asked})
+	reply, err := c.peer(ctx, address).Events(ctx, &peerpb.EventsRequest{Stamp: wireStamp(c.events), Query: encodedQuery})
 	if err != nil {
 		return nil, unavailable(address)
 	}
-	observe(c.events, reply.GetStamp())
+	observeStamp(c.events, reply.GetStamp())
 	records := make([]event.Record, 0, len(reply.GetRecords()))
-	for _, text := range reply.GetRecords() {
+	for _, encoded := range reply.GetRecords() {
 		var record event.Record
-		if err := json.Unmarshal(text, &record); err != nil {
+		if err := json.Unmarshal(encoded, &record); err != nil {
 			return nil, unavailable(address)
 		}
 		records = append(records, record)
@@ -113,17 +113,18 @@
 	return records, nil
 }
 
-// Generate runs a generation on a peer's upstreams.
+// Generate runs a generation on the upstreams of the peer at address. A failure
+// that the peer reported is a *fault.Remote.
 func (c *Client) Generate(ctx context.Context, address string, request generate.Request) (generate.Result, error) {
-	text, err := json.Marshal(request)
+	encoded, err := json.Marshal(request)
 	if err != nil {
 		return generate.Result{}, errors.WithStack(&fault.Internal{Where: "generation"})
 	}
-	reply, err := c.peer(ctx, address).Generate(ctx, &peerpb.GenerateRequest{Stamp: stamp(c.events), Generation: text})
+	reply, err := c.peer(ctx, address).Generate(ctx, &peerpb.GenerateRequest{Stamp: wireStamp(c.events), Generation: encoded})
 	if err != nil {
 		return generate.Result{}, unavailable(address)
 	}
-	observe(c.events, reply.GetStamp())
+	observeStamp(c.events, reply.GetStamp())
 	if reply.GetCode() != "" {
 		return generate.Result{}, errors.WithStack(&fault.Remote{
 			VM:         address,
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -15,33 +15,38 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Fleet answers operators' questions about all VMs. It implements
+// Fleet collects the revisions and events of all VMs for operators. It implements
 // operator.Fleet.
 type Fleet struct {
 	gossip *Gossip
 	client *Client
 	view   *contract.View
 	events *event.Recorder
-	// asking is true while a round of asks runs.
-	asking atomic.Bool
+	// exchanging is true while exchanges of exchangeAll run and in the pause after
+	// them.
+	exchanging atomic.Bool
 }
 
-// NewFleet returns a fleet over the gossip's knowledge.
+// NewFleet returns a Fleet that reads the peers' digests from gossip and calls the
+// peers with client.
 func NewFleet(gossip *Gossip, client *Client, view *contract.View, events *event.Recorder) *Fleet {
 	return &Fleet{gossip: gossip, client: client, view: view, events: events}
 }
 
-// asksAtOnce bounds the direct asks that wait for an answer.
-const asksAtOnce = 16
+// maxConcurrentCalls is the largest number of concurrent calls to peers in one
+// operation.
+const maxConcurrentCalls = 16
 
-// InForce implements operator.Fleet. It lists the platform's VMs and this one.
+// InForce implements operator.Fleet. It returns the known revisions of this VM and
+// of the VMs in the platform's list.
 //
-// Digests reach each VM only now and then, so that waiting for them would keep
-// an edit's answer open longer than the edit takes. VMs that are not known to
-// have this VM's revision are asked directly meanwhile, and learn of the
-// revision by the ask; a later call returns what they said.
+// Digests from a given VM arrive rarely, so the answer to an edit would take longer
+// than the edit itself if it waited for them. InForce therefore starts exchanges
+// with all VMs that are not known to have this VM's revision and returns without
+// waiting. An exchange also informs the peer of the revision; a later call
+// returns the results.
 func (f *Fleet) InForce() []operator.VMRevision {
-	heard := f.gossip.Known()
+	known := f.gossip.Known()
 	self := f.gossip.self
 	revision := f.view.Load().Revision
 	list := []operator.VMRevision{{
@@ -51,44 +56,46 @@
 		Draining:      f.gossip.draining(),
 		Known:         true,
 	}}
-	var behind []target
+	var outdated []target
 	for _, vm := range f.gossip.VMs() {
 		if vm.ID == self.VM {
 			continue
 		}
-		r := revisionOf(vm, heard)
+		r := revisionOf(vm, known)
 		if !r.Known || r.Revision < revision {
-			behind = append(behind, target{vm: vm.ID, address: vm.PeerAddress})
+			outdated = append(outdated, target{vm: vm.ID, address: vm.PeerAddress})
 		}
 		list = append(list, r)
 	}
-	f.ask(behind)
+	f.exchangeAll(outdated)
 	return list
 }
 
-// ask exchanges digests with the VMs, unless an earlier round still runs.
-func (f *Fleet) ask(targets []target) {
-	if len(targets) == 0 || !f.asking.CompareAndSwap(false, true) {
+// exchangeAll starts exchanges with the targets in the background, unless exchanges of
+// an earlier call still run or have just ended.
+func (f *Fleet) exchangeAll(targets []target) {
+	if len(targets) == 0 || !f.exchanging.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer f.asking.Store(false)
-		var round errgroup.Group
-		round.SetLimit(asksAtOnce)
+		defer f.exchanging.Store(false)
+		var group errgroup.Group
+		group.SetLimit(maxConcurrentCalls)
 		for _, to := range targets {
-			round.Go(func() error { return f.gossip.exchange(context.Background(), to) })
+			group.Go(func() error { return f.gossip.exchange(context.Background(), to) })
 		}
-		_ = round.Wait()
-		time.Sleep(askPause)
+		_ = group.Wait()
+		time.Sleep(minExchangePause)
 	}()
 }
 
-// askPause is the least time between two rounds of asks.
-const askPause = 100 * time.Millisecond
+// minExchangePause is the shortest time between the exchanges of two calls of
+// exchangeAll.
+const minExchangePause = 100 * time.Millisecond
 
-func revisionOf(vm platform.VM, heard map[string]Known) operator.VMRevision {
+func revisionOf(vm platform.VM, known map[string]Known) operator.VMRevision {
 	r := operator.VMRevision{VM: vm.ID, FailureDomain: vm.FailureDomain}
-	k, ok := heard[vm.ID]
+	k, ok := known[vm.ID]
 	if !ok {
 		return r
 	}
@@ -99,18 +106,19 @@
 	return r
 }
 
-// Events implements operator.Fleet.
+// Events implements operator.Fleet. It returns the matching events of all VMs in
+// the order of their stamps, and the IDs of the VMs that did not answer.
 func (f *Fleet) Events(ctx context.Context, query event.Query) ([]event.Record, []string) {
 	records := f.events.Select(query)
 	missing := []string{}
 	var mu sync.Mutex
-	var asks errgroup.Group
-	asks.SetLimit(asksAtOnce)
+	var calls errgroup.Group
+	calls.SetLimit(maxConcurrentCalls)
 	for _, vm := range f.gossip.VMs() {
 		if vm.ID == f.gossip.self.VM {
 			continue
 		}
-		asks.Go(func() error {
+		calls.Go(func() error {
 			got, err := f.client.Events(ctx, vm.PeerAddress, query)
 			mu.Lock()
 			defer mu.Unlock()
@@ -122,7 +130,7 @@
 			return nil
 		})
 	}
-	_ = asks.Wait()
+	_ = calls.Wait()
 	slices.SortStableFunc(records, byStamp)
 	return records, missing
 }
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -19,15 +19,16 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Identity names a VM to its peers.
+// Identity identifies a VM to its peers.
 type Identity struct {
 	VM            string
 	FailureDomain string
 	PeerAddress   string
 }
 
-// Gossip exchanges one digest a period with a peer, mostly of its own cell, and
-// now and then with any other. What it costs a VM does not grow with the fleet.
+// Gossip exchanges digests with one peer in each period: usually a peer of its own
+// cell, sometimes a random VM of the fleet. The cost per VM does not grow with the
+// size of the fleet.
 type Gossip struct {
 	self        Identity
 	incarnation string
@@ -36,9 +37,9 @@
 	client      *Client
 	period      time.Duration
 	draining    func() bool
-	// onRevision is called when a peer knows a newer revision.
+	// onRevision is called when a peer has a newer configuration revision.
 	onRevision  func()
-	ager        func() time.Duration
+	configAge   func() time.Duration
 	demand      func() []dispatch.FlowDemand
 	unreachable func() []uint32
 	metrics     *Metrics
@@ -49,44 +50,51 @@
 
 	mu    sync.Mutex
 	peers map[string]*peerState
-	// sentFlows are the own demands as the latest digest told them; the own part
-	// is computed from them, so that all VMs compute from the same figures.
+	// sentFlows are the demands in this VM's latest digest. Members returns these
+	// demands instead of the current ones, so that all VMs compute quotas from the
+	// same data.
 	sentFlows []dispatch.FlowDemand
-	// sentUnreachable is kept for the same reason, and because asking the
-	// dispatcher from within Members would wait for itself.
+	// sentUnreachable are the unreachable engines in this VM's latest digest. It is
+	// stored for the same reason, and because a call to the dispatcher from within
+	// Members would deadlock.
 	sentUnreachable []uint32
-	// pokedAt is when a digest last caused a read of the revision.
-	pokedAt time.Time
-	// round holds the addresses of the cell that this round has yet to ask.
+	// revisionReadAt is when a digest last caused a read of the revision.
+	revisionReadAt time.Time
+	// round holds the peers of the cell that remain in the present round.
 	round []target
-	turn  int
+	// exchangeCount is the number of calls of partner.
+	exchangeCount int
 }
 
-// target is a peer to exchange with.
+// target is a peer to exchange digests with; vm is empty for a seed.
 type target struct {
 	vm      string
 	address string
 }
 
-// GossipConfig holds what a Gossip is built from.
+// GossipConfig holds the settings and dependencies of a Gossip.
 type GossipConfig struct {
-	Self       Identity
-	Seeds      []string
-	Period     time.Duration
-	Events     *event.Recorder
-	View       *contract.View
-	Client     *Client
-	Draining   func() bool
+	Self Identity
+	// Seeds are the peer addresses to use while the platform's list is unknown.
+	Seeds []string
+	// Period is the time between two exchanges.
+	Period   time.Duration
+	Events   *event.Recorder
+	View     *contract.View
+	Client   *Client
+	Draining func() bool
+	// OnRevision is called when a peer has a newer configuration revision.
 	OnRevision func()
-	Age        func() time.Duration
-	// Demand returns the VM's demands, the greatest first.
+	// Age returns the time since the configuration was last known to be current.
+	Age func() time.Duration
+	// Demand returns the VM's demands, the largest first.
 	Demand func() []dispatch.FlowDemand
-	// Unreachable returns the engines that do not answer this VM.
+	// Unreachable returns the hashed IDs of the engines that do not answer this VM.
 	Unreachable func() []uint32
 	Metrics     *Metrics
 }
 
-// NewGossip returns a gossip that knows no peer but the seeds.
+// NewGossip returns a Gossip that knows no peers except the seeds.
 func NewGossip(c GossipConfig) *Gossip {
 	g := &Gossip{
 		self:        c.Self,
@@ -97,7 +105,7 @@
 		period:      c.Period,
 		draining:    c.Draining,
 		onRevision:  c.OnRevision,
-		ager:        c.Age,
+		configAge:   c.Age,
 		demand:      c.Demand,
 		unreachable: c.Unreachable,
 		metrics:     c.Metrics,
@@ -108,10 +116,11 @@
 	return g
 }
 
-// Incarnation tells this process from earlier ones of the same VM.
+// Incarnation returns the ID that distinguishes this process from earlier processes
+// of the same VM.
 func (g *Gossip) Incarnation() string { return g.incarnation }
 
-// SetVMs puts the platform's latest list in force.
+// SetVMs replaces the list of VMs by the platform's latest list.
 func (g *Gossip) SetVMs(vms []platform.VM) {
 	ids := make(map[string]bool, len(vms))
 	for _, vm := range vms {
@@ -120,20 +129,20 @@
 	g.vms.Store(&vmList{vms: vms, ids: ids})
 }
 
-// VMs returns the platform's latest list.
+// VMs returns the platform's latest list of VMs.
 func (g *Gossip) VMs() []platform.VM { return g.vms.Load().vms }
 
-// vmList is the platform's list with its names.
+// vmList is the platform's list of VMs with the set of their IDs.
 type vmList struct {
 	vms []platform.VM
 	ids map[string]bool
 }
 
-// Digest returns the VM's own digest.
+// Digest returns a new digest of this VM.
 func (g *Gossip) Digest() *peerpb.Digest {
 	flows := g.demand()
 	flows = flows[:min(maxFlows, len(flows))]
-	unreachable := firstOf(g.unreachable(), maxUnreachable)
+	unreachable := truncate(g.unreachable(), maxUnreachable)
 	g.mu.Lock()
 	g.sentFlows = flows
 	g.sentUnreachable = unreachable
@@ -143,92 +152,96 @@
 		FailureDomain:     g.self.FailureDomain,
 		Incarnation:       g.incarnation,
 		Sequence:          g.sequence.Add(1),
-		Stamp:             stamp(g.events),
+		Stamp:             wireStamp(g.events),
 		Revision:          uint64(g.view.Load().Revision),
-		RevisionAgeMillis: g.ager().Milliseconds(),
+		RevisionAgeMillis: g.configAge().Milliseconds(),
 		Draining:          g.draining(),
-		Flows:             writeFlows(flows),
+		Flows:             encodeFlows(flows),
 		Unreachable:       unreachable,
 	}
-	g.metrics.sent(d)
+	g.metrics.noteSent(d)
 	return d
 }
 
-// maxUnreachable bounds the unreachable engines in a digest.
+// maxUnreachable is the largest number of unreachable engines in a digest.
 const maxUnreachable = 8
 
-func firstOf(list []uint32, most int) []uint32 { return list[:min(most, len(list))] }
+func truncate(list []uint32, limit int) []uint32 { return list[:min(limit, len(list))] }
 
-// Receive takes a peer's digest.
+// Receive processes a peer's digest. It ignores digests without a valid name and
+// digests of this VM.
 func (g *Gossip) Receive(d *peerpb.Digest) {
 	name := d.GetVm()
 	if name == "" || name == g.self.VM || len(name) > maxName {
 		return
 	}
 	now := time.Now()
-	fresh := g.keep(d, now)
-	g.metrics.received(fresh)
-	if fresh && d.GetRevision() > uint64(g.view.Load().Revision) && g.mayPoke(now) {
+	accepted := g.accept(d, now)
+	g.metrics.noteReceived(accepted)
+	if accepted && d.GetRevision() > uint64(g.view.Load().Revision) && g.mayReadRevision(now) {
 		g.onRevision()
 	}
 }
 
-// mayPoke limits what digests can cause at the store: a wrong one that names a
-// revision which does not exist would else cost a read each time that it comes.
-func (g *Gossip) mayPoke(now time.Time) bool {
+// mayReadRevision limits the reads of the store that digests cause to one in each
+// period. Otherwise, each digest with a revision that does not exist would cause a
+// read.
+func (g *Gossip) mayReadRevision(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.pokedAt.IsZero() && now.Sub(g.pokedAt) < g.period {
+	if !g.revisionReadAt.IsZero() && now.Sub(g.revisionReadAt) < g.period {
 		return false
 	}
-	g.pokedAt = now
+	g.revisionReadAt = now
 	return true
 }
 
-// keep keeps a digest unless it is older than the known one of its sender: a
-// delayed, doubled or replayed digest must not bring back a past state.
-func (g *Gossip) keep(d *peerpb.Digest, now time.Time) bool {
+// accept stores a digest and reports whether it did. It drops a digest that is not
+// newer than the known digest of its sender: a delayed, duplicated or replayed
+// digest must not restore an old state.
+func (g *Gossip) accept(d *peerpb.Digest, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	state, ok := g.peers[d.GetVm()]
 	if !ok {
-		state = &peerState{since: now}
+		state = &peerState{firstSeen: now}
 		g.peers[d.GetVm()] = state
 	}
-	if state.digest != nil && !follows(d, state) {
+	if state.digest != nil && !supersedes(d, state) {
 		return false
 	}
-	state.digest, state.heardAt, state.failures = d, now, 0
-	g.judge(d.GetVm(), state, false)
+	state.digest, state.receivedAt, state.failures = d, now, 0
+	g.setUnresponsive(d.GetVm(), state, false)
 	return true
 }
 
-// follows reports whether a digest is later than the known one. Digests of one
-// incarnation are numbered; between incarnations the hybrid clock decides,
-// unless the known one is silent: then the clock of its successor may have been
-// set back.
-func follows(d *peerpb.Digest, state *peerState) bool {
+// supersedes reports whether d is newer than the known digest of its sender. Digests
+// of one incarnation are ordered by sequence, digests of different incarnations by
+// the hybrid clock. If the sender is marked unresponsive, a digest of another
+// incarnation always supersedes the known one, because the clock may have been set
+// back before the restart.
+func supersedes(d *peerpb.Digest, state *peerState) bool {
 	if state.digest.GetIncarnation() == d.GetIncarnation() {
 		return d.GetSequence() > state.digest.GetSequence()
 	}
-	return state.silent || fromWire(state.digest.GetStamp()).Before(fromWire(d.GetStamp()))
+	return state.unresponsive || fromWire(state.digest.GetStamp()).Before(fromWire(d.GetStamp()))
 }
 
-// Known returns the latest digests of all peers by VM.
+// Known returns the latest digest of each peer by VM.
 func (g *Gossip) Known() map[string]Known {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	all := make(map[string]Known, len(g.peers))
 	for id, state := range g.peers {
 		if state.digest != nil {
-			all[id] = Known{Digest: state.digest, HeardAt: state.heardAt}
+			all[id] = Known{Digest: state.digest, HeardAt: state.receivedAt}
 		}
 	}
 	return all
 }
 
-// Addresses returns the addresses of the other VMs, or the seeds while the
-// list is empty.
+// Addresses returns the addresses of the other VMs in the platform's list, or the
+// seeds if there are none.
 func (g *Gossip) Addresses() []string {
 	var addresses []string
 	for _, vm := range g.VMs() {
@@ -242,22 +255,23 @@
 	return addresses
 }
 
-// exchangesAtOnce bounds the exchanges that wait for an answer.
-const exchangesAtOnce = 4
+// maxConcurrentExchanges is the largest number of concurrent exchanges of Run. An
+// exchange that would exceed it is skipped.
+const maxConcurrentExchanges = 4
 
-// Run exchanges digests until ctx ends.
+// Run exchanges digests with one peer in each period until ctx ends.
 func (g *Gossip) Run(ctx context.Context) {
 	ticker := time.NewTicker(g.period)
 	defer ticker.Stop()
 	var exchanges errgroup.Group
-	exchanges.SetLimit(exchangesAtOnce)
+	exchanges.SetLimit(maxConcurrentExchanges)
 	for {
 		select {
 		case <-ctx.Done():
 			_ = exchanges.Wait()
 			return
 		case <-ticker.C:
-			g.review(time.Now())
+			g.updateStates(time.Now())
 			if to, ok := g.partner(); ok {
 				exchanges.TryGo(func() error { return g.exchange(ctx, to) })
 			}
@@ -265,16 +279,16 @@
 	}
 }
 
-// partner returns the next peer to exchange with: each of the own cell once a
-// round in a random order, and every so often a random other.
+// partner returns the next peer to exchange with: each peer of the cell once in a
+// round, in random order, and a random peer in every randomPeerEvery-th call.
 func (g *Gossip) partner() (target, bool) {
-	g.turn++
-	mates := g.cellMates()
-	if g.turn%strangerEvery == 0 || len(mates) == 0 {
-		return g.stranger()
+	g.exchangeCount++
+	cell := g.cellPeers()
+	if g.exchangeCount%randomPeerEvery == 0 || len(cell) == 0 {
+		return g.randomPeer()
 	}
 	if len(g.round) == 0 {
-		for _, vm := range mates {
+		for _, vm := range cell {
 			g.round = append(g.round, target{vm: vm.ID, address: vm.PeerAddress})
 		}
 		rand.Shuffle(len(g.round), func(i, j int) { g.round[i], g.round[j] = g.round[j], g.round[i] })
@@ -284,8 +298,9 @@
 	return next, true
 }
 
-// stranger returns a random peer, or a random seed while no list is known.
-func (g *Gossip) stranger() (target, bool) {
+// randomPeer returns a random VM of the platform's list, or a random seed if the list
+// has no other VM.
+func (g *Gossip) randomPeer() (target, bool) {
 	var others []target
 	for _, vm := range g.VMs() {
 		if vm.ID != g.self.VM {
@@ -303,7 +318,8 @@
 	return others[rand.IntN(len(others))], true
 }
 
-// exchange swaps digests with a peer. A peer that does not answer is noted.
+// exchange sends this VM's digest to a peer and processes the peer's digest. It always
+// returns nil: if the peer does not answer, it counts the failure in the peer's state.
 func (g *Gossip) exchange(ctx context.Context, to target) error {
 	reply, err := g.client.Exchange(ctx, to.address, g.Digest())
 	if err == nil {
@@ -318,33 +334,35 @@
 	return nil
 }
 
-// configAsks is how many peers are asked for the configuration.
-const configAsks = 3
+// maxConfigPeers is the number of peers that FetchConfig calls.
+const maxConfigPeers = 3
 
-// FetchConfig asks several random peers for a newer snapshot and returns the
-// newest, and the age of the youngest knowledge among them.
+// FetchConfig calls several random peers and returns their newest snapshot, or nil
+// if none is newer than the revision after. The duration is the shortest time since
+// one of these peers last knew its configuration to be current. FetchConfig fails if
+// no peer answers.
 func (g *Gossip) FetchConfig(ctx context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error) {
 	addresses := g.Addresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	var newest *contract.Snapshot
 	var age time.Duration
-	failure := unavailable("every peer")
-	for _, address := range addresses[:min(configAsks, len(addresses))] {
+	failure := unavailable("any peer")
+	for _, address := range addresses[:min(maxConfigPeers, len(addresses))] {
 		reply, err := g.client.FetchConfig(ctx, address, uint64(after))
 		if err != nil {
 			continue
 		}
-		snapshot, err := readSnapshot(reply.GetSnapshot())
+		snapshot, err := decodeSnapshot(reply.GetSnapshot())
 		if err != nil {
 			continue
 		}
 		replyAge := time.Duration(reply.GetRevisionAgeMillis()) * time.Millisecond
-		if newer(snapshot, newest) {
+		if isNewer(snapshot, newest) {
 			newest = snapshot
 		}
-		// Each peer knew that no revision beyond its own was accepted, and the
-		// newest snapshot holds whatever any of them holds. So the youngest
-		// knowledge counts, whoever has it.
+		// Each peer knew replyAge ago that no revision newer than its own existed,
+		// and the newest snapshot includes the revisions of all these peers. So the
+		// shortest age applies to the newest snapshot, whichever peer returned it.
 		if failure != nil || replyAge < age {
 			age = replyAge
 		}
@@ -353,18 +371,18 @@
 	return newest, age, failure
 }
 
-func newer(a, b *contract.Snapshot) bool {
+func isNewer(a, b *contract.Snapshot) bool {
 	if a == nil || b == nil {
 		return a != nil
 	}
 	return a.Revision > b.Revision
 }
 
-func readSnapshot(text []byte) (*contract.Snapshot, error) {
-	if len(text) == 0 {
+func decodeSnapshot(encoded []byte) (*contract.Snapshot, error) {
+	if len(encoded) == 0 {
 		return nil, nil
 	}
 	snapshot := contract.Empty()
-	err := json.Unmarshal(text, snapshot)
+	err := json.Unmarshal(encoded, snapshot)
 	return snapshot, err
 }
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -19,13 +19,14 @@
 
 const testPeriod = time.Second
 
-// testNode is a gossip whose demand and pokes a test sees.
+// testNode is a Gossip whose demand a test sets in flows. It counts the calls of
+// OnRevision.
 type testNode struct {
 	*Gossip
-	view   *contract.View
-	events *event.Recorder
-	pokes  int
-	flows  []dispatch.FlowDemand
+	view          *contract.View
+	events        *event.Recorder
+	revisionReads int
+	flows         []dispatch.FlowDemand
 }
 
 func newTestNode(vm, domain string, period time.Duration) *testNode {
@@ -38,17 +39,18 @@
 		View:       n.view,
 		Client:     NewClient(n.events, metrics),
 		Draining:   func() bool { return false },
-		OnRevision: func() { n.pokes++ },
+		OnRevision: func() { n.revisionReads++ },
 		Age:        func() time.Duration { return 0 },
 		Demand:     func() []dispatch.FlowDemand { return n.flows },
-		// As many as a digest may name, so that its size is the largest.
+		// The largest number that a digest may contain, so that the digest has its
+		// largest size.
 		Unreachable: func() []uint32 { return []uint32{1, 2, 3, 4, 5, 6, 7, 1 << 31} },
 		Metrics:     metrics,
 	})
 	return n
 }
 
-func list(vms ...string) []platform.VM {
+func listVMs(vms ...string) []platform.VM {
 	var all []platform.VM
 	for _, vm := range vms {
 		all = append(all, platform.VM{ID: vm, FailureDomain: "a", State: platform.VMLive})
@@ -56,12 +58,12 @@
 	return all
 }
 
-func wants(slots uint32) []*peerpb.FlowDemand {
+func demandFor(slots uint32) []*peerpb.FlowDemand {
 	return []*peerpb.FlowDemand{{Pool: 1, Account: 2, Share: 100, Waiting: slots}}
 }
 
-// waiting returns what the node believes that a peer asks for; -1 if the peer
-// takes no part.
+// waiting returns the number of queued requests that the node knows of a peer, or -1
+// if the peer is not a member.
 func (n *testNode) waiting(vm string) int {
 	for _, m := range n.Members() {
 		if m.VM == vm {
@@ -84,31 +86,31 @@
 	return found
 }
 
-// The network delivers a digest twice, late, or again after hours, also one of
-// a process that has been replaced since. A past demand that came back would
-// move slots away from those who need them.
-func TestOldDigestsChangeNothing(t *testing.T) {
+// The network may duplicate, delay or replay a digest, also a digest of an earlier
+// incarnation of the peer. An old demand must not replace the current demand, or
+// slots would go to a VM that does not need them.
+func TestReceiveDropsOldDigests(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
-	n.SetVMs(list("vm-a1", "vm-a2"))
+	n.SetVMs(listVMs("vm-a1", "vm-a2"))
 	old := newTestNode("vm-a2", "a", testPeriod).Digest()
-	old.Flows = wants(900)
+	old.Flows = demandFor(900)
 	peer := newTestNode("vm-a2", "a", testPeriod)
 	first, second := peer.Digest(), peer.Digest()
-	first.Flows, second.Flows = wants(50), wants(3)
+	first.Flows, second.Flows = demandFor(50), demandFor(3)
 	for _, d := range []*peerpb.Digest{second, first, second, old, first, old} {
 		n.Receive(d)
 	}
 	if got := n.waiting("vm-a2"); got != 3 {
-		t.Fatalf("the peer seems to want %d slots, its latest digest says 3", got)
+		t.Fatalf("the peer has %d queued requests, want the 3 of its latest digest", got)
 	}
 }
 
-// A defective peer claims a huge demand and share for many accounts, and a
-// revision that does not exist. It may gain fairness at most, until its next
-// digest; it must not make every VM read the store again and again.
-func TestWrongDigestIsBounded(t *testing.T) {
+// A defective peer sends a huge demand and share for many accounts, and a revision
+// that does not exist. This may distort fairness until its next digest, within
+// limits, but must not make VMs read the store for each digest.
+func TestReceiveLimitsWrongDigest(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
-	n.SetVMs(list("vm-a1", "vm-a2"))
+	n.SetVMs(listVMs("vm-a1", "vm-a2"))
 	peer := newTestNode("vm-a2", "a", testPeriod)
 	for range 100 {
 		wrong := peer.Digest()
@@ -118,70 +120,70 @@
 		}
 		n.Receive(wrong)
 	}
-	if n.pokes != 1 {
-		t.Errorf("the wrong revision caused %d reads within a period", n.pokes)
+	if n.revisionReads != 1 {
+		t.Errorf("the wrong revision caused %d reads within a period, want 1", n.revisionReads)
 	}
 	for _, m := range n.Members() {
 		if len(m.Flows) > maxFlows {
-			t.Errorf("%d demands were believed", len(m.Flows))
+			t.Errorf("%d demands were accepted, more than the limit", len(m.Flows))
 		}
 		for _, f := range m.Flows {
 			if f.Share > maxShare || f.Waiting > maxSlots || f.InFlight > maxSlots {
-				t.Errorf("believed %+v", f)
+				t.Errorf("accepted %+v, which exceeds a limit", f)
 			}
 		}
 	}
 	right := peer.Digest()
-	right.Flows = wants(1)
+	right.Flows = demandFor(1)
 	n.Receive(right)
 	if got := n.waiting("vm-a2"); got != 1 {
-		t.Errorf("after the next digest the peer seems to want %d", got)
+		t.Errorf("after the next digest the peer has %d queued requests, want 1", got)
 	}
 }
 
-// All digests of a peer are lost, or the peer has died while the platform's list
-// still shows it. Its part of the engines must go to the others after a bound,
-// and come back with its first digest.
-func TestSilentPeerLosesItsPartAfterABound(t *testing.T) {
+// All digests of a peer are lost, or the peer is dead but still in the platform's
+// list. Its quotas must go to the other VMs after a timeout, and return with its
+// next digest.
+func TestPeerWithoutDigestsIsUnresponsiveAfterTimeout(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
-	n.SetVMs(list("vm-a1", "vm-a2", "vm-a3"))
+	n.SetVMs(listVMs("vm-a1", "vm-a2", "vm-a3"))
 	peer := newTestNode("vm-a2", "a", testPeriod)
 	now := time.Now()
 	n.Receive(peer.Digest())
-	n.review(now)
-	bound := silenceBound(testPeriod, 2)
-	if bound > 10*time.Second {
-		t.Fatalf("the bound is %v", bound)
+	n.updateStates(now)
+	timeout := unresponsiveTimeout(testPeriod, 2)
+	if timeout > 10*time.Second {
+		t.Fatalf("the timeout is %v, want at most 10s", timeout)
 	}
-	n.review(now.Add(bound - time.Second))
+	n.updateStates(now.Add(timeout - time.Second))
 	if n.waiting("vm-a2") < 0 {
-		t.Fatal("the part was taken before the bound")
+		t.Fatal("the peer was removed from the members before the timeout")
 	}
-	n.review(now.Add(bound + time.Second))
+	n.updateStates(now.Add(timeout + time.Second))
 	if n.waiting("vm-a2") >= 0 {
-		t.Fatal("the part is still kept after the bound")
+		t.Fatal("the peer is still a member after the timeout")
 	}
 	if n.count(event.PeerSilent) != 2 {
-		t.Errorf("%d events tell of the two silent peers", n.count(event.PeerSilent))
+		t.Errorf("%d events of unresponsive peers, want 2", n.count(event.PeerSilent))
 	}
 	n.Receive(peer.Digest())
 	if n.waiting("vm-a2") < 0 || n.count(event.PeerReturned) != 1 {
-		t.Error("the peer did not return with its digest")
+		t.Error("the peer is not a member again after its digest")
 	}
 }
 
-// A VM has died and refuses connections, while the platform's list lags. Failed
-// exchanges tell so before the bound of silence.
-func TestPeerThatRefusesExchangesIsSilentAtOnce(t *testing.T) {
+// A VM is dead and connections to it are refused, but it is still in the platform's
+// list. Failed exchanges must mark it unresponsive before the timeout.
+func TestPeerIsUnresponsiveAfterFailedExchanges(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
 	n.SetVMs([]platform.VM{{ID: "vm-a2", FailureDomain: "a", PeerAddress: closedAddress(t)}})
-	n.review(time.Now())
-	for range failuresUntilSilent {
+	n.updateStates(time.Now())
+	for range failuresUntilUnresponsive {
 		_ = n.exchange(t.Context(), target{vm: "vm-a2", address: n.VMs()[0].PeerAddress})
 	}
-	n.review(time.Now())
+	n.updateStates(time.Now())
 	if n.waiting("vm-a2") >= 0 {
-		t.Fatal("the dead peer keeps its part")
+		t.Fatal("the dead peer is still a member")
 	}
 }
 
@@ -194,36 +196,36 @@
 	return listener.Addr().String()
 }
 
-// A VM has started and talks to its peers, but the platform's list does not show
-// it yet. It takes part, and is forgotten again if it vanishes unlisted.
-func TestUnlistedPeerTakesPartWhileItIsHeard(t *testing.T) {
+// A VM has started and sends digests, but is not in the platform's list yet. It must
+// be a member, and be deleted if its digests stop before it is listed.
+func TestUnlistedPeerIsMemberWhileItSendsDigests(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
 	n.Receive(newTestNode("vm-a9", "a", testPeriod).Digest())
 	if n.waiting("vm-a9") < 0 {
-		t.Fatal("the new VM takes no part")
+		t.Fatal("the new VM is not a member")
 	}
-	n.review(time.Now().Add(time.Minute))
+	n.updateStates(time.Now().Add(time.Minute))
 	if n.waiting("vm-a9") >= 0 || len(n.peers) != 0 {
-		t.Fatal("the vanished VM is still kept")
+		t.Fatal("the state of the dead unlisted VM still exists")
 	}
 }
 
-// Digests must stay small with however many accounts and models: they are sent
-// every second by every VM.
-func TestDigestStaysSmall(t *testing.T) {
+// Every VM sends a digest every second, so digests must stay small with any number
+// of accounts and models.
+func TestDigestSizeIsLimited(t *testing.T) {
 	n := newTestNode("vm-tayside-a-017", "tayside-north-a", testPeriod)
 	for i := range 300 {
 		n.flows = append(n.flows, dispatch.FlowDemand{Pool: uint32(i) << 20, Account: uint32(i) << 20, Share: 10000, InFlight: 4000, Waiting: 4000})
 	}
 	d := n.Digest()
 	if size := proto.Size(d); size > 400 {
-		t.Fatalf("a digest has %d bytes", size)
+		t.Fatalf("a digest has %d bytes, want at most 400", size)
 	}
 }
 
-// The fleet grows from 30 to 390 VMs. A VM still sends one digest in each period,
-// and hears each VM of its cell as often as before.
-func TestPartnersAreFewInALargeFleet(t *testing.T) {
+// When the fleet grows from 30 to 390 VMs, a VM must still exchange one digest in each
+// period, and exchange with each VM of its cell as often as before.
+func TestPartnerRotatesThroughCellInLargeFleet(t *testing.T) {
 	for _, size := range []int{30, 390} {
 		n := newTestNode("vm-000", "d0", testPeriod)
 		var vms []platform.VM
@@ -231,43 +233,44 @@
 			vms = append(vms, platform.VM{ID: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7), PeerAddress: fmt.Sprint(i)})
 		}
 		n.SetVMs(vms)
-		asked := map[string]int{}
+		exchanges := map[string]int{}
 		const periods = 120
 		for range periods {
 			to, _ := n.partner()
-			asked[to.vm]++
+			exchanges[to.vm]++
 		}
-		mates := n.cellMates()
-		for _, m := range mates {
-			if asked[m.ID] < periods*3/4/(len(mates)+1) {
-				t.Errorf("of %d VMs the mate %s was asked %d times in %d periods", size, m.ID, asked[m.ID], periods)
+		cell := n.cellPeers()
+		for _, m := range cell {
+			if exchanges[m.ID] < periods*3/4/(len(cell)+1) {
+				t.Errorf("fleet of %d VMs: cell peer %s had %d exchanges in %d periods", size, m.ID, exchanges[m.ID], periods)
 			}
 		}
-		if len(mates) > 2*8 {
-			t.Errorf("a cell of %d VMs", len(mates))
+		if len(cell) > 2*8 {
+			t.Errorf("the cell has %d peers, want at most 16", len(cell))
 		}
 	}
 }
 
-// serveNode lets a node answer on loopback and returns its address.
+// serveNode starts a server for the node on the loopback interface and returns its
+// address.
 func serveNode(ctx context.Context, t *testing.T, n *testNode) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := NewServer(n.events, n.view, ageZero{}, nil, n.Gossip)
+	server := NewServer(n.events, n.view, zeroAge{}, nil, n.Gossip)
 	go func() { _ = server.Serve(ctx, listener) }()
 	return listener.Addr().String()
 }
 
-type ageZero struct{}
+type zeroAge struct{}
 
-func (ageZero) Age() time.Duration { return 0 }
+func (zeroAge) Age() time.Duration { return 0 }
 
-// An operator edits a contract in a fleet where each VM hears each other only
-// once in many minutes. The answer must name where the edit is in force without
-// waiting for chance; a VM that does not answer must be named as not confirmed.
-func TestAnswerOfAnEditAsksTheVMsDirectly(t *testing.T) {
+// In a large fleet, a VM receives a digest of a given other VM only once in many
+// minutes. The answer to an operator's edit must still tell soon where the edit is
+// in force, and a VM that does not answer must not count as confirmed.
+func TestInForceExchangesWithOutdatedVMs(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	n := newTestNode("vm-000", "a", time.Hour)
@@ -298,8 +301,9 @@
 	t.Fatalf("%d of %d VMs confirmed", confirmed, size)
 }
 
-// fullNode is a node that has heard all of 390 VMs.
-func fullNode() *testNode {
+// newLargeFleetNode returns a node that has received digests of all 390 VMs of a
+// fleet.
+func newLargeFleetNode() *testNode {
 	n := newTestNode("vm-000", "d0", testPeriod)
 	var vms []platform.VM
 	for i := range 390 {
@@ -315,26 +319,27 @@
 	return n
 }
 
-// BenchmarkMembersAtTargetSize is what each division of the engines' slots asks
-// of the gossip.
+// BenchmarkMembersAtTargetSize measures Members, which runs for each assignment of
+// the engines' slots.
 func BenchmarkMembersAtTargetSize(b *testing.B) {
-	n := fullNode()
+	n := newLargeFleetNode()
 	for b.Loop() {
 		n.Members()
 	}
 }
 
-// BenchmarkReviewAtTargetSize is the work of each period.
-func BenchmarkReviewAtTargetSize(b *testing.B) {
-	n := fullNode()
+// BenchmarkUpdateStatesAtTargetSize measures updateStates, which runs once in each
+// period.
+func BenchmarkUpdateStatesAtTargetSize(b *testing.B) {
+	n := newLargeFleetNode()
 	for b.Loop() {
-		n.review(time.Now())
+		n.updateStates(time.Now())
 	}
 }
 
-// BenchmarkReceive is the work for each digest.
+// BenchmarkReceive measures the processing of one digest.
 func BenchmarkReceive(b *testing.B) {
-	n := fullNode()
+	n := newLargeFleetNode()
 	peer := newTestNode("vm-007", "d0", testPeriod)
 	for b.Loop() {
 		n.Receive(peer.Digest())
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -10,65 +10,68 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Known is what a VM knows of a peer from its latest digest.
+// Known is the latest digest of a peer.
 type Known struct {
 	Digest *peerpb.Digest
-	// HeardAt is the local monotonic time of the digest.
+	// HeardAt is when the digest was received, by the local monotonic clock.
 	HeardAt time.Time
 }
 
-// peerState is what the gossip keeps of one peer.
+// peerState is the state of one peer as Gossip sees it.
 type peerState struct {
-	// digest is nil until the peer has been heard.
-	digest  *peerpb.Digest
-	heardAt time.Time
-	// since is when the peer was first listed or heard.
-	since time.Time
-	// failures counts the exchanges in a row that the peer did not answer.
-	failures int
-	silent   bool
+	// digest is the latest digest, nil until one is received.
+	digest     *peerpb.Digest
+	receivedAt time.Time
+	// firstSeen is when the peer was first listed or its first digest was received.
+	firstSeen time.Time
+	// failures counts the consecutive exchanges that the peer did not answer.
+	failures     int
+	unresponsive bool
 }
 
 const (
-	// failuresUntilSilent exchanges without an answer make a peer silent.
-	failuresUntilSilent = 2
-	// silentRounds is how many rounds of a cell may pass without a digest.
-	silentRounds = 3
-	// shortestSilence bounds the silence of small cells, in periods.
-	shortestSilence = 6
-	// strangerEvery is which exchange of so many goes outside the cell.
-	strangerEvery = 4
+	// failuresUntilUnresponsive is the number of consecutive failed exchanges after
+	// which a peer is unresponsive.
+	failuresUntilUnresponsive = 2
+	// unresponsiveRounds is the number of rounds through the cell without a digest
+	// after which a peer of the cell is unresponsive.
+	unresponsiveRounds = 3
+	// minUnresponsivePeriods is the lower limit of unresponsiveTimeout in periods; it
+	// applies to small cells.
+	minUnresponsivePeriods = 6
+	// randomPeerEvery is the number of exchanges of which one goes to a random peer
+	// instead of one of the cell.
+	randomPeerEvery = 4
 )
 
-// silenceBound returns how long a peer of the own cell may be silent before its
-// parts of the engines return to the others.
-func silenceBound(period time.Duration, mates int) time.Duration {
-	rounds := silentRounds * mates * strangerEvery / (strangerEvery - 1)
-	return time.Duration(max(shortestSilence, rounds)) * period
+// unresponsiveTimeout returns the time without a digest after which a peer of the
+// cell is unresponsive and its quotas of the engines go to the other VMs.
+func unresponsiveTimeout(period time.Duration, cellPeers int) time.Duration {
+	periods := unresponsiveRounds * cellPeers * randomPeerEvery / (randomPeerEvery - 1)
+	return time.Duration(max(minUnresponsivePeriods, periods)) * period
 }
 
-// cellMates returns the listed peers of the own failure domain and cell.
-func (g *Gossip) cellMates() []platform.VM {
-	var home []platform.VM
+// cellPeers returns the listed peers in the failure domain and cell of this VM.
+func (g *Gossip) cellPeers() []platform.VM {
+	var inDomain []platform.VM
 	for _, vm := range g.VMs() {
 		if vm.FailureDomain == g.self.FailureDomain {
-			home = append(home, vm)
+			inDomain = append(inDomain, vm)
 		}
 	}
-	cells := dispatch.CellCount(len(home))
-	own := dispatch.CellOf(g.self.VM, cells)
-	return slices.DeleteFunc(home, func(vm platform.VM) bool {
-		return vm.ID == g.self.VM || dispatch.CellOf(vm.ID, cells) != own
+	cells := dispatch.CellCount(len(inDomain))
+	ownCell := dispatch.CellOf(g.self.VM, cells)
+	return slices.DeleteFunc(inDomain, func(vm platform.VM) bool {
+		return vm.ID == g.self.VM || dispatch.CellOf(vm.ID, cells) != ownCell
 	})
 }
 
-// Members returns the VMs that take part in sharing the engines: the platform's
-// list, less the silent ones, and more those that are heard though the list
-// does not show them yet.
+// Members returns the VMs that share the engines: this VM, the listed VMs that are
+// not unresponsive, and VMs that send digests but are not listed yet.
 //
-// The list lags and this VM may be cut off from it or from others; both only
-// change how the engines are shared, and only until the list or the peer's next
-// digest arrives.
+// The list may be stale, and this VM may be cut off from the list or from peers.
+// This affects only the quotas of the engines, and only until the list or the
+// peer's next digest arrives.
 func (g *Gossip) Members() []dispatch.Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -81,13 +84,13 @@
 	}}
 	for _, vm := range g.VMs() {
 		state, known := g.peers[vm.ID]
-		if vm.ID == g.self.VM || (known && state.silent) {
+		if vm.ID == g.self.VM || (known && state.unresponsive) {
 			continue
 		}
 		members = append(members, memberOf(vm.ID, vm.FailureDomain, state))
 	}
 	for id, state := range g.peers {
-		if !g.listed(id) && state.digest != nil && !state.silent {
+		if !g.listed(id) && state.digest != nil && !state.unresponsive {
 			members = append(members, memberOf(id, state.digest.GetFailureDomain(), state))
 		}
 	}
@@ -100,37 +103,38 @@
 		return m
 	}
 	m.Heard = true
-	m.Flows = readFlows(state.digest)
-	m.Unreachable = firstOf(state.digest.GetUnreachable(), maxUnreachable)
+	m.Flows = decodeFlows(state.digest)
+	m.Unreachable = truncate(state.digest.GetUnreachable(), maxUnreachable)
 	return m
 }
 
 func (g *Gossip) listed(id string) bool { return g.vms.Load().ids[id] }
 
-// review judges which peers are silent and forgets those that are gone.
-func (g *Gossip) review(now time.Time) {
-	bound := silenceBound(g.period, len(g.cellMates()))
-	mates := make(map[string]bool)
-	for _, vm := range g.cellMates() {
-		mates[vm.ID] = true
+// updateStates marks unresponsive peers and deletes the states of unlisted peers
+// whose digests have not arrived for the timeout.
+func (g *Gossip) updateStates(now time.Time) {
+	timeout := unresponsiveTimeout(g.period, len(g.cellPeers()))
+	inCell := make(map[string]bool)
+	for _, vm := range g.cellPeers() {
+		inCell[vm.ID] = true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, vm := range g.VMs() {
 		if _, ok := g.peers[vm.ID]; !ok && vm.ID != g.self.VM {
-			g.peers[vm.ID] = &peerState{since: now}
+			g.peers[vm.ID] = &peerState{firstSeen: now}
 		}
 	}
 	for id, state := range g.peers {
-		overdue := now.Sub(latest(state.heardAt, state.since)) > bound
+		overdue := now.Sub(latest(state.receivedAt, state.firstSeen)) > timeout
 		listed := g.listed(id)
 		if !listed && overdue {
 			delete(g.peers, id)
 			continue
 		}
-		// Peers outside the cell are heard by chance only; of them just failed
-		// exchanges count.
-		g.judge(id, state, state.failures >= failuresUntilSilent || (mates[id] && overdue))
+		// Digests of peers outside the cell arrive at random intervals, so that only
+		// failed exchanges count for these peers.
+		g.setUnresponsive(id, state, state.failures >= failuresUntilUnresponsive || (inCell[id] && overdue))
 	}
 }
 
@@ -141,21 +145,23 @@
 	return b
 }
 
-// judge puts a verdict in force.
-func (g *Gossip) judge(id string, state *peerState, silent bool) {
-	if state.silent == silent {
+// setUnresponsive sets whether a peer is unresponsive, and emits an event if that
+// changed.
+func (g *Gossip) setUnresponsive(id string, state *peerState, unresponsive bool) {
+	if state.unresponsive == unresponsive {
 		return
 	}
-	state.silent = silent
+	state.unresponsive = unresponsive
 	number := event.PeerReturned
-	if silent {
+	if unresponsive {
 		number = event.PeerSilent
 	}
 	g.events.Emit(number, event.Subject{Peer: id})
 }
 
-// Bounds of what a digest may claim. A wrong digest can so take no more than
-// an account with the largest share would, until the next one comes.
+// Limits on the contents of a received digest. They limit a wrong digest to the
+// effect of accounts with the largest share, until the next digest of its sender
+// arrives.
 const (
 	maxFlows = 12
 	maxSlots = 4096
@@ -163,7 +169,7 @@
 	maxName  = 64
 )
 
-func readFlows(d *peerpb.Digest) []dispatch.FlowDemand {
+func decodeFlows(d *peerpb.Digest) []dispatch.FlowDemand {
 	wire := d.GetFlows()
 	flows := make([]dispatch.FlowDemand, 0, min(maxFlows, len(wire)))
 	for _, f := range wire[:min(maxFlows, len(wire))] {
@@ -178,7 +184,7 @@
 	return flows
 }
 
-func writeFlows(flows []dispatch.FlowDemand) []*peerpb.FlowDemand {
+func encodeFlows(flows []dispatch.FlowDemand) []*peerpb.FlowDemand {
 	wire := make([]*peerpb.FlowDemand, 0, len(flows))
 	for _, f := range flows {
 		wire = append(wire, &peerpb.FlowDemand{
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -9,35 +9,35 @@
 	"dogwoodpond/internal/peer/peerpb"
 )
 
-// Metrics are the counters of what goes between VMs.
+// Metrics counts digests and bytes sent to other VMs and digests received.
 type Metrics struct {
 	digests *prometheus.CounterVec
 	size    prometheus.Histogram
 	bytes   prometheus.Counter
 }
 
-// The values of the label kind.
+// Values of the label kind.
 const (
-	kindSent  = "sent"
-	kindTaken = "taken"
-	kindOld   = "old"
+	kindSent     = "sent"
+	kindAccepted = "taken"
+	kindOutdated = "old"
 )
 
-// NewMetrics registers the counters; registerer may be nil.
+// NewMetrics returns metrics registered with registerer, unless that is nil.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{
 		digests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dogwoodpond_peer_digests_total",
-			Help: "Digests sent, taken, and dropped because a newer one of their sender was known.",
+			Help: "Digests by kind: sent, taken (received and accepted), or old (received and dropped, because the sender's known digest is at least as new).",
 		}, []string{"kind"}),
 		size: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "dogwoodpond_peer_digest_bytes",
-			Help:    "Sizes of the digests sent.",
+			Help:    "Sizes of the sent digests in bytes.",
 			Buckets: []float64{100, 200, 300, 400, 500},
 		}),
 		bytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "dogwoodpond_peer_sent_bytes_total",
-			Help: "Bytes written to connections with other VMs, without the headers of TCP and IP.",
+			Help: "Bytes written to connections with other VMs, without TCP and IP headers.",
 		}),
 	}
 	if registerer != nil {
@@ -46,43 +46,43 @@
 	return m
 }
 
-func (m *Metrics) sent(d *peerpb.Digest) {
+func (m *Metrics) noteSent(d *peerpb.Digest) {
 	m.digests.WithLabelValues(kindSent).Inc()
 	m.size.Observe(float64(proto.Size(d)))
 }
 
-func (m *Metrics) received(fresh bool) {
-	kind := kindOld
-	if fresh {
-		kind = kindTaken
+func (m *Metrics) noteReceived(accepted bool) {
+	kind := kindOutdated
+	if accepted {
+		kind = kindAccepted
 	}
 	m.digests.WithLabelValues(kind).Inc()
 }
 
-// countedConn counts the bytes written to a connection.
-type countedConn struct {
+// countingConn counts the bytes written to a connection.
+type countingConn struct {
 	net.Conn
 	bytes prometheus.Counter
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(float64(n))
 	return n, err
 }
 
-// countedListener counts the bytes written to the connections it accepts.
-type countedListener struct {
+// countingListener counts the bytes written to the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	bytes prometheus.Counter
 }
 
 // Accept implements net.Listener.
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, bytes: l.bytes}, nil
+	return &countingConn{Conn: conn, bytes: l.bytes}, nil
 }
--- a/internal/peer/peerpb/doc.go
+++ b/internal/peer/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb holds the generated messages and stubs of the protocol
-// between VMs; peer.proto is their source.
+// Package peerpb contains the messages and stubs of the protocol between VMs,
+// generated from peer.proto.
 package peerpb
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -1,5 +1,5 @@
-// Package peer carries soft state between VMs over drpc. Everything here may
-// be lost, late, doubled or wrong; it costs time or fairness, never a promise.
+// Package peer exchanges soft state between VMs over drpc. A message that is lost,
+// late, duplicated or wrong costs time or fairness, but violates no guarantee.
 package peer
 
 import (
@@ -19,12 +19,12 @@
 	"dogwoodpond/internal/peer/peerpb"
 )
 
-// Ager tells how long ago the configuration was last known current.
+// Ager returns the time since the configuration was last known to be current.
 type Ager interface {
 	Age() time.Duration
 }
 
-// Server answers the other VMs.
+// Server answers calls of other VMs.
 type Server struct {
 	events *event.Recorder
 	view   *contract.View
@@ -33,72 +33,73 @@
 	gossip *Gossip
 }
 
-// NewServer returns a server over the VM's parts.
+// NewServer returns a server that reads its answers from the given components of
+// the VM.
 func NewServer(events *event.Recorder, view *contract.View, ager Ager, runner generate.Runner, gossip *Gossip) *Server {
 	return &Server{events: events, view: view, ager: ager, runner: runner, gossip: gossip}
 }
 
-// Serve answers on a listener until ctx ends.
+// Serve answers calls on listener until ctx ends.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, s); err != nil {
 		return errors.WithStack(&fault.Internal{Where: "peer registration"})
 	}
-	return drpcserver.New(mux).Serve(ctx, &countedListener{Listener: listener, bytes: s.gossip.metrics.bytes})
+	return drpcserver.New(mux).Serve(ctx, &countingListener{Listener: listener, bytes: s.gossip.metrics.bytes})
 }
 
-// Exchange takes a peer's digest and returns the own one.
+// Exchange processes a peer's digest and returns this VM's digest.
 func (s *Server) Exchange(_ context.Context, in *peerpb.Digest) (*peerpb.Digest, error) {
-	observe(s.events, in.GetStamp())
+	observeStamp(s.events, in.GetStamp())
 	s.gossip.Receive(in)
 	return s.gossip.Digest(), nil
 }
 
-// FetchConfig returns the VM's snapshot when it is newer than the asker's.
+// FetchConfig returns this VM's snapshot if it is newer than the caller's revision.
 func (s *Server) FetchConfig(_ context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
-	observe(s.events, in.GetStamp())
-	reply := &peerpb.FetchConfigReply{Stamp: stamp(s.events), RevisionAgeMillis: s.ager.Age().Milliseconds()}
+	observeStamp(s.events, in.GetStamp())
+	reply := &peerpb.FetchConfigReply{Stamp: wireStamp(s.events), RevisionAgeMillis: s.ager.Age().Milliseconds()}
 	snapshot := s.view.Load()
 	if uint64(snapshot.Revision) <= in.GetAfter() {
 		return reply, nil
 	}
-	text, err := json.Marshal(snapshot)
+	encoded, err := json.Marshal(snapshot)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "snapshot"})
 	}
-	reply.Snapshot = text
+	reply.Snapshot = encoded
 	return reply, nil
 }
 
-// Events returns the events that a query picks.
+// Events returns the events of this VM that match the query.
 func (s *Server) Events(_ context.Context, in *peerpb.EventsRequest) (*peerpb.EventsReply, error) {
-	observe(s.events, in.GetStamp())
+	observeStamp(s.events, in.GetStamp())
 	var query event.Query
 	if err := json.Unmarshal(in.GetQuery(), &query); err != nil {
 		return nil, errors.WithStack(&fault.BadRequest{Field: "query", Problem: "not JSON"})
 	}
 	reply := &peerpb.EventsReply{}
 	for _, record := range s.events.Select(query) {
-		text, err := json.Marshal(record)
+		encoded, err := json.Marshal(record)
 		if err != nil {
 			return nil, errors.WithStack(&fault.Internal{Where: "event"})
 		}
-		reply.Records = append(reply.Records, text)
+		reply.Records = append(reply.Records, encoded)
 	}
-	reply.Stamp = stamp(s.events)
+	reply.Stamp = wireStamp(s.events)
 	return reply, nil
 }
 
-// Generate runs a generation for a peer. A failure travels inside the reply, so
-// that its type survives.
+// Generate runs a generation for a peer. A failure is returned as part of the
+// reply, because an error of the drpc call would lose the failure's code.
 func (s *Server) Generate(ctx context.Context, in *peerpb.GenerateRequest) (*peerpb.GenerateReply, error) {
-	observe(s.events, in.GetStamp())
+	observeStamp(s.events, in.GetStamp())
 	var request generate.Request
 	if err := json.Unmarshal(in.GetGeneration(), &request); err != nil {
 		return nil, errors.WithStack(&fault.BadRequest{Field: "generation", Problem: "not JSON"})
 	}
 	result, err := s.runner.Generate(ctx, request, nil)
-	reply := &peerpb.GenerateReply{Stamp: stamp(s.events)}
+	reply := &peerpb.GenerateReply{Stamp: wireStamp(s.events)}
 	if err != nil {
 		reply.Code = string(fault.CodeOf(err))
 		reply.Message = err.Error()
@@ -112,12 +113,12 @@
 	return reply, nil
 }
 
-func stamp(events *event.Recorder) *peerpb.Stamp {
-	now := events.Clock().Now()
-	return &peerpb.Stamp{WallMicros: now.WallMicros, Logical: now.Logical}
+func wireStamp(events *event.Recorder) *peerpb.Stamp {
+	reading := events.Clock().Now()
+	return &peerpb.Stamp{WallMicros: reading.WallMicros, Logical: reading.Logical}
 }
 
-func observe(events *event.Recorder, s *peerpb.Stamp) {
+func observeStamp(events *event.Recorder, s *peerpb.Stamp) {
 	events.Clock().Observe(fromWire(s))
 }
 
