--- a/internal/event/readlog.go
+++ b/internal/event/readlog.go
@@ -16,7 +16,7 @@
 // read with an error.
 const maxLogLine = 1 << 20
 
-// logLine is the format in which Recorder writes an event to the log.
+// logLine is an event as Recorder writes it to the log.
 type logLine struct {
 	VM      string `json:"vm"`
 	Event   string `json:"event"`
--- a/internal/fault/execution.go
+++ b/internal/fault/execution.go
@@ -9,7 +9,7 @@
 }
 
 // Unwrap returns the error without the execution.
-func (m *executionError) Unwrap() error { return m.error }
+func (e *executionError) Unwrap() error { return e.error }
 
 // WithExecution attaches to err whether its request ran. Only the code in which the
 // failure occurred knows this, so the execution is attached there and returned with
@@ -26,9 +26,9 @@
 // none. The default is not NotRun, because a caller that receives NotRun for a request
 // that ran would repeat it.
 func ExecutionOf(err error) Execution {
-	var m *executionError
-	if errors.As(err, &m) {
-		return m.execution
+	var e *executionError
+	if errors.As(err, &e) {
+		return e.execution
 	}
 	return Unknown
 }
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -187,6 +187,7 @@
 	}
 }
 
+// closedAddress returns an address that refuses connections.
 func closedAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
