--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -60,7 +60,7 @@
 	var newest uint64
 	for _, accepted := range u.accepted {
 		if accepted.epoch < newest {
-			t.Errorf("%s gave an order of epoch %d after epoch %d", accepted.sender, accepted.epoch, newest)
+			t.Errorf("%s sent an order of epoch %d after epoch %d", accepted.sender, accepted.epoch, newest)
 		}
 		newest = accepted.epoch
 		if other, ok := senders[accepted.epoch]; ok && other != accepted.sender {
@@ -72,8 +72,8 @@
 
 const orderInterval = 200 * time.Millisecond
 
-// giveOrders sends an order at each interval while the lease is held.
-func giveOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
+// sendOrders sends an order at each interval while the lease is held.
+func sendOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
 		for sleep(ctx, orderInterval) == nil {
 			if g.Check() != nil {
@@ -96,27 +96,27 @@
 }
 
 // startCampaigns starts the processes, which all campaign for one lease.
-func startCampaigns(w *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
+func startCampaigns(cluster *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
 	var processes []*platformtest.Process
 	for _, name := range names {
-		p := w.Start(context.Background(), name)
+		p := cluster.Start(context.Background(), name)
 		processes = append(processes, p)
 		group.Go(func() {
-			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", giveOrders(p, u))
+			_ = newTestManager(p).Campaign(p.Context, "upstreams/a", sendOrders(p, u))
 		})
 		time.Sleep(10 * time.Millisecond)
 	}
 	return processes
 }
 
-// The holder is killed. Without a successor no VM gives orders to upstreams any more;
-// with a successor that is too early, two VMs do.
-func TestSuccessorTakesOverAfterAKill(t *testing.T) {
+// The holder is killed. If no other VM takes the lease, no VM sends orders to upstreams
+// any more; if another VM takes it too early, two VMs do.
+func TestOtherVMTakesTheLeaseAfterAKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(2 * testTerm)
 		processes[0].Kill()
 		time.Sleep(3 * testTerm)
@@ -130,13 +130,13 @@
 }
 
 // The holder is paused for longer than its term, for example by SIGSTOP, and another VM
-// takes the lease. When the first one resumes it must not give orders.
-func TestPausedHolderGivesNoOrders(t *testing.T) {
+// takes the lease. When the first one resumes it must not send orders.
+func TestPausedHolderSendsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Pause(4 * testTerm)
 		time.Sleep(5 * testTerm)
@@ -151,15 +151,15 @@
 	})
 }
 
-// A VM drains and releases the lease, so that the successor need not wait for the end
+// A VM drains and releases the lease, so that the next holder need not wait for the end
 // of the term. Otherwise each planned stop would leave the lease without a holder for a
 // term.
 func TestDrainReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
 		time.Sleep(testTerm)
 		processes[0].Stop()
 		time.Sleep(testTerm / 2)
@@ -177,7 +177,7 @@
 // another VM's.
 func TestLostRepliesDontEndTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+		cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
 			if s.Call == "commit" && s.Index%2 == 1 {
 				return platformtest.Fault{Kind: platformtest.LoseReply}
 			}
@@ -185,7 +185,7 @@
 		})
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1")
+		processes := startCampaigns(cluster, u, &group, "vm-1")
 		time.Sleep(10 * testTerm)
 		processes[0].Stop()
 		group.Wait()
@@ -200,16 +200,16 @@
 	})
 }
 
-// An outage of the store lasts for several terms. Every VM stops giving orders; after
+// An outage of the store lasts for several terms. Every VM stops sending orders; after
 // the outage one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		processes := startCampaigns(w, u, &group, "vm-1", "vm-2", "vm-3")
+		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2", "vm-3")
 		time.Sleep(2 * testTerm)
-		w.TakeDown(5 * testTerm)
+		cluster.TakeDown(5 * testTerm)
 		time.Sleep(8 * testTerm)
 		for _, p := range processes {
 			p.Stop()
@@ -228,15 +228,15 @@
 // all three are dead.
 func TestOnlyCandidatesContendUntilTheyAreDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
-		standby := w.Start(context.Background(), "vm-9")
+		standby := cluster.Start(context.Background(), "vm-9")
 		standbyRank := func(string) int { return maxCandidates }
 		group.Go(func() {
-			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", giveOrders(standby, u))
+			_ = newTestManager(standby, WithRanker(standbyRank)).Campaign(standby.Context, "upstreams/a", sendOrders(standby, u))
 		})
-		processes := startCampaigns(w, u, &group, "vm-1")
+		processes := startCampaigns(cluster, u, &group, "vm-1")
 		time.Sleep(20 * testTerm)
 		if got := u.senders(); !slices.Equal(got, []string{"vm-1"}) {
 			t.Errorf("holders %v while a candidate is alive", got)
@@ -255,15 +255,15 @@
 // run returns true the second time, so the campaign ends and the lease is free.
 func TestCampaignEndsWhenDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		p := w.Start(context.Background(), "vm-1")
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		p := cluster.Start(context.Background(), "vm-1")
 		defer p.Stop()
 		calls := 0
 		err := newTestManager(p).Campaign(p.Context, "step/a", func(context.Context, Guard) (bool, error) {
 			calls++
 			return calls == 2, nil
 		})
-		row, _ := w.Rows.Get(context.Background(), keyPrefix+"step/a")
+		row, _ := cluster.Rows.Get(context.Background(), keyPrefix+"step/a")
 		if want := `{"holder":"","epoch":2,"renewals":0}`; err != nil || string(row.Value) != want {
 			t.Errorf("err %v, row %s, want %s", err, row.Value, want)
 		}
@@ -274,12 +274,12 @@
 // cause. The guard refuses from then on, even if the holder ignores the context.
 func TestLostLeaseEndsTheContextWithTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
-		p := w.Start(context.Background(), "vm-1")
+		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		p := cluster.Start(context.Background(), "vm-1")
 		var cause string
 		_ = newTestManager(p).Campaign(p.Context, "a", func(ctx context.Context, g Guard) (bool, error) {
 			deadline := g.Deadline()
-			w.TakeDown(2 * testTerm)
+			cluster.TakeDown(2 * testTerm)
 			<-ctx.Done()
 			cause = fmt.Sprint(context.Cause(ctx), " late by ", time.Since(deadline), " guard refuses ", g.Check() != nil)
 			return true, nil
--- a/internal/step/world_test.go
+++ b/internal/step/cluster_test.go
@@ -25,112 +25,113 @@
 	"github.com/cockroachdb/errors"
 )
 
-// world holds the VMs of a test, which share a fake store, fake engines and a fake scorer.
-type world struct {
-	t       *testing.T
-	store   *memory.Store
-	engines *engines
-	judge   *judgeService
-	list    []target.Instance
+// cluster holds the VMs of a test, which share a fake store, fake engines and a fake scorer.
+type cluster struct {
+	t         *testing.T
+	store     *memory.Store
+	engines   *fakeEngines
+	scorer    *fakeScorer
+	instances []target.Instance
 
 	mu   sync.Mutex
 	dead map[string]bool
-	vms  map[string]*vm
-	// preferred, if set, is the VM that becomes the owner of all new steps.
+	vms  map[string]*testVM
+	// preferred, if set, is the VM that becomes the owner of new steps.
 	preferred string
-	// domains maps VMs that are not in failure domain "x" to their domains. configuration
-	// is the configuration of VMs that are started from now on.
-	domains       map[string]string
+	// domains maps VMs that are not in failure domain "x" to their domains.
+	domains map[string]string
+	// configuration is the configuration of VMs that are started from now on.
 	configuration *route.Snapshot
 }
 
-func (w *world) prefer(string, route.Residency) (Process, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return Process{VM: w.preferred, Life: w.preferred + "-1"}, w.preferred != ""
+// preferredOwner implements Config.Prefer.
+func (cl *cluster) preferredOwner(string, route.Residency) (Process, bool) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return Process{VM: cl.preferred, Life: cl.preferred + "-1"}, cl.preferred != ""
 }
 
-// vm is the manager of one VM, and the function that kills it.
-type vm struct {
+// testVM is the manager of one VM, and the function that kills it.
+type testVM struct {
 	*Manager
 	kill context.CancelFunc
 }
 
-// newWorld returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
-func newWorld(t *testing.T, engineIDs ...string) *world {
-	w := &world{t: t, store: memory.New(), engines: &engines{behave: map[string]behaviour{}, runs: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*vm{}, domains: map[string]string{}, configuration: configuration(1, true)}
-	w.judge = &judgeService{engines: w.engines, calls: map[string]int{}}
-	w.list = append(w.list, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
+// newCluster returns a cluster with engines of 4 slots each, a scoring service, and no VMs.
+func newCluster(t *testing.T, engineIDs ...string) *cluster {
+	cl := &cluster{t: t, store: memory.New(), engines: &fakeEngines{behave: map[string]behaviour{}, attempts: map[string][]string{}, finished: map[string]int{}}, dead: map[string]bool{}, vms: map[string]*testVM{}, domains: map[string]string{}, configuration: configuration(1, true)}
+	cl.scorer = &fakeScorer{engines: cl.engines, calls: map[string]int{}}
+	cl.instances = append(cl.instances, target.Instance{ID: "j1", Service: "judge", Address: "j1", FailureDomain: "x", Slots: 8})
 	for _, id := range engineIDs {
-		w.list = append(w.list, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
+		cl.instances = append(cl.instances, target.Instance{ID: id, Service: "lm", Address: id, FailureDomain: "x", Slots: 4, Versions: map[string]int64{"m": 1}})
 	}
-	return w
+	return cl
 }
 
 // start starts the first incarnation of a VM.
-func (w *world) start(name string) *vm { return w.startLife(name, name+"-1") }
+func (cl *cluster) start(name string) *testVM { return cl.startIncarnation(name, name+"-1") }
 
-// startLife starts an incarnation of a VM.
-func (w *world) startLife(name, life string) *vm {
+// startIncarnation starts an incarnation of a VM.
+func (cl *cluster) startIncarnation(name, incarnation string) *testVM {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
-	roster.Replace(w.list)
+	roster.Replace(cl.instances)
 	view := route.NewView()
-	view.Offer(w.configuration)
+	view.Offer(cl.configuration)
 	domain := "x"
-	if other, ok := w.domains[name]; ok {
+	if other, ok := cl.domains[name]; ok {
 		domain = other
 	}
-	ctx, kill := context.WithCancel(w.t.Context())
-	v := &vm{kill: kill, Manager: NewManager(Config{
+	ctx, kill := context.WithCancel(cl.t.Context())
+	v := &testVM{kill: kill, Manager: NewManager(Config{
 		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: life, Domain: domain, Store: w.store, Clock: w.store, Members: members{w, name, life},
-		View: view, Roster: roster, Caller: w.engines, Scorer: w.judge, Events: events, Keep: time.Minute,
+		VM:    name, Life: incarnation, Domain: domain, Store: cl.store, Clock: cl.store, Members: fakeMembers{cl, name, incarnation},
+		View: view, Roster: roster, Caller: cl.engines, Scorer: cl.scorer, Events: events, Keep: time.Minute,
 		Named:     func(string) (int64, bool) { return 1, true },
-		Prefer:    w.prefer,
+		Prefer:    cl.preferredOwner,
 		StoreWell: func() bool { return true },
 	})}
-	w.mu.Lock()
-	w.vms[name] = v
-	w.mu.Unlock()
+	cl.mu.Lock()
+	cl.vms[name] = v
+	cl.mu.Unlock()
 	go v.Run(ctx)
-	w.t.Cleanup(kill)
+	cl.t.Cleanup(kill)
 	return v
 }
 
 // crash kills a VM without handing its steps over.
-func (w *world) crash(v *vm) {
-	w.mu.Lock()
-	w.dead[v.VM] = true
-	w.mu.Unlock()
+func (cl *cluster) crash(v *testVM) {
+	cl.mu.Lock()
+	cl.dead[v.VM] = true
+	cl.mu.Unlock()
 	v.kill()
 }
 
-// members is a fake member list, as seen by one VM.
-type members struct {
-	w          *world
-	self, life string
+// fakeMembers is a fake member list, as seen by one VM.
+type fakeMembers struct {
+	cluster           *cluster
+	self, incarnation string
 }
 
-func (m members) Ready() bool { return true }
+func (m fakeMembers) Ready() bool { return true }
 
-func (m members) Alive(id, life string) bool {
+func (m fakeMembers) Alive(id, incarnation string) bool {
 	if id == m.self {
-		return life == m.life
+		return incarnation == m.incarnation
 	}
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	return !m.w.dead[id]
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	return !m.cluster.dead[id]
 }
 
-func (m members) Rank(work string) int { return m.RankWithin(work, route.Residency{}) }
+func (m fakeMembers) Rank(duty string) int { return m.RankWithin(duty, route.Residency{}) }
 
-func (m members) RankWithin(_ string, residency route.Residency) int {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+func (m fakeMembers) RankWithin(_ string, residency route.Residency) int {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	rank := 0
-	for name, v := range m.w.vms {
-		if name < m.self && !m.w.dead[name] && residency.Allows(v.Domain) {
+	for name, v := range m.cluster.vms {
+		if name < m.self && !m.cluster.dead[name] && residency.Allows(v.Domain) {
 			rank++
 		}
 	}
@@ -158,23 +159,24 @@
 	changeAt int
 }
 
-var good = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
+// goodReply is a complete text of three events.
+var goodReply = reply{status: http.StatusOK, version: 1, events: 3, gap: 10 * time.Millisecond}
 
-// paced returns the behaviour of an engine that completes each attempt, with a fixed time
-// between events.
-func paced(events int, gap time.Duration) behaviour {
-	r := good
+// pacedBehaviour returns the behaviour of an engine that completes each attempt, with a fixed
+// time between events.
+func pacedBehaviour(events int, gap time.Duration) behaviour {
+	r := goodReply
 	r.events, r.gap = events, gap
 	return func(string, int) reply { return r }
 }
 
-// engines simulates the upstreams of a test. It implements target.Caller.
-type engines struct {
+// fakeEngines simulates the upstreams of a test. It implements target.Caller.
+type fakeEngines struct {
 	mu sync.Mutex
 	// behave holds the behaviour of each engine; that of the empty name is the default.
 	behave map[string]behaviour
-	// runs holds, for each item, the engines that received it, in order.
-	runs map[string][]string
+	// attempts holds, for each item, the engines that received it, in order.
+	attempts map[string][]string
 	// resumed holds the attempts that resumed a partial text.
 	resumed []string
 	// active is the number of responses that are being written.
@@ -183,11 +185,11 @@
 	finished map[string]int
 }
 
-func (e *engines) Call(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
+func (e *fakeEngines) Call(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
 	id := entry.Info().ID
 	e.mu.Lock()
-	e.runs[request.ID] = append(e.runs[request.ID], id)
-	n := len(e.runs[request.ID])
+	e.attempts[request.ID] = append(e.attempts[request.ID], id)
+	n := len(e.attempts[request.ID])
 	if request.ResumeAfter != "" {
 		e.resumed = append(e.resumed, request.ID+" after "+request.ResumeAfter)
 	}
@@ -196,7 +198,7 @@
 		behave = e.behave[""]
 	}
 	e.mu.Unlock()
-	r := good
+	r := goodReply
 	if behave != nil {
 		r = behave(request.ID, n)
 	}
@@ -208,7 +210,7 @@
 	return &target.Response{Status: r.status, NotRun: r.notRun, Version: r.version, VersionField: "v", Body: body}, nil
 }
 
-func (e *engines) write(ctx context.Context, out *io.PipeWriter, request *target.Request, r reply) {
+func (e *fakeEngines) write(ctx context.Context, out *io.PipeWriter, request *target.Request, r reply) {
 	e.mu.Lock()
 	e.active++
 	e.mu.Unlock()
@@ -247,7 +249,7 @@
 }
 
 // configuration returns a version of the configuration, with or without the route of the
-// scoring calls.
+// score calls.
 func configuration(version int64, scores bool) *route.Snapshot {
 	routes := []*route.Route{{
 		Name: "r", Host: "h", Prefix: "/s/", Kind: route.Steps, Split: []route.Share{{Service: "lm", Weight: 1}},
@@ -260,31 +262,31 @@
 	return route.NewSnapshot(version, routes, nil, route.Limits{}, nil, false)
 }
 
-// judgeService is a fake scoring service. It implements Scorer.
-type judgeService struct {
-	engines *engines
+// fakeScorer is a fake scoring service. It implements Scorer.
+type fakeScorer struct {
+	engines *fakeEngines
 	// behave is called for the n-th call of an item, counted from 1; nil scores immediately.
 	behave func(ctx context.Context, item string, n int) error
 
 	mu    sync.Mutex
 	calls map[string]int
-	// early holds the items whose scoring call came before their text was complete.
-	early []string
+	// earlyCalls holds the items whose score call came before their text was complete.
+	earlyCalls []string
 }
 
-func (j *judgeService) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
+func (s *fakeScorer) Score(ctx context.Context, call scoring.Call, _ *route.Route, _ route.Residency) (string, error) {
 	item := string(call.Body)
-	j.engines.mu.Lock()
-	finished := j.engines.finished[item]
-	j.engines.mu.Unlock()
-	j.mu.Lock()
-	j.calls[item]++
-	n := j.calls[item]
+	s.engines.mu.Lock()
+	finished := s.engines.finished[item]
+	s.engines.mu.Unlock()
+	s.mu.Lock()
+	s.calls[item]++
+	n := s.calls[item]
 	if finished == 0 {
-		j.early = append(j.early, item)
+		s.earlyCalls = append(s.earlyCalls, item)
 	}
-	behave := j.behave
-	j.mu.Unlock()
+	behave := s.behave
+	s.mu.Unlock()
 	if behave != nil {
 		if err := behave(ctx, item, n); err != nil {
 			return "", err
@@ -293,10 +295,10 @@
 	return "score of " + call.ID, nil
 }
 
-func (j *judgeService) count(item string) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.calls[item]
+func (s *fakeScorer) count(item string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls[item]
 }
 
 // scoredItems returns n items whose texts need a score.
@@ -308,26 +310,26 @@
 	return list
 }
 
-// checkScores checks that each item has its own score, and that no scoring call was made
+// checkScores checks that each item has its own score, and that no score call was made
 // before the text was complete.
-func (w *world) checkScores(results []Result) {
-	w.t.Helper()
+func (cl *cluster) checkScores(results []Result) {
+	cl.t.Helper()
 	for _, r := range results {
 		if r.Score != "score of call-"+r.Item {
-			w.t.Errorf("item %s has the score %q", r.Item, r.Score)
+			cl.t.Errorf("item %s has the score %q", r.Item, r.Score)
 		}
 	}
-	w.judge.mu.Lock()
-	defer w.judge.mu.Unlock()
-	if len(w.judge.early) > 0 {
-		w.t.Errorf("scoring calls were made before the texts of %v were complete", w.judge.early)
+	cl.scorer.mu.Lock()
+	defer cl.scorer.mu.Unlock()
+	if len(cl.scorer.earlyCalls) > 0 {
+		cl.t.Errorf("score calls were made before the texts of %v were complete", cl.scorer.earlyCalls)
 	}
 }
 
-func (e *engines) count(item string) int {
+func (e *fakeEngines) count(item string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.runs[item])
+	return len(e.attempts[item])
 }
 
 // spec returns a step of account acc.
@@ -344,8 +346,8 @@
 	return out
 }
 
-// readWhole reads a step from a VM until all its results are committed.
-func readWhole(t *testing.T, v *vm, id string) []Result {
+// readUntilComplete reads a step from a VM until all its results are committed.
+func readUntilComplete(t *testing.T, v *testVM, id string) []Result {
 	t.Helper()
 	var all []Result
 	for range 400 {
@@ -384,7 +386,7 @@
 // bubble runs f in a synctest bubble.
 func bubble(t *testing.T, f func(t *testing.T)) { synctest.Test(t, f) }
 
-// noClock is the clock of a store that has not answered yet.
-type noClock struct{}
+// unsetClock is the clock of a store that has not answered yet.
+type unsetClock struct{}
 
-func (noClock) StoreNow() (int64, bool) { return 0, false }
+func (unsetClock) StoreNow() (int64, bool) { return 0, false }
--- /dev/null
+++ b/internal/step/commit.go
@@ -0,0 +1,173 @@
+package step
+
+import (
+	"context"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"dogwoodpond/internal/event"
+	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/wait"
+)
+
+const (
+	// commitDelay is how long finished results are collected before they are committed
+	// together. It is short compared with the interval of a trainer's reads, and long
+	// enough that one step does not exhaust the commit rate of its partition.
+	commitDelay = 60 * time.Millisecond
+	// commitBatchBytes is the size of collected texts from which on a commit doesn't wait for
+	// commitDelay.
+	commitBatchBytes = 200 << 10
+)
+
+// commitLoop commits finished results in batches, from the acceptance of the step until
+// the run ends.
+func (r *run) commitLoop() {
+	select {
+	case <-r.ctx.Done():
+		return
+	case <-r.acceptedCh:
+	}
+	for {
+		select {
+		case <-r.ctx.Done():
+			return
+		case <-r.uncommittedCh:
+		}
+		if !r.isBatchFull() {
+			wait.For(r.ctx, commitDelay)
+		}
+		if r.commitBatch(r.ctx) {
+			r.signalUncommitted()
+		}
+	}
+}
+
+// commitBatch commits one batch of finished results and reports whether more are queued.
+// Results that finish during the commit are left for the next batch, since committing each
+// as soon as the store answers would cost one transaction per result.
+func (r *run) commitBatch(ctx context.Context) (more bool) {
+	r.commitMu.Lock()
+	defer r.commitMu.Unlock()
+	batch, position := r.nextBatch()
+	if len(batch) == 0 || !r.commitResults(ctx, batch, position) {
+		return false
+	}
+	return r.uncommittedCount() > 0
+}
+
+// uncommittedCount returns the number of results that are finished but not committed.
+func (r *run) uncommittedCount() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.uncommitted)
+}
+
+// signalUncommitted notifies commitLoop of finished results.
+func (r *run) signalUncommitted() {
+	select {
+	case r.uncommittedCh <- struct{}{}:
+	default:
+	}
+}
+
+// isBatchFull reports whether the queued results are worth a commit before commitDelay has
+// passed.
+func (r *run) isBatchFull() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.uncommittedBytes >= commitBatchBytes
+}
+
+// flush commits all finished results. It stops when a commit fails or ctx ends.
+func (r *run) flush(ctx context.Context) {
+	more := true
+	for more && ctx.Err() == nil {
+		more = r.commitBatch(ctx)
+	}
+}
+
+// nextBatch returns the next results to commit and the position of the first. They stay in
+// uncommitted until markCommitted removes them.
+func (r *run) nextBatch() ([]Result, int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	const maxResults = 60
+	n, size := 0, 0
+	for n < len(r.uncommitted) && n < maxResults && (n == 0 || size < commitBatchBytes) {
+		size += len(r.uncommitted[n].Text)
+		n++
+	}
+	return append([]Result(nil), r.uncommitted[:n]...), len(r.committed)
+}
+
+// commitResults commits results at a position and reports whether another batch may follow:
+// after a commit, or, once loadBackoff has passed, after a failure to store a text that is too
+// large for a row.
+func (r *run) commitResults(ctx context.Context, batch []Result, position int) bool {
+	rec := r.current()
+	puts, err := resultPuts(ctx, r.m.Store, rec.ID, position, batch)
+	if err != nil {
+		r.m.Events.Emit(event.DependencyLost, event.Subject{Step: rec.ID, Detail: "results: " + err.Error()})
+		return wait.For(ctx, loadBackoff)
+	}
+	txn := kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
+	for _, put := range puts {
+		txn.Expected = append(txn.Expected, kept.Expectation{Key: put.Key})
+	}
+	started := time.Now()
+	_, err = kept.CommitSurely(ctx, r.m.Store, txn)
+	var conflict *kept.Conflict
+	if errors.As(err, &conflict) {
+		r.handleConflict(conflict)
+		return false
+	}
+	if err != nil {
+		return false
+	}
+	r.markCommitted(batch)
+	r.m.Events.Emit(event.SamplesCommitted, event.Subject{
+		Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch), Count: int64(len(batch)),
+		Detail: time.Since(started).Round(time.Millisecond).String(),
+	})
+	return true
+}
+
+// handleConflict stops the run after the store rejected its results because the state row has
+// changed: another VM owns the step now, or the step has ended.
+func (r *run) handleConflict(conflict *kept.Conflict) {
+	rec := r.current()
+	r.m.Events.Emit(event.StepLost, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
+	if now, err := decodeState(conflict.Row(stateKey(rec.ID))); err == nil {
+		r.m.observeState(now)
+	}
+	r.m.stop(r)
+}
+
+// markCommitted moves a batch from uncommitted to committed and notifies readers.
+func (r *run) markCommitted(batch []Result) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, result := range batch {
+		r.uncommittedBytes -= len(result.Text)
+	}
+	r.uncommitted = r.uncommitted[len(batch):]
+	r.committed = append(r.committed, batch...)
+	close(r.committedCh)
+	r.committedCh = make(chan struct{})
+	if len(r.committed) == len(r.items) {
+		r.m.Events.Emit(event.StepCompleted, event.Subject{Step: r.rec.ID, Account: r.rec.Account, Count: int64(len(r.committed))})
+	}
+}
+
+// resultsFrom returns the committed results from a position on, and a channel that is
+// closed when more are committed.
+func (r *run) resultsFrom(position int) ([]Result, <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if position >= len(r.committed) {
+		return nil, r.committedCh
+	}
+	return truncateResults(readLimit, r.committed[position:]), r.committedCh
+}
