--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -352,9 +352,9 @@
 	Operation string
 	// EffectUnknown is true if the call may have taken effect.
 	EffectUnknown bool
-	// Back is true if the store has answered other calls since, so that the call may
+	// Recovered is true if the store has answered other calls since, so that the call may
 	// be repeated without a backoff.
-	Back bool
+	Recovered bool
 }
 
 // Error implements error.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,20 +13,20 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/entry"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 )
 
-var testUpstreams = []platform.Upstream{
-	{ID: "a", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 300, Account: "strathallan"},
-	{ID: "b", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
-	{ID: "c", Kind: platform.KindEngine, State: platform.UpstreamLeaving, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
+var testUpstreams = []platformapi.Upstream{
+	{ID: "a", Kind: platformapi.KindEngine, State: platformapi.UpstreamLive, CentsPerHour: 300, Account: "strathallan"},
+	{ID: "b", Kind: platformapi.KindEngine, State: platformapi.UpstreamLive, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
+	{ID: "c", Kind: platformapi.KindEngine, State: platformapi.UpstreamLeaving, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
 }
 
 func newTestMetrics() (*Metrics, *prometheus.Registry) {
 	registry := prometheus.NewPedanticRegistry()
 	m := New(registry, 300*time.Second)
-	RegisterUpstreams(registry, func() []platform.Upstream { return testUpstreams })
+	RegisterUpstreams(registry, func() []platformapi.Upstream { return testUpstreams })
 	return m, registry
 }
 
@@ -97,10 +97,10 @@
 }
 
 // fixedDispatcher grants its upstream to all work.
-type fixedDispatcher platform.Upstream
+type fixedDispatcher platformapi.Upstream
 
 func (g fixedDispatcher) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
-	return dispatch.Grant{Upstream: platform.Upstream(g), Done: func(dispatch.Result) {}}, nil
+	return dispatch.Grant{Upstream: platformapi.Upstream(g), Done: func(dispatch.Result) {}}, nil
 }
 
 func TestDispatcherCountsWorkByReclaimable(t *testing.T) {
--- a/internal/metrics/upstreams.go
+++ b/internal/metrics/upstreams.go
@@ -5,20 +5,20 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Upstreams collects metrics of the platform's list of upstreams as this VM knows
 // it. All VMs expose the same list, so a query over a fleet must use the maximum, not
 // the sum.
 type Upstreams struct {
-	list     func() []platform.Upstream
+	list     func() []platformapi.Upstream
 	count    *prometheus.Desc
 	spending *prometheus.Desc
 }
 
 // RegisterUpstreams registers a collector of the upstreams that list returns.
-func RegisterUpstreams(registerer prometheus.Registerer, list func() []platform.Upstream) *Upstreams {
+func RegisterUpstreams(registerer prometheus.Registerer, list func() []platformapi.Upstream) *Upstreams {
 	u := &Upstreams{
 		list: list,
 		count: prometheus.NewDesc(namespace+"_upstreams", "Upstreams in the platform's list.",
@@ -47,7 +47,7 @@
 	for _, up := range u.list() {
 		reclaimable := strconv.FormatBool(up.Reclaimable)
 		counts[countKey{string(up.Kind), string(up.State), reclaimable}]++
-		if up.State == platform.UpstreamLive {
+		if up.State == platformapi.UpstreamLive {
 			cents[spendingKey{up.Account, reclaimable}] += float64(up.CentsPerHour)
 		}
 	}
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -12,7 +12,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Fleet collects the revisions and events of all VMs for operators. It implements
@@ -93,7 +93,7 @@
 // exchangeAll.
 const minExchangePause = 100 * time.Millisecond
 
-func revisionOf(vm platform.VM, known map[string]Known) operator.VMRevision {
+func revisionOf(vm platformapi.VM, known map[string]Known) operator.VMRevision {
 	r := operator.VMRevision{VM: vm.ID, FailureDomain: vm.FailureDomain}
 	k, ok := known[vm.ID]
 	if !ok {
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/peer/peerpb"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Identity identifies a VM to its peers.
@@ -121,7 +121,7 @@
 func (g *Gossip) Incarnation() string { return g.incarnation }
 
 // SetVMs replaces the list of VMs by the platform's latest list.
-func (g *Gossip) SetVMs(vms []platform.VM) {
+func (g *Gossip) SetVMs(vms []platformapi.VM) {
 	ids := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		ids[vm.ID] = true
@@ -130,11 +130,11 @@
 }
 
 // VMs returns the platform's latest list of VMs.
-func (g *Gossip) VMs() []platform.VM { return g.vms.Load().vms }
+func (g *Gossip) VMs() []platformapi.VM { return g.vms.Load().vms }
 
 // vmList is the platform's list of VMs with the set of their IDs.
 type vmList struct {
-	vms []platform.VM
+	vms []platformapi.VM
 	ids map[string]bool
 }
 
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -7,7 +7,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/peer/peerpb"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Known is the latest digest of a peer.
@@ -52,8 +52,8 @@
 }
 
 // cellPeers returns the listed peers in the failure domain and cell of this VM.
-func (g *Gossip) cellPeers() []platform.VM {
-	var inDomain []platform.VM
+func (g *Gossip) cellPeers() []platformapi.VM {
+	var inDomain []platformapi.VM
 	for _, vm := range g.VMs() {
 		if vm.FailureDomain == g.self.FailureDomain {
 			inDomain = append(inDomain, vm)
@@ -61,7 +61,7 @@
 	}
 	cells := dispatch.CellCount(len(inDomain))
 	ownCell := dispatch.CellOf(g.self.VM, cells)
-	return slices.DeleteFunc(inDomain, func(vm platform.VM) bool {
+	return slices.DeleteFunc(inDomain, func(vm platformapi.VM) bool {
 		return vm.ID == g.self.VM || dispatch.CellOf(vm.ID, cells) != ownCell
 	})
 }
@@ -78,7 +78,7 @@
 	members := []dispatch.Member{{
 		VM:            g.self.VM,
 		FailureDomain: g.self.FailureDomain,
-		Heard:         true,
+		DemandKnown:   true,
 		Flows:         g.sentFlows,
 		Unreachable:   g.sentUnreachable,
 	}}
@@ -102,7 +102,7 @@
 	if state == nil || state.digest == nil {
 		return m
 	}
-	m.Heard = true
+	m.DemandKnown = true
 	m.Flows = decodeFlows(state.digest)
 	m.Unreachable = truncate(state.digest.GetUnreachable(), maxUnreachable)
 	return m
@@ -178,7 +178,7 @@
 			Account:  f.GetAccount(),
 			Share:    min(maxShare, f.GetShare()),
 			InFlight: min(maxSlots, f.GetInFlight()),
-			Waiting:  min(maxSlots, f.GetWaiting()),
+			Queued:   min(maxSlots, f.GetWaiting()),
 		})
 	}
 	return flows
@@ -192,7 +192,7 @@
 			Account:  f.Account,
 			Share:    f.Share,
 			InFlight: f.InFlight,
-			Waiting:  f.Waiting,
+			Waiting:  f.Queued,
 		})
 	}
 	return wire
