--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -12,7 +12,7 @@
 	"dogwoodpond/internal/fault"
 )
 
-// revisionParameter reads a revision; an absent one is 0.
+// revisionParameter parses a revision; an empty text is revision 0.
 func revisionParameter(text string) (contract.Revision, error) {
 	if text == "" {
 		return 0, nil
@@ -25,7 +25,7 @@
 }
 
 func (s *Server) putContract(r *restful.Request) (any, error) {
-	edit, err := editOf(r, contract.EditContract)
+	edit, err := newEdit(r, contract.EditContract)
 	if err != nil {
 		return nil, err
 	}
@@ -40,15 +40,15 @@
 	return s.apply(r.Request.Context(), edit)
 }
 
-// KeyGrant is the body of a grant. The secret stays with the operator's tool;
-// only its hash comes here.
+// KeyGrant is the body of a request that grants a key. It contains only the hash of the
+// secret; the secret never leaves the operator's tool.
 type KeyGrant struct {
 	Account      contract.Account `json:"account"`
 	SecretSHA256 string           `json:"secretSha256"`
 }
 
 func (s *Server) grantKey(r *restful.Request) (any, error) {
-	edit, err := editOf(r, contract.EditGrant)
+	edit, err := newEdit(r, contract.EditGrant)
 	if err != nil {
 		return nil, err
 	}
@@ -60,21 +60,21 @@
 	return s.apply(r.Request.Context(), edit)
 }
 
-// withdrawTries bounds how often a withdrawal is tried again when other edits of
-// the same key win.
-const withdrawTries = 16
+// maxWithdrawAttempts limits the attempts of a withdrawal that conflicts with concurrent
+// edits of the same key.
+const maxWithdrawAttempts = 16
 
-// withdrawKey withdraws a key. The withdrawal must win against a racing edit of
-// the same key: it would otherwise be refused as a conflict, and a key that an
-// operator believes withdrawn would go on working. So it reads the key again
-// and repeats itself; with the same edit ID, so that it is accepted once.
+// withdrawKey withdraws a key. On a conflict with a concurrent edit of the same key it
+// reads the key again and retries: if the conflict were returned instead, a key that the
+// operator believes to be withdrawn would remain valid. All attempts have the same edit
+// ID, so that the withdrawal is accepted at most once.
 func (s *Server) withdrawKey(r *restful.Request) (any, error) {
-	edit, err := editOf(r, contract.EditWithdraw)
+	edit, err := newEdit(r, contract.EditWithdraw)
 	if err != nil {
 		return nil, err
 	}
-	var last error
-	for range withdrawTries {
+	var conflict error
+	for range maxWithdrawAttempts {
 		answer, err := s.tryWithdraw(r.Request.Context(), edit, r.PathParameter("id"))
 		if err == nil {
 			return answer, nil
@@ -82,9 +82,9 @@
 		if !fault.Is[*fault.EditConflict](err) {
 			return nil, err
 		}
-		last = err
+		conflict = err
 	}
-	return nil, last
+	return nil, conflict
 }
 
 func (s *Server) tryWithdraw(ctx context.Context, edit contract.Edit, id string) (EditAnswer, error) {
@@ -103,9 +103,9 @@
 	return answer, nil
 }
 
-// withdraw commits the withdrawal of a key. A key that is withdrawn already is
-// answered with that withdrawal: a second entry would tell a board of a
-// decision that changed nothing.
+// withdraw commits the withdrawal of a key. For a key that is already withdrawn it
+// returns the existing entry: a second one would show an edit without effect in the
+// history.
 func (s *Server) withdraw(ctx context.Context, edit contract.Edit, subject contract.Subject) (EditAnswer, error) {
 	if subject.Key.Withdrawn {
 		entries, err := s.Editor.History(ctx, subject.Revision-1, 1)
@@ -113,7 +113,7 @@
 			return EditAnswer{}, err
 		}
 		if len(entries) == 1 && entries[0].Revision == subject.Revision {
-			return s.confirmed(ctx, entries[0]), nil
+			return s.awaitConfirmation(ctx, entries[0]), nil
 		}
 	}
 	withdrawn := *subject.Key
@@ -123,20 +123,21 @@
 	return s.apply(ctx, edit)
 }
 
-// apply commits an edit and answers with where it is in force.
+// apply commits an edit and returns on which VMs it is in force.
 func (s *Server) apply(ctx context.Context, edit contract.Edit) (EditAnswer, error) {
 	entry, err := s.Editor.Apply(ctx, edit)
 	if err != nil {
 		return EditAnswer{}, err
 	}
 	s.Advanced()
-	return s.confirmed(ctx, entry), nil
+	return s.awaitConfirmation(ctx, entry), nil
 }
 
-// confirmed waits a little for the fleet to confirm an entry.
-func (s *Server) confirmed(ctx context.Context, entry contract.Entry) EditAnswer {
+// awaitConfirmation waits until an entry is in force on all VMs, at most for
+// confirmTimeout, and returns where it is in force by then.
+func (s *Server) awaitConfirmation(ctx context.Context, entry contract.Entry) EditAnswer {
 	answer := EditAnswer{Entry: withoutHash(entry)}
-	deadline := time.Now().Add(confirmWait)
+	deadline := time.Now().Add(confirmTimeout)
 	for {
 		answer.Confirmation = confirmationOf(s.Fleet.InForce(), entry.Revision)
 		if len(answer.Pending) == 0 || time.Now().After(deadline) {
@@ -145,13 +146,13 @@
 		select {
 		case <-ctx.Done():
 			return answer
-		case <-time.After(confirmPeriod):
+		case <-time.After(confirmPollInterval):
 		}
 	}
 }
 
-// withoutHash returns the entry without the hash of a key's secret, which no
-// reader of an answer needs.
+// withoutHash returns the entry without the hash of a key's secret, which must not appear
+// in answers.
 func withoutHash(entry contract.Entry) contract.Entry {
 	if entry.Key == nil {
 		return entry
--- a/internal/operator/events.go
+++ b/internal/operator/events.go
@@ -11,10 +11,10 @@
 	"dogwoodpond/internal/fault"
 )
 
-// EventsAnswer holds the merged events of the fleet.
+// EventsAnswer is the answer of GET /v1/events: the merged events of all VMs.
 type EventsAnswer struct {
 	Events []event.Record `json:"events"`
-	// Missing names the VMs that did not answer; their events lack.
+	// Missing names the VMs that did not answer; Events has none of theirs.
 	Missing []string `json:"missing"`
 }
 
@@ -29,7 +29,7 @@
 	ParameterEvent    = "event"
 )
 
-func (s *Server) eventLine(r *restful.Request) (any, error) {
+func (s *Server) listEvents(r *restful.Request) (any, error) {
 	query, err := eventQuery(r)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	return EventsAnswer{Events: records, Missing: missing}, nil
 }
 
-// eventQuery reads the query parameters; upstream and event may be repeated.
+// eventQuery parses the query parameters; upstream and event may occur more than once.
 func eventQuery(r *restful.Request) (event.Query, error) {
 	query := event.Query{
 		Request:   r.QueryParameter(ParameterRequest),
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -13,15 +13,15 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Lease tells who holds a lease.
+// Lease is a lease and its holder.
 type Lease struct {
 	Name   string `json:"name"`
 	Holder string `json:"holder"`
-	// Epoch is the fencing number of the holder's orders.
+	// Epoch is the fencing token of the holder's orders.
 	Epoch uint64 `json:"epoch"`
 }
 
-// Step tells how far a step is.
+// Step is the progress of a step.
 type Step struct {
 	Account   string `json:"account"`
 	Step      string `json:"step"`
@@ -31,28 +31,28 @@
 	Acked     int64  `json:"acked"`
 }
 
-// Leases lists the leases that the table service holds. It fails with
-// *fault.StoreUnavailable.
+// Leases lists the leases in the store. It fails with *fault.StoreUnavailable.
 type Leases interface {
 	Leases(ctx context.Context) ([]Lease, error)
 }
 
-// Steps lists the steps of an account, or of all when account is empty. It
-// fails with *fault.StoreUnavailable.
+// Steps lists the steps of a client account, or of all client accounts if account is
+// empty. It fails with *fault.StoreUnavailable.
 type Steps interface {
 	Steps(ctx context.Context, account string) ([]Step, error)
 }
 
-// Usage lists usage reports. Times are in seconds since the Unix epoch. Both
-// methods fail with *fault.StoreUnavailable.
+// Usage lists usage reports. Times are in seconds since the Unix epoch. Both methods fail
+// with *fault.StoreUnavailable.
 type Usage interface {
-	// Reports lists the reports of the window that holds a time.
+	// Reports lists the reports of the usage window that contains the time at.
 	Reports(ctx context.Context, at int64) ([]platform.UsageReport, error)
-	// ReportsSince lists the reports of that window and all later ones.
+	// ReportsSince lists the reports of the usage window that contains the time from,
+	// and of all later windows.
 	ReportsSince(ctx context.Context, from int64) ([]platform.UsageReport, error)
 }
 
-// Status is what an operator sees at a glance.
+// Status is the state of the fleet as the answering VM sees it.
 type Status struct {
 	VM        string              `json:"vm"`
 	Revision  contract.Revision   `json:"revision"`
@@ -60,28 +60,28 @@
 	Domains   []Domain            `json:"failureDomains"`
 	Leases    []Lease             `json:"leases"`
 	Upstreams []platform.Upstream `json:"upstreams"`
-	// LeasesUnknown is true when the store did not answer, so that Leases is
-	// empty for want of knowledge.
+	// LeasesUnknown is true if the leases could not be read from the store; Leases is
+	// then empty.
 	LeasesUnknown bool `json:"leasesUnknown"`
 }
 
-// Domain sums up one failure domain as the answering VM sees it.
+// Domain summarizes one failure domain as the answering VM sees it.
 type Domain struct {
 	FailureDomain string `json:"failureDomain"`
 	VMs           int    `json:"vms"`
-	// Heard is how many VMs were heard of lately.
+	// Heard counts the VMs with a recent report of their revision (see unresponsiveAfter).
 	Heard int `json:"heard"`
-	// Revision is the lowest revision in force on a VM that was heard of.
+	// Revision is the lowest revision in force on the VMs counted by Heard.
 	Revision  contract.Revision `json:"revision"`
 	Upstreams int               `json:"upstreams"`
-	// CutOff is true when no VM of the failure domain was heard of lately.
+	// CutOff is true if Heard is 0.
 	CutOff bool `json:"cutOff"`
 }
 
-// Confirmation tells where a revision is in force.
+// Confirmation tells on which VMs a revision is in force.
 type Confirmation struct {
-	// Confirmed and Pending name the VMs where the revision is, and is not yet
-	// known to be, in force.
+	// Confirmed names the VMs where the revision is known to be in force, Pending all
+	// others.
 	Confirmed []string `json:"confirmed"`
 	Pending   []string `json:"pending"`
 	// PendingDomains groups the pending VMs by failure domain.
@@ -92,42 +92,42 @@
 type PendingDomain struct {
 	FailureDomain string   `json:"failureDomain"`
 	VMs           []string `json:"vms"`
-	// CutOff is true when no VM of the failure domain was heard of lately.
+	// CutOff is true if no VM of the failure domain has recently reported its revision.
 	CutOff bool `json:"cutOff"`
 }
 
-// silentAfter is how long a VM may be silent before it counts as not heard of.
-// It is several times the period of the exchange between VMs.
-const silentAfter = 10 * time.Second
+// unresponsiveAfter is the age of a VM's latest report above which the VM counts as
+// unresponsive. It is several times the interval at which VMs exchange digests.
+const unresponsiveAfter = 10 * time.Second
 
-func (v VMRevision) heardLately() bool {
-	return v.Known && v.HeardMillis <= silentAfter.Milliseconds()
+func (v VMRevision) heardRecently() bool {
+	return v.Known && v.HeardMillis <= unresponsiveAfter.Milliseconds()
 }
 
-// cutOff reports whether no VM of a failure domain was heard of lately.
+// cutOff reports whether no VM of a failure domain has recently reported its revision.
 func cutOff(vms []VMRevision, domain string) bool {
 	for _, vm := range vms {
-		if vm.FailureDomain == domain && vm.heardLately() {
+		if vm.FailureDomain == domain && vm.heardRecently() {
 			return false
 		}
 	}
 	return true
 }
 
-// confirmationOf sorts the VMs by whether a revision is in force on them.
+// confirmationOf divides the VMs into those where a revision is in force and the others.
 func confirmationOf(vms []VMRevision, revision contract.Revision) Confirmation {
 	c := Confirmation{Confirmed: []string{}, Pending: []string{}, PendingDomains: []PendingDomain{}}
-	at := map[string]int{}
+	index := map[string]int{}
 	for _, vm := range vms {
 		if vm.Known && vm.Revision >= revision {
 			c.Confirmed = append(c.Confirmed, vm.VM)
 			continue
 		}
 		c.Pending = append(c.Pending, vm.VM)
-		i, ok := at[vm.FailureDomain]
+		i, ok := index[vm.FailureDomain]
 		if !ok {
 			i = len(c.PendingDomains)
-			at[vm.FailureDomain] = i
+			index[vm.FailureDomain] = i
 			c.PendingDomains = append(c.PendingDomains, PendingDomain{
 				FailureDomain: vm.FailureDomain,
 				CutOff:        cutOff(vms, vm.FailureDomain),
@@ -146,7 +146,7 @@
 	return confirmationOf(s.Fleet.InForce(), revision), nil
 }
 
-// status answers also while the store is down; the leases are then unknown.
+// status answers even if the store does not; the leases are then unknown.
 func (s *Server) status(r *restful.Request) (any, error) {
 	answer := Status{
 		VM:        s.VM,
@@ -163,12 +163,12 @@
 
 func domainsOf(vms []VMRevision, upstreams []platform.Upstream) []Domain {
 	domains := []Domain{}
-	at := map[string]int{}
+	index := map[string]int{}
 	find := func(name string) *Domain {
-		i, ok := at[name]
+		i, ok := index[name]
 		if !ok {
 			i = len(domains)
-			at[name] = i
+			index[name] = i
 			domains = append(domains, Domain{FailureDomain: name, CutOff: cutOff(vms, name)})
 		}
 		return &domains[i]
@@ -176,7 +176,7 @@
 	for _, vm := range vms {
 		d := find(vm.FailureDomain)
 		d.VMs++
-		if !vm.heardLately() {
+		if !vm.heardRecently() {
 			continue
 		}
 		d.Heard++
@@ -194,13 +194,13 @@
 	return s.Steps.Steps(r.Request.Context(), r.QueryParameter("account"))
 }
 
-// usageSpan is how far back the list of reports goes unless it is told: the
-// store keeps reports for years, and a list must not read them all.
-const usageSpan = 24 * time.Hour
+// defaultUsageSpan is how far back the list of reports goes if the request has no "from".
+// The store retains reports for years, and a list must not read all of them.
+const defaultUsageSpan = 24 * time.Hour
 
-// listUsage lists the reports since a time.
+// listUsage lists the reports since the time of the query parameter "from".
 func (s *Server) listUsage(r *restful.Request) (any, error) {
-	from := time.Now().Add(-usageSpan).Unix()
+	from := time.Now().Add(-defaultUsageSpan).Unix()
 	if text := r.QueryParameter("from"); text != "" {
 		given, err := secondsParameter("from", text)
 		if err != nil {
@@ -211,7 +211,7 @@
 	return s.Usage.ReportsSince(r.Request.Context(), from)
 }
 
-// windowUsage lists the reports of one window.
+// windowUsage lists the reports of one usage window.
 func (s *Server) windowUsage(r *restful.Request) (any, error) {
 	at, err := secondsParameter("window", r.PathParameter("window"))
 	if err != nil {
@@ -220,7 +220,7 @@
 	return s.Usage.Reports(r.Request.Context(), at)
 }
 
-// secondsParameter reads a time in seconds since the Unix epoch.
+// secondsParameter parses a time in seconds since the Unix epoch.
 func secondsParameter(field, text string) (int64, error) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -14,15 +14,15 @@
 	"dogwoodpond/internal/event"
 )
 
-// Change is one field that an edit changed. Before is empty for a new contract
-// or key.
+// Change is one field that an edit changed. Before is empty for a new contract or key.
 type Change struct {
 	Field  string `json:"field"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// HistoryEdit is one accepted edit as it is shown to a board.
+// HistoryEdit is one accepted edit, with the fields that it changed and when it was in
+// force.
 type HistoryEdit struct {
 	Revision contract.Revision `json:"revision"`
 	EditID   string            `json:"editId"`
@@ -36,32 +36,33 @@
 	InForce InForce          `json:"inForce"`
 }
 
-// InForce tells when an edit was in force on the VMs of today.
+// InForce tells when an edit came into force on the VMs that are known now.
 type InForce struct {
-	// Everywhere is when the last VM put the edit in force; absent unless it is
-	// known for every VM.
+	// Everywhere is when the last VM applied the edit; nil unless the time is known for
+	// every VM.
 	Everywhere *time.Time `json:"everywhere,omitempty"`
-	// VMs tells it for each VM of which it is known.
+	// VMs has the VMs for which the time is known.
 	VMs []VMInForce `json:"vms"`
-	// NotKnown names the VMs that did not answer, started later, or keep the
-	// event no more.
+	// NotKnown names the VMs that did not answer, that started after the edit, or whose
+	// event buffer no longer contains the event.
 	NotKnown []string `json:"notKnown"`
 }
 
-// VMInForce is when a VM put an edit in force.
+// VMInForce is when a VM applied an edit.
 type VMInForce struct {
 	VM string    `json:"vm"`
 	At time.Time `json:"at"`
 }
 
-const historyPage = 1000
+// historyPageSize limits the entries of one read of the history.
+const historyPageSize = 1000
 
 func (s *Server) revisions(r *restful.Request) (any, error) {
 	after, err := revisionParameter(r.QueryParameter("after"))
 	if err != nil {
 		return nil, err
 	}
-	entries, err := s.Editor.History(r.Request.Context(), after, historyPage)
+	entries, err := s.Editor.History(r.Request.Context(), after, historyPageSize)
 	if err != nil {
 		return nil, err
 	}
@@ -71,22 +72,22 @@
 	return entries, nil
 }
 
-// history answers with all accepted edits of an account, or of all accounts.
+// history returns all accepted edits of a client account, or of all client accounts.
 func (s *Server) history(r *restful.Request) (any, error) {
 	entries, err := s.allEntries(r.Request.Context())
 	if err != nil {
 		return nil, err
 	}
 	records, missing := s.Fleet.Events(r.Request.Context(), event.Query{Numbers: []event.Number{event.RevisionApplied}})
-	applied := appliedOn(records)
+	applied := appliedByVM(records)
 	vms := s.vmNames(missing)
-	wanted := contract.Account(r.QueryParameter("account"))
+	account := contract.Account(r.QueryParameter("account"))
 	edits := []HistoryEdit{}
 	for _, edit := range editsOf(entries) {
-		if wanted != "" && edit.Account != wanted {
+		if account != "" && edit.Account != account {
 			continue
 		}
-		edit.InForce = inForce(edit.Revision, applied, vms)
+		edit.InForce = inForceTimes(edit.Revision, applied, vms)
 		edits = append(edits, edit)
 	}
 	return edits, nil
@@ -96,19 +97,19 @@
 	var all []contract.Entry
 	var after contract.Revision
 	for {
-		page, err := s.Editor.History(ctx, after, historyPage)
+		page, err := s.Editor.History(ctx, after, historyPageSize)
 		if err != nil {
 			return nil, err
 		}
 		all = append(all, page...)
-		if len(page) < historyPage {
+		if len(page) < historyPageSize {
 			return all, nil
 		}
 		after = page[len(page)-1].Revision
 	}
 }
 
-// vmNames lists the VMs of today with those that did not answer.
+// vmNames returns the names of the known VMs and of those that did not answer.
 func (s *Server) vmNames(missing []string) []string {
 	names := slices.Clone(missing)
 	for _, vm := range s.Fleet.InForce() {
@@ -118,7 +119,7 @@
 	return slices.Compact(names)
 }
 
-// editsOf describes each entry by what it changed in its contract or key.
+// editsOf returns for each entry what it changed in its contract or key.
 func editsOf(entries []contract.Entry) []HistoryEdit {
 	before := map[string]contract.Entry{}
 	edits := make([]HistoryEdit, 0, len(entries))
@@ -138,7 +139,7 @@
 		case entry.Key != nil:
 			edit.Account = entry.Key.Account
 			edit.Subject = "key/" + entry.Key.ID
-			edit.Changes = diff(viewOf(before[edit.Subject].Key), viewOf(entry.Key))
+			edit.Changes = diff(keyViewOf(before[edit.Subject].Key), keyViewOf(entry.Key))
 		}
 		before[edit.Subject] = entry
 		edits = append(edits, edit)
@@ -146,18 +147,18 @@
 	return edits
 }
 
-func viewOf(key *contract.Key) *KeyView {
+func keyViewOf(key *contract.Key) *KeyView {
 	if key == nil {
 		return nil
 	}
 	return &KeyView{ID: key.ID, Account: key.Account, Withdrawn: key.Withdrawn}
 }
 
-// DiffContracts lists the fields in which two contracts differ; before is nil
-// for a new contract.
+// DiffContracts lists the fields in which two contracts differ; before is nil for a new
+// contract.
 func DiffContracts(before, after *contract.Contract) []Change { return diff(before, after) }
 
-// diff compares two values of one type field by field, in the order of names.
+// diff lists the fields in which two values differ, sorted by name.
 func diff[T any](before, after *T) []Change {
 	old, now := fieldsOf(before), fieldsOf(after)
 	names := make([]string, 0, len(now))
@@ -174,7 +175,8 @@
 	return changes
 }
 
-// fieldsOf flattens a value into "a.b" names with their JSON text.
+// fieldsOf maps the names of all nested JSON fields, like "a.b", to the text of their
+// values.
 func fieldsOf[T any](value *T) map[string]string {
 	fields := map[string]string{}
 	if value == nil {
@@ -204,30 +206,30 @@
 	}
 }
 
-// application is one RevisionApplied event.
-type application struct {
+// appliedRevision is one RevisionApplied event.
+type appliedRevision struct {
 	revision contract.Revision
 	at       time.Time
 }
 
-// appliedOn sorts the RevisionApplied events by VM, oldest first.
-func appliedOn(records []event.Record) map[string][]application {
-	applied := map[string][]application{}
+// appliedByVM groups the RevisionApplied events by VM, oldest first.
+func appliedByVM(records []event.Record) map[string][]appliedRevision {
+	applied := map[string][]appliedRevision{}
 	for _, e := range records {
 		if e.Number == event.RevisionApplied {
-			a := application{revision: contract.Revision(e.Revision), at: time.UnixMicro(e.Stamp.WallMicros).UTC()}
+			a := appliedRevision{revision: contract.Revision(e.Revision), at: time.UnixMicro(e.Stamp.WallMicros).UTC()}
 			applied[e.VM] = append(applied[e.VM], a)
 		}
 	}
 	return applied
 }
 
-// inForce tells when a revision came into force on each VM.
-func inForce(revision contract.Revision, applied map[string][]application, vms []string) InForce {
+// inForceTimes returns when a revision came into force on each VM.
+func inForceTimes(revision contract.Revision, applied map[string][]appliedRevision, vms []string) InForce {
 	answer := InForce{VMs: []VMInForce{}, NotKnown: []string{}}
 	var latest time.Time
 	for _, vm := range vms {
-		at, ok := firstWith(applied[vm], revision)
+		at, ok := firstApplied(applied[vm], revision)
 		if !ok {
 			answer.NotKnown = append(answer.NotKnown, vm)
 			continue
@@ -243,10 +245,11 @@
 	return answer
 }
 
-// firstWith finds when a VM first had a revision in force. The first event that
-// a ring still holds may come long after an older one that it dropped, or after
-// a start of the VM; it shows the time only when it names just this revision.
-func firstWith(applied []application, revision contract.Revision) (time.Time, bool) {
+// firstApplied returns when a VM first had a revision in force, and whether that is
+// known. It is not known if the VM's oldest retained event names a later revision: the VM
+// may have applied the revision long before, with an event that its buffer has dropped or
+// that was lost in a restart.
+func firstApplied(applied []appliedRevision, revision contract.Revision) (time.Time, bool) {
 	for i, a := range applied {
 		if a.revision < revision {
 			continue
--- a/internal/operator/keys.go
+++ b/internal/operator/keys.go
@@ -9,7 +9,7 @@
 	"dogwoodpond/internal/contract"
 )
 
-// KeyView is a key as operators see it, without the hash of its secret.
+// KeyView is a key without the hash of its secret, as operators see it.
 type KeyView struct {
 	ID        string           `json:"id"`
 	Account   contract.Account `json:"account"`
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator serves operators: edits of contracts and keys, and what the
-// fleet is doing. It listens on its own address with its own credential.
+// Package operator implements the operators' API: edits of contracts and keys, and the
+// state, history and events of the fleet. The API has its own address and credential.
 package operator
 
 import (
@@ -25,31 +25,31 @@
 // Editor commits edits.
 type Editor interface {
 	Apply(ctx context.Context, edit contract.Edit) (contract.Entry, error)
-	// Subject returns the contract or key named by "contract/<account>" or
-	// "key/<id>", with the revision of its last edit; 0 when there is none.
+	// Subject returns the contract or key with the name "contract/<account>" or
+	// "key/<id>", and the revision of its last edit, which is 0 if there is none.
 	Subject(ctx context.Context, name string) (contract.Subject, error)
 	// History returns the accepted edits after a revision, in order.
 	History(ctx context.Context, after contract.Revision, limit int) ([]contract.Entry, error)
 }
 
-// Fleet tells what is known of the other VMs.
+// Fleet provides the revisions and events of all VMs.
 type Fleet interface {
-	// InForce returns the revision in force on every known VM.
+	// InForce returns the revision in force on each known VM.
 	InForce() []VMRevision
-	// Events returns the events of all reachable VMs that a query picks, in
-	// order, and names the other VMs.
+	// Events returns the events of all reachable VMs that match the query, in order,
+	// and the names of the VMs that did not answer.
 	Events(ctx context.Context, query event.Query) (records []event.Record, missing []string)
 }
 
-// VMRevision tells which revision a VM has in force.
+// VMRevision is the revision that a VM has in force.
 type VMRevision struct {
 	VM            string            `json:"vm"`
 	FailureDomain string            `json:"failureDomain"`
 	Revision      contract.Revision `json:"revision"`
-	// HeardMillis is how long ago the VM said so.
+	// HeardMillis is the age of the VM's latest report, in milliseconds.
 	HeardMillis int64 `json:"heardMillis"`
 	Draining    bool  `json:"draining"`
-	// Known is false when the VM has not been heard of.
+	// Known is false if the VM has never reported its revision.
 	Known bool `json:"known"`
 }
 
@@ -57,8 +57,8 @@
 type EditAnswer struct {
 	Entry contract.Entry `json:"entry"`
 	Confirmation
-	// ServeSeconds is set for a withdrawn key: how long a VM that is cut off
-	// from the platform and from all other VMs may go on with the key.
+	// ServeSeconds is set for a withdrawn key. It is how long a VM that is cut off from
+	// the platform and from all other VMs may continue to accept the key.
 	ServeSeconds int64 `json:"serveSeconds,omitempty"`
 }
 
@@ -68,7 +68,7 @@
 	Message string     `json:"message"`
 }
 
-// Config holds what a Server is built from.
+// Config holds the dependencies and settings of a Server.
 type Config struct {
 	VM          string
 	TokenSHA256 string
@@ -80,16 +80,16 @@
 	Steps       Steps
 	Usage       Usage
 	Events      *event.Recorder
-	// Advanced asks the VM to apply the newest revision at once.
+	// Advanced makes the VM apply the newest revision at once, after an edit was
+	// committed.
 	Advanced func()
 }
 
-// Server is the operators' API.
+// Server serves the operators' API.
 type Server struct {
 	Config
 }
 
-// NewServer returns a server.
 func NewServer(config Config) *Server { return &Server{Config: config} }
 
 // Headers of an edit.
@@ -101,9 +101,10 @@
 
 const (
 	maxBody = 1 << 20
-	// confirmWait bounds how long an edit's answer waits for the fleet.
-	confirmWait   = 3 * time.Second
-	confirmPeriod = 50 * time.Millisecond
+	// confirmTimeout limits how long the answer to an edit waits until all VMs have
+	// confirmed the edit.
+	confirmTimeout      = 3 * time.Second
+	confirmPollInterval = 50 * time.Millisecond
 )
 
 // Handler returns the API's HTTP handler.
@@ -114,10 +115,10 @@
 		s.Events.Emit(event.PanicRecovered, event.Subject{Detail: "operator"})
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	container.ServiceErrorHandler(unrouted)
+	container.ServiceErrorHandler(writeRouteError)
 	container.Add(s.api())
-	// Dispatch, not ServeHTTP: the container's own mux would answer some paths
-	// with a redirect in place of a typed refusal.
+	// Dispatch, not ServeHTTP: the container's own mux answers some paths with a
+	// redirect instead of a Problem.
 	return http.HandlerFunc(container.Dispatch)
 }
 
@@ -137,7 +138,7 @@
 	ws.Route(ws.GET("/steps").To(s.handle(s.listSteps)))
 	ws.Route(ws.GET("/usage").To(s.handle(s.listUsage)))
 	ws.Route(ws.GET("/usage/{window}").To(s.handle(s.windowUsage)))
-	ws.Route(ws.GET("/events").To(s.handle(s.eventLine)))
+	ws.Route(ws.GET("/events").To(s.handle(s.listEvents)))
 	return ws
 }
 
@@ -147,7 +148,7 @@
 	sum := sha256.Sum256([]byte(token))
 	hash := hex.EncodeToString(sum[:])
 	if subtle.ConstantTimeCompare([]byte(hash), []byte(strings.ToLower(s.TokenSHA256))) != 1 {
-		problem(w, errors.WithStack(&fault.KeyInvalid{}))
+		writeProblem(w, errors.WithStack(&fault.KeyInvalid{}))
 		return
 	}
 	chain.ProcessFilter(r, w)
@@ -159,14 +160,14 @@
 	return func(r *restful.Request, w *restful.Response) {
 		answer, err := next(r)
 		if err != nil {
-			problem(w, err)
+			writeProblem(w, err)
 			return
 		}
 		_ = w.WriteHeaderAndJson(http.StatusOK, answer, restful.MIME_JSON)
 	}
 }
 
-var statuses = map[fault.Code]int{
+var httpStatuses = map[fault.Code]int{
 	fault.CodeBadRequest:       http.StatusBadRequest,
 	fault.CodeEditInvalid:      http.StatusBadRequest,
 	fault.CodeKeyInvalid:       http.StatusUnauthorized,
@@ -176,15 +177,15 @@
 	fault.CodeStoreUnavailable: http.StatusServiceUnavailable,
 }
 
-// unrouted answers for unknown paths and methods.
-func unrouted(failure restful.ServiceError, r *restful.Request, w *restful.Response) {
+// writeRouteError answers requests with an unknown path or method.
+func writeRouteError(failure restful.ServiceError, r *restful.Request, w *restful.Response) {
 	err := &fault.RouteUnknown{Method: r.Request.Method}
 	_ = w.WriteHeaderAndJson(failure.Code, Problem{Code: err.Code(), Message: err.Error()}, restful.MIME_JSON)
 }
 
-func problem(w *restful.Response, err error) {
+func writeProblem(w *restful.Response, err error) {
 	code := fault.CodeOf(err)
-	status, ok := statuses[code]
+	status, ok := httpStatuses[code]
 	if !ok {
 		status = http.StatusInternalServerError
 	}
@@ -208,16 +209,17 @@
 }
 
 func decodeBody(r *restful.Request, into any) error {
-	dec := json.NewDecoder(http.MaxBytesReader(nil, r.Request.Body, maxBody))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	decoder := json.NewDecoder(http.MaxBytesReader(nil, r.Request.Body, maxBody))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
 		return errors.WithStack(&fault.BadRequest{Field: "body", Problem: "must be one JSON object with known fields"})
 	}
 	return nil
 }
 
-// editOf builds the frame of an edit from the request's headers.
-func editOf(r *restful.Request, kind contract.EditKind) (contract.Edit, error) {
+// newEdit returns an edit with the ID, editor and base revision of the request's headers.
+// An absent ID is generated.
+func newEdit(r *restful.Request, kind contract.EditKind) (contract.Edit, error) {
 	base, err := revisionParameter(r.Request.Header.Get(HeaderIfMatch))
 	if err != nil {
 		return contract.Edit{}, err
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,10 +28,11 @@
 	testHash  = "0123456789012345678901234567890123456789012345678901234567890123"
 )
 
-// fakeEditor keeps edits in memory; conflicts makes that many edits lose.
+// fakeEditor is an in-memory Editor.
 type fakeEditor struct {
-	subjects  map[string]contract.Subject
-	entries   []contract.Entry
+	subjects map[string]contract.Subject
+	entries  []contract.Entry
+	// conflicts is the number of next edits that fail because of a concurrent edit.
 	conflicts int
 }
 
@@ -82,55 +83,56 @@
 	return picked, slices.Clone(f.missing)
 }
 
-// noRows is a store that does not answer.
-type noRows struct{}
+// unavailableStore provides Leases, Steps and Usage of a store that does not answer.
+type unavailableStore struct{}
 
-func (noRows) Leases(context.Context) ([]Lease, error) {
+func (unavailableStore) Leases(context.Context) ([]Lease, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (noRows) Steps(context.Context, string) ([]Step, error) {
+func (unavailableStore) Steps(context.Context, string) ([]Step, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (noRows) ReportsSince(context.Context, int64) ([]platform.UsageReport, error) {
+func (unavailableStore) ReportsSince(context.Context, int64) ([]platform.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (noRows) Reports(context.Context, int64) ([]platform.UsageReport, error) {
+func (unavailableStore) Reports(context.Context, int64) ([]platform.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-type fixture struct {
+// harness is a Server under test with its fakes.
+type harness struct {
 	server *Server
 	editor *fakeEditor
 	fleet  *fakeFleet
 }
 
-func newFixture() *fixture {
-	f := &fixture{
+func newHarness() *harness {
+	h := &harness{
 		editor: &fakeEditor{subjects: map[string]contract.Subject{}},
 		fleet:  &fakeFleet{},
 	}
-	f.server = NewServer(Config{
+	h.server = NewServer(Config{
 		VM:          "vm-1",
 		TokenSHA256: contract.HashSecret(testToken),
 		View:        contract.NewView(),
-		Editor:      f.editor,
-		Fleet:       f.fleet,
+		Editor:      h.editor,
+		Fleet:       h.fleet,
 		Upstreams:   func() []platform.Upstream { return nil },
-		Leases:      noRows{},
-		Steps:       noRows{},
-		Usage:       noRows{},
+		Leases:      unavailableStore{},
+		Steps:       unavailableStore{},
+		Usage:       unavailableStore{},
 		Events:      event.NewRecorder("vm-1", 64, event.NewClock(time.Now), zap.NewNop()),
 		Advanced:    func() {},
 	})
-	return f
+	return h
 }
 
-// call makes one call; it decodes the answer into reply and returns the status
-// and the answer's text.
-func (f *fixture) call(t *testing.T, method, path, body string, reply any) (int, string) {
+// call makes a call, decodes the answer into reply if reply is not nil, and returns the
+// status and the text of the answer.
+func (h *harness) call(t *testing.T, method, path, body string, reply any) (int, string) {
 	t.Helper()
 	request := httptest.NewRequest(method, path, strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+testToken)
@@ -138,7 +140,7 @@
 	request.Header.Set(HeaderEditor, "ana")
 	request.Header.Set(HeaderEditID, "edit-1")
 	response := httptest.NewRecorder()
-	f.server.Handler().ServeHTTP(response, request)
+	h.server.Handler().ServeHTTP(response, request)
 	text := response.Body.String()
 	if reply != nil {
 		if err := json.Unmarshal([]byte(text), reply); err != nil {
@@ -148,49 +150,48 @@
 	return response.Code, text
 }
 
-func (f *fixture) grant(id string) {
-	f.editor.subjects["key/"+id] = contract.Subject{
+func (h *harness) grant(id string) {
+	h.editor.subjects["key/"+id] = contract.Subject{
 		Revision: 1,
 		Key:      &contract.Key{ID: id, Account: "brazicod", SecretSHA256: testHash},
 	}
 }
 
-// Two operators edit the same key at once, and the other one is faster each
-// time. Without a new try the withdrawal is refused as a conflict, and a key that
-// had to stop goes on working.
-func TestWithdrawalWinsAgainstRacingEdits(t *testing.T) {
-	f := newFixture()
-	f.grant("k1")
-	f.editor.conflicts = 3
+// Guards against a withdrawal that is refused as a conflict while another operator edits
+// the same key, which would leave the key valid.
+func TestWithdrawalRetriesAfterConflicts(t *testing.T) {
+	h := newHarness()
+	h.grant("k1")
+	h.editor.conflicts = 3
 	var answer EditAnswer
-	status, text := f.call(t, http.MethodDelete, "/v1/keys/k1", "", &answer)
+	status, text := h.call(t, http.MethodDelete, "/v1/keys/k1", "", &answer)
 	if status != http.StatusOK {
 		t.Fatalf("withdrawal answered %d %s", status, text)
 	}
-	if !f.editor.subjects["key/k1"].Key.Withdrawn {
+	if !h.editor.subjects["key/k1"].Key.Withdrawn {
 		t.Error("the key is not withdrawn")
 	}
 }
 
-// A failure domain is cut off while a key is withdrawn. An operator who is told
-// only "accepted" would believe that the key works nowhere any more.
+// Guards against an answer that only says "accepted" while a failure domain is cut off: the
+// operator would believe that the key is invalid everywhere.
 func TestWithdrawalNamesCutOffFailureDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFixture()
-		f.grant("k1")
+		h := newHarness()
+		h.grant("k1")
 		first, _ := contract.Empty().Apply(contract.Entry{
 			Revision: 1,
 			Contract: &contract.Contract{Account: "brazicod", Isolation: contract.Isolation{ServeSeconds: 90}},
 		})
-		f.server.View.Advance(first)
-		f.fleet.vms = []VMRevision{
+		h.server.View.Advance(first)
+		h.fleet.vms = []VMRevision{
 			{VM: "vm-1", FailureDomain: "a", Revision: 5, Known: true},
 			{VM: "vm-2", FailureDomain: "a", Revision: 0, Known: true, HeardMillis: 400},
 			{VM: "vm-3", FailureDomain: "b", Revision: 0, Known: true, HeardMillis: 60_000},
 			{VM: "vm-4", FailureDomain: "b"},
 		}
 		var answer EditAnswer
-		f.call(t, http.MethodDelete, "/v1/keys/k1", "", &answer)
+		h.call(t, http.MethodDelete, "/v1/keys/k1", "", &answer)
 		if !slices.Equal(answer.Confirmed, []string{"vm-1"}) || !slices.Equal(answer.Pending, []string{"vm-2", "vm-3", "vm-4"}) {
 			t.Errorf("confirmed %v, pending %v", answer.Confirmed, answer.Pending)
 		}
@@ -203,68 +204,68 @@
 	})
 }
 
-// Two operators are told to withdraw the same key, or one does it twice to be
-// sure. The history must show one decision.
-func TestSecondWithdrawalAnswersWithTheFirst(t *testing.T) {
-	f := newFixture()
-	f.grant("k1")
+// A key is withdrawn twice, by two operators or by one to be safe. The history must show
+// one edit.
+func TestSecondWithdrawalReturnsTheFirstEntry(t *testing.T) {
+	h := newHarness()
+	h.grant("k1")
 	var first, second EditAnswer
-	f.call(t, http.MethodDelete, "/v1/keys/k1", "", &first)
-	f.call(t, http.MethodDelete, "/v1/keys/k1", "", &second)
-	if len(f.editor.entries) != 1 {
-		t.Errorf("the history has %d edits, want 1", len(f.editor.entries))
+	h.call(t, http.MethodDelete, "/v1/keys/k1", "", &first)
+	h.call(t, http.MethodDelete, "/v1/keys/k1", "", &second)
+	if len(h.editor.entries) != 1 {
+		t.Errorf("the history has %d edits, want 1", len(h.editor.entries))
 	}
 	if first.Entry.Revision != second.Entry.Revision || second.Entry.Kind != contract.EditWithdraw {
 		t.Errorf("the second answer is %+v, want that of %+v", second.Entry, first.Entry)
 	}
 }
 
-// An operator mistypes a key's ID. With an answer that looks like success the
-// real key would go on working unnoticed.
+// Guards against a successful answer to a withdrawal with a mistyped key ID: the key that
+// was meant would remain valid unnoticed.
 func TestWithdrawalOfUnknownKey(t *testing.T) {
-	f := newFixture()
+	h := newHarness()
 	var answer Problem
-	if status, _ := f.call(t, http.MethodDelete, "/v1/keys/nobody", "", &answer); status != http.StatusNotFound || answer.Code != fault.CodeKeyUnknown {
+	if status, _ := h.call(t, http.MethodDelete, "/v1/keys/nobody", "", &answer); status != http.StatusNotFound || answer.Code != fault.CodeKeyUnknown {
 		t.Errorf("answer is %d %s", status, answer.Code)
 	}
 }
 
-func TestAnswersHoldNoHashOfASecret(t *testing.T) {
-	f := newFixture()
-	_, granted := f.call(t, http.MethodPut, "/v1/keys/k1", `{"account":"brazicod","secretSha256":"`+testHash+`"}`, nil)
-	snapshot, err := contract.Empty().Apply(f.editor.entries[0])
+func TestAnswersDoNotContainTheHashOfASecret(t *testing.T) {
+	h := newHarness()
+	_, granted := h.call(t, http.MethodPut, "/v1/keys/k1", `{"account":"brazicod","secretSha256":"`+testHash+`"}`, nil)
+	snapshot, err := contract.Empty().Apply(h.editor.entries[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.server.View.Advance(snapshot)
-	_, list := f.call(t, http.MethodGet, "/v1/keys", "", nil)
-	_, revisions := f.call(t, http.MethodGet, "/v1/revisions", "", nil)
-	_, history := f.call(t, http.MethodGet, "/v1/history", "", nil)
-	_, withdrawn := f.call(t, http.MethodDelete, "/v1/keys/k1", "", nil)
+	h.server.View.Advance(snapshot)
+	_, list := h.call(t, http.MethodGet, "/v1/keys", "", nil)
+	_, revisions := h.call(t, http.MethodGet, "/v1/revisions", "", nil)
+	_, history := h.call(t, http.MethodGet, "/v1/history", "", nil)
+	_, withdrawn := h.call(t, http.MethodDelete, "/v1/keys/k1", "", nil)
 	for _, text := range []string{granted, list, revisions, history, withdrawn} {
 		if !strings.Contains(text, "k1") {
 			t.Errorf("the answer does not name the key: %s", text)
 		}
 		if strings.Contains(text, testHash) {
-			t.Errorf("the answer holds the hash: %s", text)
+			t.Errorf("the answer contains the hash: %s", text)
 		}
 	}
-	if f.editor.subjects["key/k1"].Key.SecretSHA256 != testHash {
-		t.Error("the hash was lost from the kept key")
+	if h.editor.subjects["key/k1"].Key.SecretSHA256 != testHash {
+		t.Error("the stored key has lost its hash")
 	}
 }
 
 func TestHistoryShowsWhoWhatAndWhenInForce(t *testing.T) {
-	f := newFixture()
-	f.call(t, http.MethodPut, "/v1/contracts/strathallan", `{"account":"strathallan","share":100}`, nil)
-	f.editor.subjects["contract/strathallan"] = contract.Subject{}
-	f.call(t, http.MethodPut, "/v1/contracts/strathallan", `{"account":"strathallan","share":250}`, nil)
-	f.fleet.vms = []VMRevision{{VM: "vm-1", Known: true}, {VM: "vm-2", Known: true}}
-	f.fleet.records = []event.Record{
-		applied("vm-1", 1, 10), applied("vm-2", 1, 11), applied("vm-1", 2, 20), applied("vm-2", 2, 23),
+	h := newHarness()
+	h.call(t, http.MethodPut, "/v1/contracts/strathallan", `{"account":"strathallan","share":100}`, nil)
+	h.editor.subjects["contract/strathallan"] = contract.Subject{}
+	h.call(t, http.MethodPut, "/v1/contracts/strathallan", `{"account":"strathallan","share":250}`, nil)
+	h.fleet.vms = []VMRevision{{VM: "vm-1", Known: true}, {VM: "vm-2", Known: true}}
+	h.fleet.records = []event.Record{
+		revisionApplied("vm-1", 1, 10), revisionApplied("vm-2", 1, 11), revisionApplied("vm-1", 2, 20), revisionApplied("vm-2", 2, 23),
 	}
 	var edits []HistoryEdit
-	f.call(t, http.MethodGet, "/v1/history?account=strathallan", "", &edits)
+	h.call(t, http.MethodGet, "/v1/history?account=strathallan", "", &edits)
 	if len(edits) != 2 {
 		t.Fatalf("history has %d edits, want 2", len(edits))
 	}
@@ -280,7 +281,7 @@
 	}
 }
 
-func applied(vm string, revision uint64, micros int64) event.Record {
+func revisionApplied(vm string, revision uint64, micros int64) event.Record {
 	return event.Record{
 		VM:      vm,
 		Number:  event.RevisionApplied,
@@ -289,14 +290,14 @@
 	}
 }
 
-// A VM was replaced, or its ring has dropped old events, or it is cut off. A time
-// guessed from what is left would tell a board something that nobody saw.
-func TestInForceSaysWhenItIsNotKnown(t *testing.T) {
-	line := appliedOn([]event.Record{
-		applied("whole", 1, 1), applied("whole", 3, 3),
-		applied("replaced", 4, 9),
+// The time of an edit is not known for a VM that was replaced, has dropped old events or is
+// cut off. Guards against a time inferred from its later events.
+func TestInForceTimesOmitsUnknownTimes(t *testing.T) {
+	applied := appliedByVM([]event.Record{
+		revisionApplied("whole", 1, 1), revisionApplied("whole", 3, 3),
+		revisionApplied("replaced", 4, 9),
 	})
-	got := inForce(2, line, []string{"whole", "replaced", "silent"})
+	got := inForceTimes(2, applied, []string{"whole", "replaced", "silent"})
 	if got.Everywhere != nil {
 		t.Errorf("in force everywhere at %v, want not known", got.Everywhere)
 	}
@@ -308,13 +309,13 @@
 	}
 }
 
-// The table service is down. Operators need the status most just then, so it
-// must answer with what the VM knows and say what it does not know.
-func TestStatusAnswersWhileTheStoreIsDown(t *testing.T) {
-	f := newFixture()
-	f.fleet.vms = []VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 7, Known: true}}
+// Operators need the status during an outage of the store. It must have what the VM knows
+// and mark the leases as unknown.
+func TestStatusAnswersDuringStoreOutage(t *testing.T) {
+	h := newHarness()
+	h.fleet.vms = []VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 7, Known: true}}
 	var status Status
-	if code, text := f.call(t, http.MethodGet, "/v1/status", "", &status); code != http.StatusOK {
+	if code, text := h.call(t, http.MethodGet, "/v1/status", "", &status); code != http.StatusOK {
 		t.Fatalf("status answered %d %s", code, text)
 	}
 	if !status.LeasesUnknown {
@@ -326,19 +327,19 @@
 }
 
 func TestEventsAreFilteredAndMissingVMsNamed(t *testing.T) {
-	f := newFixture()
-	f.fleet.records = []event.Record{
+	h := newHarness()
+	h.fleet.records = []event.Record{
 		{VM: "vm-1", Stamp: event.Stamp{WallMicros: 1}, Number: event.RequestAccepted, Subject: event.Subject{Request: "r1"}},
 		{VM: "vm-1", Stamp: event.Stamp{WallMicros: 2}, Subject: event.Subject{Request: "r2", Step: "s"}},
 		{VM: "vm-2", Stamp: event.Stamp{WallMicros: 3}, Subject: event.Subject{Lease: "usage", Upstream: "e1"}},
 	}
-	f.fleet.missing = []string{"vm-9", "vm-3"}
+	h.fleet.missing = []string{"vm-9", "vm-3"}
 	for query, want := range map[string]int{
 		"": 3, "?request=r1": 1, "?step=s": 1, "?lease=usage": 1, "?request=r1&step=s": 0,
 		"?upstream=e1&upstream=e2": 1, "?event=1301": 1, "?event=1301&event=1302": 1, "?after=0.000001%2B0": 2,
 	} {
 		var answer EventsAnswer
-		f.call(t, http.MethodGet, "/v1/events"+query, "", &answer)
+		h.call(t, http.MethodGet, "/v1/events"+query, "", &answer)
 		if len(answer.Events) != want || !slices.Equal(answer.Missing, []string{"vm-3", "vm-9"}) {
 			t.Errorf("events%s are %d with %v missing, want %d", query, len(answer.Events), answer.Missing, want)
 		}
@@ -346,7 +347,7 @@
 }
 
 func TestWrongCredentialAndBadInput(t *testing.T) {
-	f := newFixture()
+	h := newHarness()
 	cases := []struct {
 		method, path, body string
 		status             int
@@ -367,20 +368,20 @@
 	}
 	for _, c := range cases {
 		var problem Problem
-		status, _ := f.call(t, c.method, c.path, c.body, &problem)
+		status, _ := h.call(t, c.method, c.path, c.body, &problem)
 		if status != c.status || problem.Code != c.code {
 			t.Errorf("%s %s answered %d %s, want %d %s", c.method, c.path, status, problem.Code, c.status, c.code)
 		}
 	}
-	f.server.TokenSHA256 = contract.HashSecret("another")
+	h.server.TokenSHA256 = contract.HashSecret("another")
 	var problem Problem
-	if status, _ := f.call(t, http.MethodGet, "/v1/status", "", &problem); status != http.StatusUnauthorized || problem.Code != fault.CodeKeyInvalid {
+	if status, _ := h.call(t, http.MethodGet, "/v1/status", "", &problem); status != http.StatusUnauthorized || problem.Code != fault.CodeKeyInvalid {
 		t.Errorf("a wrong credential answered %d %s", status, problem.Code)
 	}
 }
 
-// An operator writes contracts from the page. A field that it does not name is
-// never set, and a wrong default is relied on.
+// Operators write contracts by the page. Guards against fields missing there and against
+// wrong defaults.
 func TestOperatingPageListsTheFieldsOfAContract(t *testing.T) {
 	fields := doccheck.Column(t, "docs/OPERATIONS.md", "contract", 0)
 	defaults := doccheck.Column(t, "docs/OPERATIONS.md", "contract", 1)
@@ -394,11 +395,10 @@
 	}
 }
 
-// A call that the page does not name is used by nobody, and one that only the
-// page names is refused.
+// Guards against calls that are missing on the page or exist only there.
 func TestAPIPageListsTheOperatorsRoutes(t *testing.T) {
 	var routes []string
-	for _, route := range newFixture().server.api().Routes() {
+	for _, route := range newHarness().server.api().Routes() {
 		routes = append(routes, route.Method+" "+route.Path)
 	}
 	slices.Sort(routes)
@@ -407,16 +407,15 @@
 	}
 }
 
-// Whatever an operator's program sends as a contract is accepted or refused with
-// a type, and never stops the request by a panic.
+// Any contract body must be accepted or refused with status 400, and must not cause a panic.
 func FuzzPutContract(f *testing.F) {
 	f.Add(`{"account":"a","share":100}`)
 	f.Add(`{"account":"a","limits":null}`)
 	f.Add(`[]`)
 	f.Add(`{"account":"a","share":1e400}`)
 	f.Fuzz(func(t *testing.T, body string) {
-		fixture := newFixture()
-		status, text := fixture.call(t, http.MethodPut, "/v1/contracts/a", body, nil)
+		h := newHarness()
+		status, text := h.call(t, http.MethodPut, "/v1/contracts/a", body, nil)
 		if status != http.StatusOK && status != http.StatusBadRequest {
 			t.Errorf("answered %d %s", status, text)
 		}
