--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -10,11 +10,11 @@
 	"dogwoodpond/internal/fault"
 )
 
-// App is the command line.
+// App is the command-line application.
 type App struct {
 	kingpin *kingpin.Application
-	// out gets results; notes gets what a person should know besides, so that a
-	// program that reads out is not disturbed.
+	// out receives results. notes receives messages for people, so that programs can
+	// parse out.
 	out   io.Writer
 	notes io.Writer
 
@@ -30,17 +30,17 @@
 	outputJSON  = "json"
 )
 
-// NewApp returns the command line; results go to out and notes to notes.
+// NewApp returns an App that writes results to out and messages for people to notes.
 func NewApp(out, notes io.Writer) *App {
 	a := &App{
-		kingpin: kingpin.New("dogwoodpondctl", "Drives dogwoodpond by contracts and keys."),
+		kingpin: kingpin.New("dogwoodpondctl", "Edits contracts and keys of dogwoodpond, and shows the state and events of its VMs."),
 		out:     out,
 		notes:   notes,
 	}
-	a.address = a.kingpin.Flag("address", "The operators' address of any VM.").Envar("DOGWOODPOND_ADDRESS").Default("127.0.0.1:7001").String()
+	a.address = a.kingpin.Flag("address", "The address of the operators' API of any VM.").Envar("DOGWOODPOND_ADDRESS").Default("127.0.0.1:7001").String()
 	a.token = a.kingpin.Flag("token", "The operators' credential.").Envar("DOGWOODPOND_TOKEN").String()
-	a.who = a.kingpin.Flag("who", "Who makes the edit, for the history.").Envar("DOGWOODPOND_WHO").Default(os.Getenv("USER")).String()
-	a.output = a.kingpin.Flag("output", "Tables for people or JSON for programs.").Envar("DOGWOODPOND_OUTPUT").Default(outputTable).Enum(outputTable, outputJSON)
+	a.who = a.kingpin.Flag("who", "Name of the operator who makes the edit, for the history.").Envar("DOGWOODPOND_WHO").Default(os.Getenv("USER")).String()
+	a.output = a.kingpin.Flag("output", "Output format: tables for people or JSON for programs.").Envar("DOGWOODPOND_OUTPUT").Default(outputTable).Enum(outputTable, outputJSON)
 	a.contractCommands()
 	a.keyCommands()
 	a.fleetCommands()
@@ -52,15 +52,15 @@
 	return a
 }
 
-// Run parses the arguments and runs the command. ExitCode turns its failure
-// into the exit code of the process.
+// Run parses the arguments and runs the command. ExitCode maps the returned error to the
+// exit code of the process.
 func (a *App) Run(arguments []string) error {
 	_, err := a.kingpin.Parse(arguments)
 	var typed fault.Failure
 	if err == nil || errors.As(err, &typed) {
 		return err
 	}
-	// Only the parser returns failures without a type.
+	// Only the parser returns errors that are not a fault.Failure.
 	return errors.WithStack(&fault.BadRequest{Field: "arguments", Problem: err.Error()})
 }
 
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command-line tool.
+// Package ctl implements dogwoodpondctl, the operators' command-line tool.
 package ctl
 
 import (
@@ -26,17 +26,20 @@
 	http  *http.Client
 }
 
-// NewClient returns a client for the operators' address.
+// NewClient returns a client of the operators' API at address; who is the operator who
+// makes edits.
 func NewClient(address, token, who string) *Client {
 	return &Client{base: "http://" + address, token: token, who: who, http: &http.Client{Timeout: callTimeout}}
 }
 
-// Header is one header of a call.
+// Header is an HTTP header of a call.
 type Header struct {
 	Name, Value string
 }
 
-// Call makes one call and decodes the answer into reply.
+// Call makes one call and decodes the answer into reply. It fails with
+// *fault.PeerUnavailable if the VM was not reached, with *AnswerLost if the call may have
+// taken effect, and with *Refused if the VM answered with an error.
 func (c *Client) Call(ctx context.Context, method, path string, body, reply any, headers ...Header) error {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -55,11 +58,11 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return c.unanswered(err)
+		return c.callError(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return refused(response)
+		return refusalError(response)
 	}
 	if err := json.NewDecoder(response.Body).Decode(reply); err != nil {
 		return errors.WithStack(&AnswerLost{Address: c.base})
@@ -67,9 +70,9 @@
 	return nil
 }
 
-// unanswered tells a VM that was never reached from one whose answer was lost:
-// only the latter may have acted.
-func (c *Client) unanswered(err error) error {
+// callError returns the error of a call without an answer: *fault.PeerUnavailable if no
+// connection was made, otherwise *AnswerLost, since the VM may have executed the call.
+func (c *Client) callError(err error) error {
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
 		return errors.WithStack(&fault.PeerUnavailable{VM: c.base})
@@ -77,19 +80,19 @@
 	return errors.WithStack(&AnswerLost{Address: c.base})
 }
 
-// AnswerLost reports a call that was sent and got no whole answer; it may have
-// taken effect.
+// AnswerLost reports a call that was sent and whose answer was not received completely.
+// The call may have taken effect.
 type AnswerLost struct {
 	Address string
 }
 
 // Error implements error.
-func (e *AnswerLost) Error() string { return fmt.Sprintf("the answer of %s was lost", e.Address) }
+func (e *AnswerLost) Error() string { return fmt.Sprintf("no complete answer from %s", e.Address) }
 
 // Code implements fault.Failure.
 func (*AnswerLost) Code() fault.Code { return fault.CodePeerUnavailable }
 
-// Refused is an answer of the operators' API that is not a success.
+// Refused reports an answer of the operators' API with a status other than 200.
 type Refused struct {
 	operator.Problem
 	Status int
@@ -103,7 +106,8 @@
 // Code implements fault.Failure.
 func (e *Refused) Code() fault.Code { return e.Problem.Code }
 
-func refused(response *http.Response) error {
+// refusalError reads a Refused from an answer.
+func refusalError(response *http.Response) error {
 	failure := &Refused{Status: response.StatusCode}
 	if err := json.NewDecoder(response.Body).Decode(&failure.Problem); err != nil {
 		failure.Problem = operator.Problem{Code: fault.CodeInternal, Message: response.Status}
--- a/internal/ctl/contracts.go
+++ b/internal/ctl/contracts.go
@@ -25,7 +25,7 @@
 func (a *App) contractCommands() {
 	group := a.kingpin.Command("contract", "Contracts of client accounts.")
 	apply := group.Command("apply", "Create or change a contract.")
-	file := apply.Arg("file", "A JSON contract; what it leaves out has its default.").Required().ExistingFile()
+	file := apply.Arg("file", "A JSON contract; absent fields have their defaults.").Required().ExistingFile()
 	flags := editFlagsOf(apply)
 	apply.Action(func(*kingpin.ParseContext) error { return a.applyContract(*file, flags) })
 
@@ -36,20 +36,20 @@
 	list := group.Command("list", "List the contracts in force on the VM that answers.")
 	list.Action(func(*kingpin.ParseContext) error { return a.listContracts() })
 
-	compare := group.Command("diff", "Show what applying a file would change.")
+	compare := group.Command("diff", "Show the changes that applying a file would make.")
 	wanted := compare.Arg("file", "A JSON contract.").Required().ExistingFile()
 	compare.Action(func(*kingpin.ParseContext) error { return a.diffContract(*wanted) })
 
-	history := group.Command("history", "Show the accepted edits: who, when, what, and when it was in force.")
-	of := history.Arg("account", "Only this client account.").String()
-	history.Action(func(*kingpin.ParseContext) error { return a.history(*of) })
+	history := group.Command("history", "Show the accepted edits: who made them, when, what they changed, and when they came into force.")
+	historyAccount := history.Arg("account", "Only this client account.").String()
+	history.Action(func(*kingpin.ParseContext) error { return a.history(*historyAccount) })
 }
 
 func contractRoute(account contract.Account) string {
 	return "/v1/contracts/" + url.PathEscape(string(account))
 }
 
-// readContract reads a contract file, with defaults for what it leaves out.
+// readContract reads a contract file; absent fields have their defaults.
 func readContract(path string) (contract.Contract, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +67,8 @@
 	return wanted, nil
 }
 
-// subject reads a contract from the store; Revision 0 says that there is none.
+// subject reads a contract and its revision from the store; without a contract the
+// revision is 0.
 func (a *App) subject(account contract.Account) (contract.Subject, error) {
 	var found contract.Subject
 	err := a.client().Call(context.Background(), http.MethodGet, contractRoute(account), nil, &found)
@@ -86,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := a.send(edit{
+	answer, err := a.sendEdit(editRequest{
 		method: http.MethodPut,
 		route:  contractRoute(wanted.Account),
 		body:   wanted,
@@ -143,7 +144,7 @@
 	changes := operator.DiffContracts(current.Contract, &wanted)
 	return a.show(changes, func(w io.Writer) {
 		for _, c := range changes {
-			row(w, c.Field, orNone(c.Before), "->", c.After)
+			row(w, c.Field, orDash(c.Before), "->", c.After)
 		}
 		if len(changes) == 0 {
 			row(w, "no change")
@@ -165,15 +166,15 @@
 }
 
 func historyTable(w io.Writer, e operator.HistoryEdit) {
-	_, _ = fmt.Fprintf(w, "revision %d  %s  %s by %s (edit %s)\n", e.Revision, clock(e.When), e.Subject, e.Who, e.EditID)
+	_, _ = fmt.Fprintf(w, "revision %d  %s  %s by %s (edit %s)\n", e.Revision, formatTime(e.When), e.Subject, e.Who, e.EditID)
 	for _, c := range e.Changes {
-		row(w, "  "+c.Field, orNone(c.Before), "->", c.After)
+		row(w, "  "+c.Field, orDash(c.Before), "->", c.After)
 	}
 	if e.InForce.Everywhere != nil {
-		_, _ = fmt.Fprintf(w, "  in force everywhere at %s on %d VMs\n", clock(*e.InForce.Everywhere), len(e.InForce.VMs))
+		_, _ = fmt.Fprintf(w, "  in force everywhere at %s on %d VMs\n", formatTime(*e.InForce.Everywhere), len(e.InForce.VMs))
 	}
 	for _, vm := range e.InForce.VMs {
-		row(w, "    "+vm.VM, clock(vm.At))
+		row(w, "    "+vm.VM, formatTime(vm.At))
 	}
 	if len(e.InForce.NotKnown) > 0 {
 		_, _ = fmt.Fprintf(w, "  when in force is not known on %s\n", strings.Join(e.InForce.NotKnown, ", "))
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -35,41 +35,41 @@
 	testWindow = 300 * time.Second
 )
 
-// quietFleet is a fleet of one VM that puts every revision in force at once,
-// beside VMs that are pending.
-type quietFleet struct {
+// fakeFleet is a fleet of one VM that applies every revision at once, and of the VMs in
+// pending, which may not have applied it.
+type fakeFleet struct {
 	events  *event.Recorder
 	pending []operator.VMRevision
 }
 
-func (q *quietFleet) InForce() []operator.VMRevision {
-	return append([]operator.VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 1 << 40, Known: true}}, q.pending...)
+func (f *fakeFleet) InForce() []operator.VMRevision {
+	return append([]operator.VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 1 << 40, Known: true}}, f.pending...)
 }
 
-func (q *quietFleet) Events(_ context.Context, query event.Query) ([]event.Record, []string) {
-	return q.events.Select(query), []string{"vm-9"}
+func (f *fakeFleet) Events(_ context.Context, query event.Query) ([]event.Record, []string) {
+	return f.events.Select(query), []string{"vm-9"}
 }
 
-// bench is an operators' API over tables in memory.
-type bench struct {
+// harness is an operators' API over an in-memory store.
+type harness struct {
 	address string
 	tables  *memory.Tables
-	fleet   *quietFleet
-	// loseAnswers makes that many edits take effect without an answer.
+	fleet   *fakeFleet
+	// loseAnswers is the number of next edits that take effect but are not answered.
 	loseAnswers atomic.Int32
 }
 
-func newBench(t *testing.T) *bench {
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	events := event.NewRecorder("vm-1", 256, event.NewClock(time.Now), zap.NewNop())
-	b := &bench{tables: memory.NewTables(), fleet: &quietFleet{events: events}}
-	rows := fleetview.NewReader(b.tables, testWindow)
+	h := &harness{tables: memory.NewTables(), fleet: &fakeFleet{events: events}}
+	rows := fleetview.NewReader(h.tables, testWindow)
 	server := operator.NewServer(operator.Config{
 		VM:          "vm-1",
 		TokenSHA256: contract.HashSecret(testToken),
 		View:        contract.NewView(),
-		Editor:      config.NewEditor(b.tables, time.Now, events),
-		Fleet:       b.fleet,
+		Editor:      config.NewEditor(h.tables, time.Now, events),
+		Fleet:       h.fleet,
 		Upstreams:   func() []platform.Upstream { return nil },
 		Leases:      rows,
 		Steps:       rows,
@@ -79,7 +79,7 @@
 	})
 	handler := server.Handler()
 	listener := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Method == http.MethodGet || b.loseAnswers.Add(-1) < 0 {
+		if r.Method == http.MethodGet || h.loseAnswers.Add(-1) < 0 {
 			handler.ServeHTTP(w, r)
 			return
 		}
@@ -87,13 +87,13 @@
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(listener.Close)
-	b.address = strings.TrimPrefix(listener.URL, "http://")
-	return b
+	h.address = strings.TrimPrefix(listener.URL, "http://")
+	return h
 }
 
-// run runs one command line and returns its output, notes and exit code.
-func (b *bench) run(arguments ...string) (out, notes string, code int) {
-	return runWith([]string{"--address", b.address, "--token", testToken, "--who", "ana"}, arguments...)
+// run runs a command and returns its output, its messages for people, and its exit code.
+func (h *harness) run(arguments ...string) (out, notes string, code int) {
+	return runWith([]string{"--address", h.address, "--token", testToken, "--who", "ana"}, arguments...)
 }
 
 func runWith(flags []string, arguments ...string) (out, notes string, code int) {
@@ -105,9 +105,9 @@
 	return o.String(), n.String(), ExitCode(err)
 }
 
-func (b *bench) mustRun(t *testing.T, arguments ...string) string {
+func (h *harness) mustRun(t *testing.T, arguments ...string) string {
 	t.Helper()
-	out, notes, code := b.run(arguments...)
+	out, notes, code := h.run(arguments...)
 	if code != ExitOK {
 		t.Fatalf("%v exits with %d: %s", arguments, code, notes)
 	}
@@ -123,100 +123,99 @@
 	return path
 }
 
-func (b *bench) history(t *testing.T) []operator.HistoryEdit {
+func (h *harness) history(t *testing.T) []operator.HistoryEdit {
 	t.Helper()
 	var edits []operator.HistoryEdit
-	if err := json.Unmarshal([]byte(b.mustRun(t, "--output", "json", "contract", "history")), &edits); err != nil {
+	if err := json.Unmarshal([]byte(h.mustRun(t, "--output", "json", "contract", "history")), &edits); err != nil {
 		t.Fatal(err)
 	}
 	return edits
 }
 
 func TestContractCommands(t *testing.T) {
-	b := newBench(t)
+	h := newHarness(t)
 	first := contractFile(t, `{"account":"strathallan","share":100}`)
 	second := contractFile(t, `{"account":"strathallan","share":250,"staleness":{"maxVersions":1}}`)
-	if out := b.mustRun(t, "contract", "apply", first); !strings.Contains(out, "revision") {
+	if out := h.mustRun(t, "contract", "apply", first); !strings.Contains(out, "revision") {
 		t.Errorf("apply printed %q", out)
 	}
-	out := b.mustRun(t, "contract", "diff", second)
+	out := h.mustRun(t, "contract", "diff", second)
 	if !strings.Contains(out, "share") || !strings.Contains(out, "100") || !strings.Contains(out, "250") || !strings.Contains(out, "staleness.maxVersions") {
 		t.Errorf("diff printed %q", out)
 	}
-	b.mustRun(t, "contract", "apply", second)
-	if out := b.mustRun(t, "contract", "diff", second); !strings.Contains(out, "no change") {
+	h.mustRun(t, "contract", "apply", second)
+	if out := h.mustRun(t, "contract", "diff", second); !strings.Contains(out, "no change") {
 		t.Errorf("diff after apply printed %q", out)
 	}
-	if out := b.mustRun(t, "contract", "get", "strathallan"); !strings.Contains(out, "250") {
+	if out := h.mustRun(t, "contract", "get", "strathallan"); !strings.Contains(out, "250") {
 		t.Errorf("get printed %q", out)
 	}
-	if out := b.mustRun(t, "contract", "history", "strathallan"); !strings.Contains(out, "by ana") || !strings.Contains(out, "share") {
+	if out := h.mustRun(t, "contract", "history", "strathallan"); !strings.Contains(out, "by ana") || !strings.Contains(out, "share") {
 		t.Errorf("history printed %q", out)
 	}
 	for _, command := range [][]string{{"contract", "list"}, {"key", "list"}, {"status"}, {"steps"}, {"usage"}, {"timeline"}} {
-		b.mustRun(t, command...)
-		if text := b.mustRun(t, append([]string{"--output", "json"}, command...)...); !json.Valid([]byte(text)) {
+		h.mustRun(t, command...)
+		if text := h.mustRun(t, append([]string{"--output", "json"}, command...)...); !json.Valid([]byte(text)) {
 			t.Errorf("%v --output json printed %q", command, text)
 		}
 	}
 }
 
-// The network breaks after an edit was accepted and before its answer arrived.
-// The operator can't know whether to repeat; a plain repeat would be a second
-// edit in the history, or a conflict with one's own first.
-func TestRepeatAfterLostAnswerEditsOnce(t *testing.T) {
-	b := newBench(t)
+// The connection fails after an edit was accepted and before its answer arrives. Guards
+// against a retry with the same ID that makes a second edit or conflicts with the first.
+func TestRetryAfterLostAnswerEditsOnce(t *testing.T) {
+	h := newHarness(t)
 	file := contractFile(t, `{"account":"brazicod","share":300}`)
-	b.loseAnswers.Store(1)
-	_, notes, code := b.run("contract", "apply", file, "--edit-id", "monday-1")
+	h.loseAnswers.Store(1)
+	_, notes, code := h.run("contract", "apply", file, "--edit-id", "monday-1")
 	if code != ExitUnknown || !strings.Contains(notes, "--edit-id monday-1") {
 		t.Fatalf("the lost answer exits with %d: %s", code, notes)
 	}
-	b.mustRun(t, "contract", "apply", file, "--edit-id", "monday-1")
-	if edits := b.history(t); len(edits) != 1 {
+	h.mustRun(t, "contract", "apply", file, "--edit-id", "monday-1")
+	if edits := h.history(t); len(edits) != 1 {
 		t.Errorf("history has %d edits, want 1", len(edits))
 	}
 }
 
-// The answer to a grant is lost. The key's secret is known to the tool alone, so
-// without the file it would be lost, and a repeat would grant a second key.
-func TestGrantRepeatedAfterLostAnswerKeepsItsKey(t *testing.T) {
-	b := newBench(t)
-	b.mustRun(t, "contract", "apply", contractFile(t, `{"account":"brazicod"}`))
+// The answer to a grant is lost. Only the tool knows the secret: without the key file it
+// would be lost too, and a retry would grant a second key.
+func TestGrantRetriedAfterLostAnswerKeepsItsKey(t *testing.T) {
+	h := newHarness(t)
+	h.mustRun(t, "contract", "apply", contractFile(t, `{"account":"brazicod"}`))
 	file := filepath.Join(t.TempDir(), "key")
 	grant := []string{"key", "grant", "brazicod", "--key-file", file, "--edit-id", "grant-1"}
-	b.loseAnswers.Store(1)
-	if _, notes, code := b.run(grant...); code != ExitUnknown {
+	h.loseAnswers.Store(1)
+	if _, notes, code := h.run(grant...); code != ExitUnknown {
 		t.Fatalf("the lost answer exits with %d: %s", code, notes)
 	}
 	before, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.mustRun(t, grant...)
+	h.mustRun(t, grant...)
 	after, err := os.ReadFile(file)
 	if err != nil || !bytes.Equal(before, after) {
-		t.Errorf("the key file changed in the repeat (%v)", err)
+		t.Errorf("the retry changed the key file (%v)", err)
 	}
-	if edits := b.history(t); len(edits) != 2 {
+	if edits := h.history(t); len(edits) != 2 {
 		t.Errorf("history has %d edits, want the contract and one grant", len(edits))
 	}
 }
 
 func TestGrantPrintsItsKeyOnceAndWithdrawTakesItsID(t *testing.T) {
-	b := newBench(t)
-	b.mustRun(t, "contract", "apply", contractFile(t, `{"account":"brazicod"}`))
-	key := strings.TrimSpace(b.mustRun(t, "key", "grant", "brazicod"))
+	h := newHarness(t)
+	h.mustRun(t, "contract", "apply", contractFile(t, `{"account":"brazicod"}`))
+	key := strings.TrimSpace(h.mustRun(t, "key", "grant", "brazicod"))
 	presented, err := contract.ParseKey(key)
 	if err != nil {
 		t.Fatalf("grant printed %q: %v", key, err)
 	}
-	if _, notes, code := b.run("key", "withdraw", key); code != ExitInvalid || strings.Contains(notes, presented.Secret) {
-		t.Errorf("withdrawing a whole key exits with %d: %s", code, notes)
+	if _, notes, code := h.run("key", "withdraw", key); code != ExitInvalid || strings.Contains(notes, presented.Secret) {
+		t.Errorf("withdrawing a complete key exits with %d: %s", code, notes)
 	}
-	b.mustRun(t, "key", "withdraw", presented.ID)
+	h.mustRun(t, "key", "withdraw", presented.ID)
 	for _, command := range [][]string{{"key", "list"}, {"contract", "history"}, {"timeline"}, {"status"}} {
-		if out := b.mustRun(t, command...); strings.Contains(out, presented.Secret) || strings.Contains(out, contract.HashSecret(presented.Secret)) {
+		if out := h.mustRun(t, command...); strings.Contains(out, presented.Secret) || strings.Contains(out, contract.HashSecret(presented.Secret)) {
 			t.Errorf("%v shows the secret or its hash", command)
 		}
 	}
@@ -224,18 +223,18 @@
 	if err := os.WriteFile(taken, []byte("something"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, code := b.run("key", "grant", "brazicod", "--key-file", taken); code != ExitInvalid {
+	if _, _, code := h.run("key", "grant", "brazicod", "--key-file", taken); code != ExitInvalid {
 		t.Errorf("a grant into an existing file exits with %d", code)
 	}
 }
 
-// A failure domain is cut off while an edit is made. An operator who waits must
-// see that the edit is accepted and where it is not yet in force, and a program
-// must be able to tell it from a failure.
+// A failure domain is cut off while an edit is made. With --wait the operator must see that
+// the edit was accepted and where it is pending, and the exit code must differ from that of
+// a failed edit.
 func TestWaitNamesWhereTheEditIsPending(t *testing.T) {
-	b := newBench(t)
-	b.fleet.pending = []operator.VMRevision{{VM: "vm-7", FailureDomain: "c"}}
-	out, notes, code := b.run("contract", "apply", contractFile(t, `{"account":"a"}`), "--wait", "1ms")
+	h := newHarness(t)
+	h.fleet.pending = []operator.VMRevision{{VM: "vm-7", FailureDomain: "c"}}
+	out, notes, code := h.run("contract", "apply", contractFile(t, `{"account":"a"}`), "--wait", "1ms")
 	if code != ExitPending || !strings.Contains(notes, "vm-7") {
 		t.Errorf("exits with %d: %s", code, notes)
 	}
@@ -245,7 +244,7 @@
 }
 
 func TestExitCodesOfFailures(t *testing.T) {
-	b := newBench(t)
+	h := newHarness(t)
 	bad := contractFile(t, `{"account":"a","share":0}`)
 	unknownField := contractFile(t, `{"account":"a","sahre":1}`)
 	cases := []struct {
@@ -262,14 +261,14 @@
 		{[]string{"settings", "check", bad}, ExitInvalid},
 	}
 	for _, c := range cases {
-		if _, notes, code := b.run(c.line...); code != c.code {
+		if _, notes, code := h.run(c.line...); code != c.code {
 			t.Errorf("%v exits with %d, want %d: %s", c.line, code, c.code, notes)
 		}
 	}
-	if _, _, code := runWith([]string{"--address", b.address, "--token", "wrong"}, "status"); code != ExitCredential {
+	if _, _, code := runWith([]string{"--address", h.address, "--token", "wrong"}, "status"); code != ExitCredential {
 		t.Errorf("a wrong credential exits with %d, want %d", code, ExitCredential)
 	}
-	nobody := []string{"--address", b.address, "--token", testToken, "--who", ""}
+	nobody := []string{"--address", h.address, "--token", testToken, "--who", ""}
 	if _, _, code := runWith(nobody, "contract", "apply", contractFile(t, `{"account":"a"}`)); code != ExitInvalid {
 		t.Errorf("an edit by nobody exits with %d, want %d", code, ExitInvalid)
 	}
@@ -277,7 +276,7 @@
 	address := strings.TrimPrefix(closed.URL, "http://")
 	closed.Close()
 	if _, _, code := runWith([]string{"--address", address}, "status"); code != ExitUnavailable {
-		t.Errorf("a VM that is not there exits with %d, want %d", code, ExitUnavailable)
+		t.Errorf("an unreachable VM exits with %d, want %d", code, ExitUnavailable)
 	}
 	if code := ExitCode(&fault.EditConflict{}); code != ExitConflict {
 		t.Errorf("a conflict exits with %d, want %d", code, ExitConflict)
@@ -285,7 +284,7 @@
 }
 
 func TestStepsAndUsageShowRows(t *testing.T) {
-	b := newBench(t)
+	h := newHarness(t)
 	rows := map[string]any{
 		"progress/strathallan/round-1":  sample.Progress{Model: "berry-1", Slots: 12, Filled: []byte{0x1f, 0}, Committed: 5, Acked: 3},
 		"report/000000000001/brazicod":  usage.Report{Window: 1, Account: "brazicod", Figures: usage.Figures{Requests: 7, Tokens: 70}, Incomplete: true},
@@ -298,7 +297,7 @@
 			t.Fatal(err)
 		}
 		txn := platform.Txn{Nonce: key, Preconditions: []platform.Precondition{{Key: key}}, Writes: []platform.Write{{Key: key, Value: text}}}
-		if err := b.tables.Commit(context.Background(), txn); err != nil {
+		if err := h.tables.Commit(context.Background(), txn); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -312,25 +311,25 @@
 		{[]string{"status"}, "usage-reports"},
 	}
 	for _, w := range wants {
-		if out := b.mustRun(t, w.line...); !strings.Contains(out, w.text) {
+		if out := h.mustRun(t, w.line...); !strings.Contains(out, w.text) {
 			t.Errorf("%v does not show %q:\n%s", w.line, w.text, out)
 		}
 	}
-	if out := b.mustRun(t, "usage"); strings.Contains(out, "brazicod") {
+	if out := h.mustRun(t, "usage"); strings.Contains(out, "brazicod") {
 		t.Errorf("usage of the last day shows 1970:\n%s", out)
 	}
-	if out := b.mustRun(t, "usage", "300"); strings.Contains(out, "something") {
+	if out := h.mustRun(t, "usage", "300"); strings.Contains(out, "something") {
 		t.Errorf("usage of one window shows another:\n%s", out)
 	}
 }
 
-// An engine dies in the middle of a request. The caller only sees a slow answer;
-// the operator must be able to see both attempts and the cause in their order.
-func TestExplainTellsARetriedRequest(t *testing.T) {
+// An engine dies during a request and the caller only sees a slow answer. The explanation
+// must show both attempts and the cause of the retry in order.
+func TestExplainShowsARetriedRequest(t *testing.T) {
 	at := func(micros int64, vm string, n event.Number, s event.Subject) event.Record {
 		return event.Record{Stamp: event.Stamp{WallMicros: micros}, VM: vm, Number: n, Subject: s}
 	}
-	line := []event.Record{
+	events := []event.Record{
 		at(1, "vm-1", event.UpstreamEjected, event.Subject{Upstream: "engine-1"}),
 		at(10, "vm-1", event.RequestAccepted, event.Subject{Request: "r", Account: "strathallan"}),
 		at(11, "vm-1", event.RequestDispatched, event.Subject{Request: "r", Upstream: "engine-1", Attempt: 1}),
@@ -342,12 +341,12 @@
 		at(30, "vm-1", event.RequestAnswered, event.Subject{Request: "r", Count: 9}),
 		at(40, "vm-1", event.UpstreamRestored, event.Subject{Upstream: "engine-1"}),
 	}
-	told := explain("r", line, []string{"vm-9"})
-	if got := told.upstreams(); fmt.Sprint(got) != "[engine-1 engine-2]" {
+	explanation := explain("r", events, []string{"vm-9"})
+	if got := explanation.upstreams(); fmt.Sprint(got) != "[engine-1 engine-2]" {
 		t.Errorf("the request's upstreams are %v", got)
 	}
 	var numbers []event.Number
-	for _, l := range told.Lines {
+	for _, l := range explanation.Lines {
 		numbers = append(numbers, l.Number)
 	}
 	want := fmt.Sprint([]event.Number{
@@ -355,66 +354,66 @@
 		event.RequestDispatched, event.StreamResumed, event.RequestAnswered,
 	})
 	if fmt.Sprint(numbers) != want {
-		t.Errorf("told %v, want %v", numbers, want)
+		t.Errorf("the events are %v, want %v", numbers, want)
 	}
-	if told.Attempts != 2 || told.Outcome != outcomeAnswered || told.Account != "strathallan" {
-		t.Errorf("told %+v", told)
+	if explanation.Attempts != 2 || explanation.Outcome != outcomeAnswered || explanation.Account != "strathallan" {
+		t.Errorf("the explanation is %+v", explanation)
 	}
 	var out bytes.Buffer
-	explainTable(&out, told)
+	explainTable(&out, explanation)
 	for _, part := range []string{"answered, attempts: 2", "attempt 1 at upstream engine-1 failed: upstream_failed", "missing: VM vm-9"} {
 		if !strings.Contains(out.String(), part) {
-			t.Errorf("the account lacks %q:\n%s", part, out.String())
+			t.Errorf("the explanation lacks %q:\n%s", part, out.String())
 		}
 	}
 }
 
-// A busy VM's ring has dropped the first events of a request. The rest, told as
-// if it were all, would hide an attempt.
-func TestExplainSaysWhenItIsPartial(t *testing.T) {
+// A busy VM has dropped the first events of a request. Guards against an explanation of the
+// remaining events that is not marked as partial and so hides an attempt.
+func TestExplanationWithoutFirstEventIsPartial(t *testing.T) {
 	second := event.Record{Number: event.RequestDispatched, Subject: event.Subject{Request: "r", Upstream: "e", Attempt: 2}}
 	answered := event.Record{Number: event.RequestAnswered, Subject: event.Subject{Request: "r"}}
 	accepted := event.Record{Number: event.RequestAccepted, Subject: event.Subject{Request: "r"}}
 	slot := event.Record{Number: event.RequestDispatched, Subject: event.Subject{Request: "r", Step: "s", Attempt: 1}}
 	for _, c := range []struct {
-		line []event.Record
-		want bool
+		events []event.Record
+		want   bool
 	}{
 		{[]event.Record{second, answered}, true},
 		{[]event.Record{answered}, true},
 		{[]event.Record{accepted, second, answered}, false},
 		{[]event.Record{slot, answered}, false},
 	} {
-		if told := explain("r", c.line, nil); told.Partial != c.want {
-			t.Errorf("from %s the account is partial: %t, want %t", c.line[0].Number, told.Partial, c.want)
+		if explanation := explain("r", c.events, nil); explanation.Partial != c.want {
+			t.Errorf("the explanation from %s on is partial: %t, want %t", c.events[0].Number, explanation.Partial, c.want)
 		}
 	}
 }
 
-// An event of a slow VM comes in after later events of the others. Whoever
-// follows the time line must still see it, and each event once.
+// An event of a slow VM arrives after later events of other VMs. --follow must still print
+// it, and print each event once.
 func TestFollowShowsLateEventsOnce(t *testing.T) {
 	at := func(seconds int64, vm string) event.Record {
 		return event.Record{Stamp: event.Stamp{WallMicros: seconds * 1_000_000}, VM: vm}
 	}
 	f := newFollower()
-	if got := f.fresh([]event.Record{at(100, "a"), at(110, "a")}); len(got) != 2 {
-		t.Fatalf("the first turn shows %d events, want 2", len(got))
+	if got := f.unseen([]event.Record{at(100, "a"), at(110, "a")}); len(got) != 2 {
+		t.Fatalf("the first poll shows %d events, want 2", len(got))
 	}
 	after := f.after(event.Stamp{})
 	if !after.Before(at(108, "b").Stamp) {
-		t.Errorf("the next turn starts at %s, after a late event", after)
+		t.Errorf("the next poll starts at %s, after a late event", after)
 	}
-	if got := f.fresh([]event.Record{at(108, "b"), at(110, "a")}); len(got) != 1 || got[0].VM != "b" {
-		t.Errorf("the second turn shows %v, want the late event alone", got)
+	if got := f.unseen([]event.Record{at(108, "b"), at(110, "a")}); len(got) != 1 || got[0].VM != "b" {
+		t.Errorf("the second poll shows %v, want the late event alone", got)
 	}
-	if first, second := f.lost([]string{"x"}), f.lost([]string{"x"}); len(first) != 1 || len(second) != 0 {
+	if first, second := f.newlyMissing([]string{"x"}), f.newlyMissing([]string{"x"}); len(first) != 1 || len(second) != 0 {
 		t.Errorf("a missing VM is named %d and then %d times", len(first), len(second))
 	}
 }
 
-// Scripts decide by the exit code. One that means something else than its page
-// says makes them repeat what was refused, or give up what was accepted.
+// Scripts decide by the exit code. Guards against codes that differ from the page, which
+// would make scripts retry refused edits or abandon accepted ones.
 func TestOperatingPageListsTheExitCodes(t *testing.T) {
 	numbers := doccheck.Column(t, "docs/OPERATIONS.md", "exit-codes", 0)
 	lists := doccheck.Column(t, "docs/OPERATIONS.md", "exit-codes", 2)
--- a/internal/ctl/edits.go
+++ b/internal/ctl/edits.go
@@ -17,7 +17,7 @@
 	"dogwoodpond/internal/operator"
 )
 
-// editFlags are the flags that all edits share.
+// editFlags are the flags of all commands that make an edit.
 type editFlags struct {
 	id   *string
 	wait *time.Duration
@@ -25,64 +25,67 @@
 
 func editFlagsOf(command *kingpin.CmdClause) editFlags {
 	return editFlags{
-		id:   command.Flag("edit-id", "Names the edit; a repeat with the same ID is harmless. Default: a new one.").String(),
-		wait: command.Flag("wait", "Wait this long until the edit is in force everywhere; exit with 7 if it is not by then.").Duration(),
+		id:   command.Flag("edit-id", "ID of the edit; edits with the same ID are accepted once. Default: a new ID.").String(),
+		wait: command.Flag("wait", "Wait up to this long until the edit is in force on all VMs; exit with 7 if it is not by then.").Duration(),
 	}
 }
 
-// identity returns the edit's ID.
-func (f editFlags) identity() string {
+// editID returns the edit's ID, which is generated on the first call unless the flag gave
+// one.
+func (f editFlags) editID() string {
 	if *f.id == "" {
 		*f.id = uuid.NewString()
 	}
 	return *f.id
 }
 
-// edit is one edit on its way to the operators' API.
-type edit struct {
+// editRequest is a call of the operators' API that makes an edit.
+type editRequest struct {
 	method, route string
 	body          any
 	base          contract.Revision
 	flags         editFlags
 }
 
-// send makes an edit. A lost answer becomes *fault.EditOutcomeUnknown with the
-// edit's ID, since only a repeat with that ID can't edit twice.
-func (a *App) send(e edit) (operator.EditAnswer, error) {
+// sendEdit makes an edit and waits as --wait says. If the outcome is not known it fails
+// with *fault.EditOutcomeUnknown and the edit's ID, since only a retry with the same ID is
+// sure not to make the edit twice.
+func (a *App) sendEdit(e editRequest) (operator.EditAnswer, error) {
 	var answer operator.EditAnswer
 	if *a.who == "" {
-		return answer, errors.WithStack(&fault.BadRequest{Field: "who", Problem: "must name who makes the edit (--who or DOGWOODPOND_WHO)"})
+		return answer, errors.WithStack(&fault.BadRequest{Field: "who", Problem: "must name the operator who makes the edit (--who or DOGWOODPOND_WHO)"})
 	}
 	err := a.client().Call(context.Background(), e.method, e.route, e.body, &answer,
 		Header{operator.HeaderIfMatch, fmt.Sprint(e.base)},
-		Header{operator.HeaderEditID, e.flags.identity()})
+		Header{operator.HeaderEditID, e.flags.editID()})
 	if outcomeUnknown(err) {
-		return answer, errors.WithStack(&fault.EditOutcomeUnknown{EditID: e.flags.identity(), Cause: fault.CodeOf(err)})
+		return answer, errors.WithStack(&fault.EditOutcomeUnknown{EditID: e.flags.editID(), Cause: fault.CodeOf(err)})
 	}
 	if err != nil {
 		return answer, err
 	}
-	return answer, a.await(&answer, *e.flags.wait)
+	return answer, a.awaitInForce(&answer, *e.flags.wait)
 }
 
-// outcomeUnknown reports whether an edit that failed like this may have been
-// accepted: the answer of the VM, or of the store to the VM, was lost.
+// outcomeUnknown reports whether an edit that failed with err may have been accepted: the
+// answer of the VM to the tool, or of the store to the VM, was lost.
 func outcomeUnknown(err error) bool {
 	code := fault.CodeOf(err)
 	return fault.Is[*AnswerLost](err) || err != nil && (code == fault.CodeStoreUnavailable || code == fault.CodeInternal)
 }
 
-// confirmPeriod is how often await asks where an edit is in force.
-const confirmPeriod = 500 * time.Millisecond
+// confirmPollInterval is the interval at which awaitInForce polls where an edit is in
+// force.
+const confirmPollInterval = 500 * time.Millisecond
 
-// await asks until the edit is in force everywhere or the time is over.
-func (a *App) await(answer *operator.EditAnswer, wait time.Duration) error {
+// awaitInForce polls until the edit is in force on all VMs, at most for wait.
+func (a *App) awaitInForce(answer *operator.EditAnswer, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
 	deadline := time.Now().Add(wait)
 	for len(answer.Pending) > 0 && time.Now().Before(deadline) {
-		time.Sleep(confirmPeriod)
+		time.Sleep(confirmPollInterval)
 		route := fmt.Sprintf("/v1/revisions/%d/confirmation", answer.Entry.Revision)
 		var now operator.Confirmation
 		if err := a.client().Call(context.Background(), http.MethodGet, route, nil, &now); err == nil {
@@ -95,15 +98,15 @@
 	return nil
 }
 
-// showEdit prints an accepted edit; err is what send returned. An edit that is
-// still pending is printed as well, since it was accepted.
+// showEdit prints an accepted edit; err is the error of sendEdit. An edit that is still
+// pending is printed too, since it was accepted.
 func (a *App) showEdit(answer operator.EditAnswer, err error) error {
 	if err != nil && !fault.Is[*fault.EditPending](err) {
 		return err
 	}
-	shown := a.show(answer, func(w io.Writer) { editTable(w, answer) })
-	if shown != nil {
-		return shown
+	showErr := a.show(answer, func(w io.Writer) { editTable(w, answer) })
+	if showErr != nil {
+		return showErr
 	}
 	return err
 }
@@ -112,15 +115,15 @@
 	row(w, "revision", answer.Entry.Revision)
 	row(w, "edit", answer.Entry.EditID)
 	row(w, "who", answer.Entry.Who)
-	row(w, "when", clock(answer.Entry.When))
+	row(w, "when", formatTime(answer.Entry.When))
 	row(w, "in force on", fmt.Sprintf("%d VMs", len(answer.Confirmed)))
 	for _, line := range pendingLines(answer) {
 		row(w, "pending", line)
 	}
 }
 
-// pendingLines tell where an edit is not known to be in force, and for a
-// withdrawal what that means.
+// pendingLines returns a line for each failure domain where an edit is not known to be in
+// force; for a withdrawal it says how long the key may remain valid there.
 func pendingLines(answer operator.EditAnswer) []string {
 	var lines []string
 	for _, d := range answer.PendingDomains {
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -2,26 +2,26 @@
 
 import "dogwoodpond/internal/fault"
 
-// The exit codes of dogwoodpondctl, one for each class of failure. They are
-// part of the public interface; docs/OPERATIONS.md lists them.
+// The exit codes of dogwoodpondctl, one for each class of error. They are part of the
+// public interface; docs/OPERATIONS.md lists them.
 const (
 	ExitOK = 0
-	// ExitInternal is a defect or a failure of no other class.
+	// ExitInternal is a defect or an error of no other class.
 	ExitInternal = 1
-	// ExitInvalid is a fault of the arguments, a file or an edit.
+	// ExitInvalid is an invalid argument, file or edit.
 	ExitInvalid = 2
 	// ExitCredential is a refused credential.
 	ExitCredential = 3
 	// ExitNotFound is an unknown client account, key, step or request.
 	ExitNotFound = 4
-	// ExitConflict is an edit that lost against another operator's.
+	// ExitConflict is an edit that conflicts with an edit of another operator.
 	ExitConflict = 5
 	// ExitUnavailable is a VM or store that did not answer; nothing was edited.
 	ExitUnavailable = 6
-	// ExitPending is an accepted edit that is not known to be in force
-	// everywhere after the time of --wait.
+	// ExitPending is an accepted edit that was not known to be in force on all VMs within
+	// the time of --wait.
 	ExitPending = 7
-	// ExitUnknown is an edit whose answer was lost; repeat it with its ID.
+	// ExitUnknown is an edit with an unknown outcome; retry it with the same ID.
 	ExitUnknown = 8
 )
 
@@ -44,7 +44,7 @@
 	fault.CodeEditOutcomeUnknown: ExitUnknown,
 }
 
-// ExitCode returns the exit code for the result of Run.
+// ExitCode returns the exit code for the error that Run returned.
 func ExitCode(err error) int {
 	if err == nil {
 		return ExitOK
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -16,27 +16,27 @@
 	"dogwoodpond/internal/operator"
 )
 
-// Explanation is the account of one request.
+// Explanation tells what happened to a request, or to an item of a step.
 type Explanation struct {
 	Request string `json:"request"`
 	Account string `json:"account"`
-	// Attempts is how many dispatches are known.
+	// Attempts counts the dispatches found in the events.
 	Attempts int `json:"attempts"`
-	// Outcome is one of the outcomes below.
+	// Outcome is one of the outcome constants.
 	Outcome string        `json:"outcome"`
 	Lines   []ExplainLine `json:"lines"`
-	// Partial is true when the request's first event is not among the kept ones,
-	// so that attempts may lack.
+	// Partial is true if the request's first event was not found, so that attempts may be
+	// missing.
 	Partial bool `json:"partial"`
-	// Missing names VMs that did not answer; what they did is not told.
+	// Missing names the VMs that did not answer; Lines has none of their events.
 	Missing []string `json:"missing"`
 
-	// seen holds the upstreams of the request's events.
+	// seen has the upstreams named in the request's events.
 	seen map[string]bool
 }
 
-// ExplainLine is one thing that happened to a request, or to an upstream while
-// it worked on the request.
+// ExplainLine is an event of a request, or of an upstream or VM while it processed the
+// request.
 type ExplainLine struct {
 	At time.Time `json:"at"`
 	// SinceMicros is the time since the request's first event.
@@ -48,37 +48,37 @@
 
 // The values of Explanation.Outcome.
 const (
-	outcomeAnswered = "answered"
-	outcomeRefused  = "refused"
-	outcomeScored   = "scored"
-	outcomeGivenUp  = "given up"
-	outcomeNotKnown = "not known"
+	outcomeAnswered  = "answered"
+	outcomeRefused   = "refused"
+	outcomeScored    = "scored"
+	outcomeAbandoned = "given up"
+	outcomeNotKnown  = "not known"
 )
 
 func (a *App) explainCommand() {
-	command := a.kingpin.Command("explain", "Tell what happened to one request, step or item of a step, and why.")
-	id := command.Arg("id", "The request's ID, as in X-Request-Id, or that of the step or item.").Required().String()
+	command := a.kingpin.Command("explain", "Show what happened to a request, a step or an item of a step, and why.")
+	id := command.Arg("id", "The ID of the request (as in X-Request-Id), of the step or of the item.").Required().String()
 	logs := logsFlag(command)
 	command.Action(func(*kingpin.ParseContext) error {
-		ask, err := a.source(*logs)
+		queryEvents, err := a.eventSource(*logs)
 		if err != nil {
 			return err
 		}
-		return a.explain(*id, ask)
+		return a.explain(*id, queryEvents)
 	})
 }
 
-func (a *App) explain(request string, ask source) error {
-	own, err := ask(event.Query{Request: request})
+func (a *App) explain(request string, queryEvents eventSource) error {
+	own, err := queryEvents(event.Query{Request: request})
 	if err == nil && len(own.Events) == 0 {
-		own, err = askItem(request, ask)
+		own, err = itemEvents(request, queryEvents)
 	}
 	if err != nil {
 		return err
 	}
-	told := explain(request, own.Events, own.Missing)
-	if len(told.Lines) == 0 {
-		step, ok, err := explainStep(request, ask)
+	explanation := explain(request, own.Events, own.Missing)
+	if len(explanation.Lines) == 0 {
+		step, ok, err := explainStep(request, queryEvents)
 		if err != nil {
 			return err
 		}
@@ -87,32 +87,32 @@
 		}
 		return a.show(step, func(w io.Writer) { stepTable(w, step) })
 	}
-	if upstreams := told.upstreams(); len(upstreams) > 0 {
-		others, err := ask(event.Query{Upstreams: upstreams, Numbers: upstreamEvents(), After: own.Events[0].Stamp})
+	if upstreams := explanation.upstreams(); len(upstreams) > 0 {
+		related, err := queryEvents(event.Query{Upstreams: upstreams, Numbers: upstreamEvents(), After: own.Events[0].Stamp})
 		if err != nil {
 			return err
 		}
-		told = explain(request, merge(own.Events, others.Events), own.Missing)
+		explanation = explain(request, merge(own.Events, related.Events), own.Missing)
 	}
-	if told.Outcome == outcomeNotKnown {
-		around, err := ask(event.Query{Numbers: aroundVM, After: own.Events[0].Stamp})
+	if explanation.Outcome == outcomeNotKnown {
+		disruptions, err := queryEvents(event.Query{Numbers: disruptionEvents, After: own.Events[0].Stamp})
 		if err != nil {
 			return err
 		}
-		told.befell(around.Events, own.Events[0])
+		explanation.addDisruptions(disruptions.Events, own.Events[0])
 	}
-	return a.show(told, func(w io.Writer) { explainTable(w, told) })
+	return a.show(explanation, func(w io.Writer) { explainTable(w, explanation) })
 }
 
-// askItem returns the events of an item of a step: those of its runs, and those of the
-// calls for its score, which bear IDs of their own.
-func askItem(item string, ask source) (operator.EventsAnswer, error) {
-	own, err := ask(event.Query{Slot: item})
+// itemEvents returns the events of an item of a step: those of its attempts, and those of
+// its score calls, which have request IDs of their own.
+func itemEvents(item string, queryEvents eventSource) (operator.EventsAnswer, error) {
+	own, err := queryEvents(event.Query{Slot: item})
 	if err != nil {
 		return own, err
 	}
 	for _, call := range slices.Sorted(maps.Keys(callsOf(item, own.Events))) {
-		sent, err := ask(event.Query{Request: call, Numbers: []event.Number{event.RequestDispatched, event.AttemptFailed}})
+		sent, err := queryEvents(event.Query{Request: call, Numbers: []event.Number{event.RequestDispatched, event.AttemptFailed}})
 		if err != nil {
 			return own, err
 		}
@@ -121,10 +121,10 @@
 	return own, nil
 }
 
-// callsOf returns the IDs of the calls for an item's score.
-func callsOf(item string, line []event.Record) map[string]bool {
+// callsOf returns the request IDs of an item's score calls.
+func callsOf(item string, events []event.Record) map[string]bool {
 	calls := make(map[string]bool)
-	for _, e := range line {
+	for _, e := range events {
 		if e.Slot == item && e.Request != "" {
 			calls[e.Request] = true
 		}
@@ -132,7 +132,7 @@
 	return calls
 }
 
-// The numbers of events about upstreams themselves.
+// The range of the numbers of events about upstreams.
 const (
 	firstUpstreamEvent event.Number = 1500
 	lastUpstreamEvent  event.Number = 1599
@@ -148,7 +148,7 @@
 	return numbers
 }
 
-// merge returns the events of two lines in their order.
+// merge returns the events of two lists in the order of their stamps.
 func merge(a, b []event.Record) []event.Record {
 	all := slices.Concat(a, b)
 	slices.SortStableFunc(all, func(x, y event.Record) int {
@@ -164,18 +164,18 @@
 	return all
 }
 
-// upstreams lists the upstreams that worked on the request.
+// upstreams lists the upstreams that the request was sent to.
 func (x *Explanation) upstreams() []string {
 	return slices.Sorted(maps.Keys(x.seen))
 }
 
 func explainTable(w io.Writer, e Explanation) {
-	_, _ = fmt.Fprintf(w, "request %s of client account %s: %s, attempts: %d\n", e.Request, orNone(e.Account), e.Outcome, e.Attempts)
+	_, _ = fmt.Fprintf(w, "request %s of client account %s: %s, attempts: %d\n", e.Request, orDash(e.Account), e.Outcome, e.Attempts)
 	for _, l := range e.Lines {
-		row(w, clock(l.At), fmt.Sprintf("+%.1f ms", float64(l.SinceMicros)/microsPerMilli), l.VM, l.Text)
+		row(w, formatTime(l.At), fmt.Sprintf("+%.1f ms", float64(l.SinceMicros)/microsPerMilli), l.VM, l.Text)
 	}
 	if e.Partial {
-		_, _ = fmt.Fprintln(w, "partial: the first events of this request are not kept any more, or are on a VM that did not answer")
+		_, _ = fmt.Fprintln(w, "partial: the first events of this request are no longer retained, or are on a VM that did not answer")
 	}
 	for _, line := range missingLines(e.Missing) {
 		_, _ = fmt.Fprintln(w, line)
@@ -184,51 +184,52 @@
 
 const microsPerMilli = 1000
 
-// explain picks the events of a request or an item of a step, and those of its
-// upstreams while it ran, from a time line in order.
-func explain(request string, line []event.Record, missing []string) Explanation {
-	told := Explanation{Request: request, Outcome: outcomeNotKnown, Lines: []ExplainLine{}, Missing: missing, seen: map[string]bool{}}
+// explain selects the events of a request or an item of a step, and those of its upstreams
+// before its outcome, from events, which must be in order.
+func explain(request string, events []event.Record, missing []string) Explanation {
+	explanation := Explanation{Request: request, Outcome: outcomeNotKnown, Lines: []ExplainLine{}, Missing: missing, seen: map[string]bool{}}
 	var start event.Stamp
-	calls := callsOf(request, line)
-	for _, e := range line {
+	calls := callsOf(request, events)
+	for _, e := range events {
 		if e.Request == request || e.Slot == request || calls[e.Request] {
-			if len(told.Lines) == 0 {
+			if len(explanation.Lines) == 0 {
 				start = e.Stamp
-				told.Partial = !begins(e)
+				explanation.Partial = !isFirstEvent(e)
 			}
-			told.take(e, start)
+			explanation.addOwn(e, start)
 			if e.Upstream != "" {
-				told.seen[e.Upstream] = true
+				explanation.seen[e.Upstream] = true
 			}
 			continue
 		}
-		if e.Request == "" && told.seen[e.Upstream] && told.Outcome == outcomeNotKnown && !listedElsewhere(e, line) {
-			told.add(e, start)
+		if e.Request == "" && explanation.seen[e.Upstream] && explanation.Outcome == outcomeNotKnown && !isDuplicateListing(e, events) {
+			explanation.add(e, start)
 		}
 	}
-	return told
+	return explanation
 }
 
-// listedElsewhere reports whether an event is only another VM's view of the platform's
-// list: each VM tells of each upstream that comes and goes.
-func listedElsewhere(e event.Record, line []event.Record) bool {
+// isDuplicateListing reports whether an event records a change of the platform's list of
+// upstreams on another VM than that of the first event. Each VM records all these changes;
+// the explanation shows those of one VM.
+func isDuplicateListing(e event.Record, events []event.Record) bool {
 	switch e.Number {
 	case event.UpstreamListed, event.UpstreamUnlisted, event.UpstreamLeaving:
-		return e.VM != line[0].VM
+		return e.VM != events[0].VM
 	}
 	return false
 }
 
-// begins reports whether an event is the first of its request. The generations of a
-// step have no caller, and requests that are only sent on are not announced, so that
-// their first event is a dispatch.
-func begins(e event.Record) bool {
+// isFirstEvent reports whether an event is the first of its request. Items of a step and
+// requests that are only forwarded have no RequestAccepted event; their first event is the
+// dispatch of the first attempt.
+func isFirstEvent(e event.Record) bool {
 	return e.Number == event.RequestAccepted || e.Number == event.RequestRefused ||
 		e.Number == event.RequestDispatched && e.Attempt == 1
 }
 
-// take adds an event of the request itself.
-func (x *Explanation) take(e event.Record, start event.Stamp) {
+// addOwn adds an event of the request itself and updates the outcome.
+func (x *Explanation) addOwn(e event.Record, start event.Stamp) {
 	if e.Account != "" {
 		x.Account = e.Account
 	}
@@ -242,7 +243,7 @@
 	case event.SampleScored:
 		x.Outcome = outcomeScored
 	case event.ItemAbandoned:
-		x.Outcome = outcomeGivenUp
+		x.Outcome = outcomeAbandoned
 	}
 	x.add(e, start)
 }
@@ -253,14 +254,14 @@
 		SinceMicros: e.Stamp.WallMicros - start.WallMicros,
 		VM:          e.VM,
 		Number:      e.Number,
-		Text:        sentence(e),
+		Text:        describeEvent(e),
 	})
 }
 
-// befell adds what happened to the VM of a request that has no end, up to the VM's
-// next process.
-func (x *Explanation) befell(around []event.Record, first event.Record) {
-	for _, e := range around {
+// addDisruptions adds the disruption events of the VM of a request without an outcome, up
+// to the next start of the VM's process.
+func (x *Explanation) addDisruptions(disruptions []event.Record, first event.Record) {
+	for _, e := range disruptions {
 		if e.VM != first.VM {
 			continue
 		}
@@ -272,18 +273,18 @@
 	slices.SortStableFunc(x.Lines, func(a, b ExplainLine) int { return cmp.Compare(a.SinceMicros, b.SinceMicros) })
 }
 
-// sentence tells an event in words.
-func sentence(e event.Record) string {
+// describeEvent describes an event in one sentence.
+func describeEvent(e event.Record) string {
 	switch e.Number {
 	case event.RequestAccepted:
 		return "the caller's key was accepted"
 	case event.RequestDispatched:
 		return fmt.Sprintf("attempt %d goes to upstream %s", e.Attempt, e.Upstream)
 	case event.StreamResumed:
-		return fmt.Sprintf("the stream goes on at upstream %s after %d tokens", e.Upstream, e.Count)
+		return fmt.Sprintf("the stream is resumed at upstream %s after %d tokens", e.Upstream, e.Count)
 	case event.AttemptFailed:
 		if e.Slot != "" {
-			return fmt.Sprintf("a run at upstream %s failed: %s", e.Upstream, e.Detail)
+			return fmt.Sprintf("an attempt at upstream %s failed: %s", e.Upstream, e.Detail)
 		}
 		return fmt.Sprintf("attempt %d at upstream %s failed: %s", e.Attempt, e.Upstream, e.Detail)
 	case event.RequestAnswered:
@@ -291,10 +292,10 @@
 	case event.RequestRefused:
 		return fmt.Sprintf("the caller got a refusal: %s", e.Detail)
 	case event.SampleScored:
-		return fmt.Sprintf("call %s returned the score %d ms after the text was whole, made by upstream %s", e.Request, e.Count, e.Upstream)
+		return fmt.Sprintf("call %s returned the score %d ms after the text was complete; upstream %s generated the text", e.Request, e.Count, e.Upstream)
 	case event.ClaimStored:
 		return "the claim of the idempotency key was stored"
 	default:
-		return fmt.Sprintf("%s %s: %s", e.Number, e.Name, describe(e.Subject))
+		return fmt.Sprintf("%s %s: %s", e.Number, e.Name, formatSubject(e.Subject))
 	}
 }
--- a/internal/ctl/explainstep.go
+++ b/internal/ctl/explainstep.go
@@ -11,22 +11,23 @@
 	"dogwoodpond/internal/event"
 )
 
-// StepAccount is the account of one step.
+// StepAccount tells what happened to a step.
 type StepAccount struct {
 	Step    string `json:"step"`
 	Account string `json:"account"`
-	// Owners are the VMs that ran it, in order.
+	// Owners names the VM of each ownership of the step, in order.
 	Owners []string `json:"owners"`
-	// Listed is how many results were listed.
+	// Listed counts the committed results.
 	Listed int64 `json:"listed"`
-	// LongestGap is the longest time without a new result between the first event and
-	// the end, and GapFrom when it began.
+	// LongestGap is the longest time without a new result between the first event and the
+	// end of the step, GapFrom its beginning.
 	LongestGap time.Duration `json:"longestGapNanos"`
 	GapFrom    time.Time     `json:"gapFrom"`
-	// Failures counts the failed runs of its items by reason.
+	// Failures counts the failed attempts of its items by reason.
 	Failures map[string]int `json:"failures"`
-	// Scored counts the scores of its items, LongestScoreWait is the longest time from
-	// a whole text to its score, and ScoreFailures the failed calls by reason.
+	// Scored counts the scored items. LongestScoreWait is the longest time from a complete
+	// text to its score, SlowestScore the item that it belongs to. ScoreFailures counts the
+	// failed score calls by reason.
 	Scored           int            `json:"scored"`
 	LongestScoreWait time.Duration  `json:"longestScoreWaitNanos"`
 	SlowestScore     string         `json:"slowestScore,omitempty"`
@@ -34,40 +35,43 @@
 	Lines            []ExplainLine  `json:"lines"`
 	Missing          []string       `json:"missing"`
 
-	last event.Stamp
+	// latest is the stamp of the latest result, or of the first event.
+	latest event.Stamp
 }
 
-// aroundVM are the kinds of events of a VM that hold up what it serves and runs.
-var aroundVM = []event.Number{
+// disruptionEvents are the events of a VM that can delay or end the requests and steps that
+// it processes.
+var disruptionEvents = []event.Number{
 	event.ProcessStarted, event.DrainStarted, event.ProcessStopped,
 	event.DependencyLost, event.DependencyRegained, event.BeatFailed,
 }
 
-// explainStep tells what happened to a step: its own events, and what befell the VMs
-// that ran it meanwhile. ok is false when nothing is known of it.
-func explainStep(step string, ask source) (told StepAccount, ok bool, err error) {
-	own, err := ask(event.Query{Step: step})
+// explainStep explains a step by its own events and by the disruption events of its owners
+// between its first and last event. ok is false if no event of the step is known.
+func explainStep(step string, queryEvents eventSource) (explanation StepAccount, ok bool, err error) {
+	own, err := queryEvents(event.Query{Step: step})
 	if err != nil || len(own.Events) == 0 {
-		return told, false, err
+		return explanation, false, err
 	}
-	told = StepAccount{Step: step, Failures: map[string]int{}, ScoreFailures: map[string]int{}, Missing: own.Missing}
-	first, last := own.Events[0].Stamp, own.Events[len(own.Events)-1].Stamp
-	around, err := ask(event.Query{Numbers: aroundVM, After: first})
+	explanation = StepAccount{Step: step, Failures: map[string]int{}, ScoreFailures: map[string]int{}, Missing: own.Missing}
+	first, latest := own.Events[0].Stamp, own.Events[len(own.Events)-1].Stamp
+	disruptions, err := queryEvents(event.Query{Numbers: disruptionEvents, After: first})
 	if err != nil {
-		return told, false, err
+		return explanation, false, err
 	}
 	owners := ownersOf(own.Events)
-	others := slices.DeleteFunc(around.Events, func(e event.Record) bool {
-		return last.Before(e.Stamp) || e.Step == step || !slices.Contains(owners, e.VM)
+	relevant := slices.DeleteFunc(disruptions.Events, func(e event.Record) bool {
+		return latest.Before(e.Stamp) || e.Step == step || !slices.Contains(owners, e.VM)
 	})
-	told.last = first
-	for _, e := range merge(own.Events, others) {
-		told.take(e, first)
+	explanation.latest = first
+	for _, e := range merge(own.Events, relevant) {
+		explanation.add(e, first)
 	}
-	return told, true, nil
+	return explanation, true, nil
 }
 
-// ownersOf returns the VMs that owned a step, in the order in which they first did.
+// ownersOf returns the VMs that owned a step, each once, in the order of their first
+// ownership.
 func ownersOf(events []event.Record) []string {
 	var owners []string
 	for _, e := range events {
@@ -78,7 +82,7 @@
 	return owners
 }
 
-func (s *StepAccount) take(e event.Record, first event.Stamp) {
+func (s *StepAccount) add(e event.Record, first event.Stamp) {
 	if e.Step == s.Step && e.Account != "" {
 		s.Account = e.Account
 	}
@@ -91,47 +95,47 @@
 		s.ScoreFailures[e.Detail]++
 		return
 	case event.SampleScored:
-		s.scored(e)
+		s.addScore(e)
 		return
 	case event.StepOwned:
 		s.Owners = append(s.Owners, e.VM)
 	case event.SamplesCommitted:
 		s.Listed += e.Count
-		s.gap(e.Stamp)
+		s.endGap(e.Stamp)
 	case event.StepEnded:
-		s.gap(e.Stamp)
+		s.endGap(e.Stamp)
 	}
 	s.Lines = append(s.Lines, ExplainLine{
 		At: stampTime(e.Stamp), SinceMicros: e.Stamp.WallMicros - first.WallMicros, VM: e.VM, Number: e.Number,
-		Text: fmt.Sprintf("%s %s: %s", e.Number, e.Name, describe(e.Subject)),
+		Text: fmt.Sprintf("%s %s: %s", e.Number, e.Name, formatSubject(e.Subject)),
 	})
 }
 
-// scored counts a score.
-func (s *StepAccount) scored(e event.Record) {
+// addScore counts a score and updates the longest wait for one.
+func (s *StepAccount) addScore(e event.Record) {
 	s.Scored++
 	if waited := time.Duration(e.Count) * time.Millisecond; waited >= s.LongestScoreWait {
 		s.LongestScoreWait, s.SlowestScore = waited, e.Slot
 	}
 }
 
-// gap ends a time without new results.
-func (s *StepAccount) gap(at event.Stamp) {
-	length := since(s.last.WallMicros, at.WallMicros)
+// endGap ends the current time without results and begins the next one.
+func (s *StepAccount) endGap(at event.Stamp) {
+	length := since(s.latest.WallMicros, at.WallMicros)
 	if length > s.LongestGap {
-		s.LongestGap, s.GapFrom = length, stampTime(s.last)
+		s.LongestGap, s.GapFrom = length, stampTime(s.latest)
 	}
-	s.last = at
+	s.latest = at
 }
 
 func stepTable(w io.Writer, s StepAccount) {
-	_, _ = fmt.Fprintf(w, "step %s of client account %s: %d results listed, run by %s\n", s.Step, orNone(s.Account), s.Listed, orNone(strings.Join(s.Owners, ", then ")))
+	_, _ = fmt.Fprintf(w, "step %s of client account %s: %d results committed, run by %s\n", s.Step, orDash(s.Account), s.Listed, orDash(strings.Join(s.Owners, ", then ")))
 	for _, l := range s.Lines {
-		row(w, clock(l.At), fmt.Sprintf("+%.1f ms", float64(l.SinceMicros)/microsPerMilli), l.VM, l.Text)
+		row(w, formatTime(l.At), fmt.Sprintf("+%.1f ms", float64(l.SinceMicros)/microsPerMilli), l.VM, l.Text)
 	}
-	_, _ = fmt.Fprintf(w, "longest time without a new result: %s from %s on\n", s.LongestGap.Round(time.Millisecond), clock(s.GapFrom))
+	_, _ = fmt.Fprintf(w, "longest time without a new result: %s from %s on\n", s.LongestGap.Round(time.Millisecond), formatTime(s.GapFrom))
 	for _, reason := range slices.Sorted(maps.Keys(s.Failures)) {
-		_, _ = fmt.Fprintf(w, "failed runs of its items, %s: %d\n", reason, s.Failures[reason])
+		_, _ = fmt.Fprintf(w, "failed attempts of its items, %s: %d\n", reason, s.Failures[reason])
 	}
 	if s.Scored > 0 {
 		_, _ = fmt.Fprintf(w, "%d texts scored, the longest wait for a score: %s of item %s\n", s.Scored, s.LongestScoreWait, s.SlowestScore)
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -18,13 +18,13 @@
 	status := a.kingpin.Command("status", "Show failure domains, VMs, leases and upstreams, and which revision is in force where.")
 	status.Action(func(*kingpin.ParseContext) error { return a.status() })
 
-	steps := a.kingpin.Command("steps", "Show how far the steps are.")
+	steps := a.kingpin.Command("steps", "Show the progress of the steps.")
 	account := steps.Arg("account", "Only this client account.").String()
 	steps.Action(func(*kingpin.ParseContext) error { return a.steps(*account) })
 
 	usage := a.kingpin.Command("usage", "Show the usage reports.")
-	window := usage.Arg("window", "Only this window: its start in seconds since the Unix epoch.").Int64()
-	since := usage.Flag("since", "Go back this far, for example 48h.").Default("24h").Duration()
+	window := usage.Arg("window", "Only this usage window, given by its start in seconds since the Unix epoch.").Int64()
+	since := usage.Flag("since", "How far back the reports go, for example 48h.").Default("24h").Duration()
 	usage.Action(func(*kingpin.ParseContext) error { return a.usage(*window, *since) })
 }
 
@@ -46,7 +46,7 @@
 	row(w)
 	row(w, "VM", "FAILURE DOMAIN", "REVISION", "HEARD", "STATE")
 	for _, vm := range s.VMs {
-		row(w, vm.VM, vm.FailureDomain, vm.Revision, heard(vm), vmState(vm))
+		row(w, vm.VM, vm.FailureDomain, vm.Revision, heardAgo(vm), vmState(vm))
 	}
 	row(w)
 	if s.LeasesUnknown {
@@ -54,13 +54,13 @@
 	} else {
 		row(w, "LEASE", "HOLDER", "EPOCH")
 		for _, l := range s.Leases {
-			row(w, l.Name, orNone(l.Holder), l.Epoch)
+			row(w, l.Name, orDash(l.Holder), l.Epoch)
 		}
 	}
 	row(w)
 	row(w, "UPSTREAM", "FAILURE DOMAIN", "KIND", "STATE", "SERVES", "SLOTS", "RECLAIMABLE", "CHECKS FENCING")
 	for _, u := range s.Upstreams {
-		row(w, u.ID, u.FailureDomain, u.Kind, u.State, serves(u), u.Slots, yes(u.Reclaimable), yes(u.ChecksFencing))
+		row(w, u.ID, u.FailureDomain, u.Kind, u.State, serves(u), u.Slots, yesNo(u.Reclaimable), yesNo(u.ChecksFencing))
 	}
 }
 
@@ -71,7 +71,7 @@
 	return "reached"
 }
 
-func heard(vm operator.VMRevision) string {
+func heardAgo(vm operator.VMRevision) string {
 	if !vm.Known {
 		return "never"
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// serves names what an upstream serves: a service, or a model with its adapter.
+// serves returns what an upstream serves: its service, or its model and adapter.
 func serves(u platform.Upstream) string {
 	if u.Kind == platform.KindService {
 		return u.Service
@@ -100,7 +100,7 @@
 	return u.Model + "+" + u.Adapter
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
@@ -134,7 +134,7 @@
 		row(w, "WINDOW", "FROM", "ACCOUNT", "REQUESTS", "TOKENS", "CORRECTED", "COMPLETE")
 		for _, r := range reports {
 			corrected := fmt.Sprintf("%+d/%+d", r.CorrectionRequests, r.CorrectionTokens)
-			row(w, r.Window, clock(time.Unix(r.Window, 0)), r.Account, r.Requests, r.Tokens, corrected, yes(!r.Incomplete))
+			row(w, r.Window, formatTime(time.Unix(r.Window, 0)), r.Account, r.Requests, r.Tokens, corrected, yesNo(!r.Incomplete))
 		}
 	})
 }
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -21,16 +21,16 @@
 
 func (a *App) keyCommands() {
 	group := a.kingpin.Command("key", "Keys of client accounts.")
-	grant := group.Command("grant", "Grant a key and print it, this once, or write it to a file.")
+	grant := group.Command("grant", "Grant a key, and print it (it is not shown again) or write it to a file.")
 	account := grant.Arg("account", "The client account.").Required().String()
-	keyFile := grant.Flag("key-file", "Write the key to this new file instead; a repeat with --edit-id reads it from there.").String()
+	keyFile := grant.Flag("key-file", "Write the key to this new file instead of printing it; a retry with --edit-id reads it from there.").String()
 	grantFlags := editFlagsOf(grant)
 	grant.Action(func(*kingpin.ParseContext) error {
 		return a.grantKey(contract.Account(*account), *keyFile, grantFlags)
 	})
 
 	withdraw := group.Command("withdraw", "Withdraw a key.")
-	id := withdraw.Arg("id", "The key's ID: the part between the underscores.").Required().String()
+	id := withdraw.Arg("id", "The key's ID, which is the part between the underscores.").Required().String()
 	withdrawFlags := editFlagsOf(withdraw)
 	withdraw.Action(func(*kingpin.ParseContext) error { return a.withdrawKey(*id, withdrawFlags) })
 
@@ -41,13 +41,13 @@
 const (
 	keyIDBytes  = 8
 	secretBytes = 24
-	// keyFileMode keeps other users of the machine from reading a key.
+	// keyFileMode lets only the owner of the file read the key.
 	keyFileMode = 0o600
 )
 
-// grantedKey is what a grant answers to a program.
+// grantedKey is the JSON result of a grant.
 type grantedKey struct {
-	// Key is the whole key; empty when it went to a file.
+	// Key is the complete key; empty if it was written to KeyFile.
 	Key     string              `json:"key,omitempty"`
 	KeyFile string              `json:"keyFile,omitempty"`
 	KeyID   string              `json:"keyId"`
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := a.send(edit{
+	answer, err := a.sendEdit(editRequest{
 		method: http.MethodPut,
 		route:  "/v1/keys/" + url.PathEscape(key.ID),
 		body:   operator.KeyGrant{Account: account, SecretSHA256: contract.HashSecret(key.Secret)},
@@ -78,27 +78,27 @@
 	for _, line := range pendingLines(answer) {
 		a.note("pending: %s", line)
 	}
-	shown := a.show(granted, func(w io.Writer) {
+	showErr := a.show(granted, func(w io.Writer) {
 		if keyFile != "" {
 			row(w, "key "+key.ID+" written to "+keyFile)
 			return
 		}
 		row(w, granted.Key)
 	})
-	if shown != nil {
-		return shown
+	if showErr != nil {
+		return showErr
 	}
 	return err
 }
 
-// newKey makes a key. With a file, the key is written there before its grant, so
-// that a lost answer does not lose the key; a repeat reads it back.
-func newKey(keyFile string, repeat bool) (contract.Presented, error) {
+// newKey generates a key. If keyFile is given, the key is written there before it is
+// granted, so that it isn't lost with the answer to the grant; a retry reads it from there.
+func newKey(keyFile string, retry bool) (contract.Presented, error) {
 	key := contract.Presented{ID: randomHex(keyIDBytes), Secret: randomHex(secretBytes)}
 	if keyFile == "" {
 		return key, nil
 	}
-	if repeat {
+	if retry {
 		if text, err := os.ReadFile(keyFile); err == nil {
 			return contract.ParseKey(strings.TrimSpace(string(text)))
 		}
@@ -109,7 +109,7 @@
 	}
 	_, err = fmt.Fprintln(file, keyText(key))
 	if closed := file.Close(); err != nil || closed != nil {
-		return key, errors.WithStack(&fault.BadRequest{Field: "key-file", Problem: "can't be written"})
+		return key, errors.WithStack(&fault.BadRequest{Field: "key-file", Problem: "cannot be written"})
 	}
 	return key, nil
 }
@@ -120,18 +120,18 @@
 
 func randomHex(bytes int) string {
 	raw := make([]byte, bytes)
-	// rand.Read never fails; it ends the process when the system has no
+	// rand.Read never returns an error; it crashes the process if the system has no
 	// randomness.
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
 func (a *App) withdrawKey(id string, flags editFlags) error {
-	// Whoever pastes the whole key is told so before the secret travels on.
+	// Rejects a complete key before its secret is sent to a VM.
 	if strings.HasPrefix(id, contract.KeyPrefix) {
-		return errors.WithStack(&fault.BadRequest{Field: "id", Problem: "is a whole key; give only the part between the underscores"})
+		return errors.WithStack(&fault.BadRequest{Field: "id", Problem: "is a complete key; give only the part between the underscores"})
 	}
-	answer, err := a.send(edit{method: http.MethodDelete, route: "/v1/keys/" + url.PathEscape(id), flags: flags})
+	answer, err := a.sendEdit(editRequest{method: http.MethodDelete, route: "/v1/keys/" + url.PathEscape(id), flags: flags})
 	return a.showEdit(answer, err)
 }
 
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -16,19 +16,20 @@
 	"dogwoodpond/internal/operator"
 )
 
-// logsFlag adds the flag that names collected logs to a command.
+// logsFlag adds the flag --logs to a command.
 func logsFlag(command *kingpin.CmdClause) *[]string {
-	return command.Flag("logs", "Read collected logs, a file or a directory each, instead of asking the VMs.").PlaceHolder("PATH").Strings()
+	return command.Flag("logs", "Read events from these collected logs (files or directories) instead of from the VMs.").PlaceHolder("PATH").Strings()
 }
 
-// source answers queries of events.
-type source func(event.Query) (operator.EventsAnswer, error)
+// eventSource returns the events that match a query.
+type eventSource func(event.Query) (operator.EventsAnswer, error)
 
-// source returns the VMs as a source of events, or the logs at the paths if there
-// are any: VMs keep their latest events only, and one that is gone keeps none.
-func (a *App) source(paths []string) (source, error) {
+// eventSource returns a source that reads the logs at the given paths, or queries the VMs
+// if there are no paths. Logs are needed for old events: VMs retain only their latest
+// events, and the events of a dead VM can't be queried.
+func (a *App) eventSource(paths []string) (eventSource, error) {
 	if len(paths) == 0 {
-		return a.eventsOfVMs, nil
+		return a.eventsFromVMs, nil
 	}
 	var all []event.Record
 	for _, path := range paths {
@@ -39,18 +40,18 @@
 		all = merge(all, records)
 	}
 	return func(query event.Query) (operator.EventsAnswer, error) {
-		picked := slices.DeleteFunc(slices.Clone(all), func(r event.Record) bool { return !query.Picks(r) })
-		return operator.EventsAnswer{Events: picked}, nil
+		matching := slices.DeleteFunc(slices.Clone(all), func(r event.Record) bool { return !query.Picks(r) })
+		return operator.EventsAnswer{Events: matching}, nil
 	}, nil
 }
 
-func (a *App) eventsOfVMs(query event.Query) (operator.EventsAnswer, error) {
+func (a *App) eventsFromVMs(query event.Query) (operator.EventsAnswer, error) {
 	var answer operator.EventsAnswer
 	err := a.client().Call(context.Background(), http.MethodGet, eventsRoute(query), nil, &answer)
 	return answer, err
 }
 
-// readLogs reads a log, or all logs in a directory.
+// readLogs reads the events of a log file, or of all files in a directory tree.
 func (a *App) readLogs(path string) ([]event.Record, error) {
 	var all []event.Record
 	err := filepath.WalkDir(path, func(name string, entry fs.DirEntry, err error) error {
@@ -74,9 +75,9 @@
 		return nil, errors.WithStack(&fault.BadRequest{Field: "logs", Problem: err.Error()})
 	}
 	defer func() { _ = file.Close() }()
-	records, others, err := event.ReadLog(file)
-	if others > 0 {
-		a.note("%s: %d lines are no events and were passed over", name, others)
+	records, skipped, err := event.ReadLog(file)
+	if skipped > 0 {
+		a.note("%s: %d lines are not events and were skipped", name, skipped)
 	}
 	return records, err
 }
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -15,8 +15,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// logOf writes the log of one VM, as its process does, and returns its recorder.
-func logOf(t *testing.T, dir, vm string) *event.Recorder {
+// newVMLog returns an event recorder that writes the log of a VM to dir as the daemon does.
+func newVMLog(t *testing.T, dir, vm string) *event.Recorder {
 	t.Helper()
 	file, err := os.Create(filepath.Join(dir, vm+".log"))
 	if err != nil {
@@ -34,11 +34,11 @@
 	return out.String(), err
 }
 
-// A step was run by a VM that was killed, and by its successor. The operator has only
-// the files that both left behind.
+// The owner of a step was killed and another VM took the step over. The operator has only
+// the log files of both.
 func TestStepIsExplainedFromLogs(t *testing.T) {
 	dir := t.TempDir()
-	a, b := logOf(t, dir, "vm-a"), logOf(t, dir, "vm-b")
+	a, b := newVMLog(t, dir, "vm-a"), newVMLog(t, dir, "vm-b")
 	a.Emit(event.StepOpened, event.Subject{Step: "s", Account: "acc", Count: 3})
 	a.Emit(event.StepOwned, event.Subject{Step: "s", Epoch: 1})
 	a.Emit(event.SamplesCommitted, event.Subject{Step: "s", Count: 1, Detail: "6ms"})
@@ -53,24 +53,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"step s of client account acc: 3 results listed, run by vm-a, then vm-b", "detail=store", "failed runs of its items, moved: 1", "longest time without a new result"} {
+	for _, want := range []string{"step s of client account acc: 3 results committed, run by vm-a, then vm-b", "detail=store", "failed attempts of its items, moved: 1", "longest time without a new result"} {
 		if !strings.Contains(out, want) {
-			t.Errorf("%q is not told:\n%s", want, out)
+			t.Errorf("the explanation lacks %q:\n%s", want, out)
 		}
 	}
 	if strings.Contains(out, "drain started") {
-		t.Errorf("what came after the step's end is told:\n%s", out)
+		t.Errorf("the explanation has an event after the end of the step:\n%s", out)
 	}
 	if out, err = runTool(t, "timeline", "--step", "s", "--logs", dir); err != nil || strings.Count(out, "\n") != 7 {
 		t.Errorf("timeline: %v\n%s", err, out)
 	}
 }
 
-// A step came late because its scoring service did. The logs tell which item waited
-// longest, which engine made its text, and which upstreams its call went to.
+// A step was slow because of its scoring service. The explanation must show which item
+// waited longest, which engine generated its text and where its score calls were sent.
 func TestItemAndScoresAreExplainedFromLogs(t *testing.T) {
 	dir := t.TempDir()
-	a := logOf(t, dir, "vm-a")
+	a := newVMLog(t, dir, "vm-a")
 	a.Emit(event.StepOpened, event.Subject{Step: "s", Account: "acc", Count: 2})
 	a.Emit(event.AttemptFailed, event.Subject{Step: "s", Slot: "i1", Upstream: "e1", Detail: "broke off after event 4"})
 	a.Emit(event.RequestDispatched, event.Subject{Request: "c1", Upstream: "d1", Attempt: 1})
@@ -85,7 +85,7 @@
 	}
 	for _, want := range []string{"2 texts scored, the longest wait for a score: 2.3s of item i1", "failed calls for scores, upstream_failed: 1"} {
 		if !strings.Contains(step, want) {
-			t.Errorf("%q is not told of the step:\n%s", want, step)
+			t.Errorf("the explanation of the step lacks %q:\n%s", want, step)
 		}
 	}
 	item, err := runTool(t, "explain", "i1", "--logs", dir)
@@ -93,21 +93,21 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"a run at upstream e1 failed: broke off after event 4", "attempt 1 goes to upstream d1", "attempt 1 goes to upstream d2",
-		"call c1 returned the score 2300 ms after the text was whole, made by upstream e2", "scored",
+		"an attempt at upstream e1 failed: broke off after event 4", "attempt 1 goes to upstream d1", "attempt 1 goes to upstream d2",
+		"call c1 returned the score 2300 ms after the text was complete; upstream e2 generated the text", "scored",
 	} {
 		if !strings.Contains(item, want) {
-			t.Errorf("%q is not told of the item:\n%s", want, item)
+			t.Errorf("the explanation of the item lacks %q:\n%s", want, item)
 		}
 	}
 	if strings.Contains(item, "c2") {
-		t.Errorf("the call of another item is told:\n%s", item)
+		t.Errorf("the explanation has the score call of another item:\n%s", item)
 	}
 }
 
-func TestLogsThatTellNothing(t *testing.T) {
+func TestExplainFailsOnLogsWithoutTheRequest(t *testing.T) {
 	dir := t.TempDir()
-	logOf(t, dir, "vm-a")
+	newVMLog(t, dir, "vm-a")
 	if _, err := runTool(t, "explain", "q", "--logs", dir); !fault.Is[*fault.RequestUnknown](err) {
 		t.Errorf("explain fails with %v", err)
 	}
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/fault"
 )
 
-// show prints a value as JSON, or lets table print it for people.
+// show prints value as JSON, or calls table to print it for people, as --output says.
 func (a *App) show(value any, table func(w io.Writer)) error {
 	if *a.output == outputJSON {
 		encoder := json.NewEncoder(a.out)
@@ -26,7 +26,7 @@
 	return outputFailure(w.Flush())
 }
 
-// columnGap is the number of blanks between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
 func outputFailure(err error) error {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// row prints one row of a table. A failed write shows when the table is flushed.
+// row prints one row of a table. A write error is reported when the table is flushed.
 func row(w io.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
@@ -45,19 +45,19 @@
 	_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 }
 
-// note tells a person something besides the result.
+// note prints a message for people, apart from the result.
 func (a *App) note(format string, values ...any) {
 	_, _ = fmt.Fprintf(a.notes, format+"\n", values...)
 }
 
-const clockFormat = "2006-01-02 15:04:05.000"
+const timeFormat = "2006-01-02 15:04:05.000"
 
-func clock(t time.Time) string { return t.UTC().Format(clockFormat) }
+func formatTime(t time.Time) string { return t.UTC().Format(timeFormat) }
 
 func stampTime(s event.Stamp) time.Time { return time.UnixMicro(s.WallMicros).UTC() }
 
-// orNone shows an empty text as a dash.
-func orNone(text string) string {
+// orDash returns text, or a dash if it is empty.
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -12,23 +12,23 @@
 	"dogwoodpond/internal/event"
 )
 
-// Phase is a part of the time of a step.
+// Phase is a phase of a step.
 type Phase int
 
-// The phases of a step, in their order.
+// The phases of a step, in order.
 const (
-	// Acceptance lasts from the first time the step was handed in until it stood in the
-	// store.
+	// Acceptance lasts from the first submission of the step until it was accepted, that is
+	// committed in the store.
 	Acceptance Phase = iota
-	// Ownership lasts from there until a VM ran it.
+	// Ownership lasts from the acceptance until a VM became the owner of the step.
 	Ownership
-	// FirstResult lasts from there until results were listed.
+	// FirstResult lasts from the first ownership until the first results were committed.
 	FirstResult
-	// Results lasts from the first listed results to the last.
+	// Results lasts from the first committed results to the last.
 	Results
-	// Reading lasts from the last listed results until the trainer ended the step.
+	// Reading lasts from the last committed results until the trainer ended the step.
 	Reading
-	phases
+	phases // number of phases
 )
 
 // String implements fmt.Stringer.
@@ -36,106 +36,109 @@
 	return [...]string{"acceptance", "ownership", "first result", "results", "reading"}[p]
 }
 
-// StepTimes are the phases of one step, from its events.
+// StepTimes holds the durations of the phases of a step, computed from its events.
 type StepTimes struct {
 	Step    string    `json:"step"`
 	Account string    `json:"account"`
 	Began   time.Time `json:"began"`
-	// Phases holds the length of each phase that came to its end, in nanoseconds.
+	// Phases has the duration of each phase, 0 if its end is not known. Results ends with
+	// the latest committed results.
 	Phases [phases]time.Duration `json:"phasesNanos"`
-	// Whole is the length of all of them.
+	// Whole is the sum of Phases.
 	Whole time.Duration `json:"wholeNanos"`
-	// Longest is the phase that took longest.
+	// Longest is the name of the longest phase.
 	Longest string `json:"longest"`
-	// Gap is the longest time between listed results.
+	// Gap is the longest time between two commits of results.
 	Gap time.Duration `json:"gapNanos"`
-	// Owners counts the VMs that ran the step, Failed the runs of its items that failed
-	// or moved, and Abandoned the items that were given up.
+	// Owners counts the ownerships of the step, Failed the attempts of its items that
+	// failed or were moved, Abandoned the abandoned items.
 	Owners    int `json:"owners"`
 	Failed    int `json:"failed"`
 	Abandoned int `json:"abandoned"`
-	// Ended is true once the trainer ended the step.
+	// Ended is true if the trainer has ended the step.
 	Ended bool `json:"ended"`
 
-	opened, owned, listed, last int64
+	// Wall time in microseconds of the acceptance, the first ownership, and the first and
+	// the last committed results; 0 if not known.
+	openedAt, ownedAt, firstResultAt, lastResultAt int64
 }
 
-// Report tells of all steps in a time line, those that took longest first.
+// Report holds the times of all steps found in the events, the longest step first.
 type Report struct {
 	Steps   []*StepTimes `json:"steps"`
 	Missing []string     `json:"missing"`
 }
 
-// stepEvents are the kinds of events from which a report is made.
+// stepEvents are the events from which a report is computed.
 var stepEvents = []event.Number{
 	event.StepStartedEarly, event.StepOpened, event.StepOwned, event.SamplesCommitted, event.StepEnded,
 	event.AttemptFailed, event.ItemAbandoned,
 }
 
 func (a *App) reportCommand() {
-	command := a.kingpin.Command("report", "Tell where the time of steps went, phase by phase.")
-	top := command.Flag("top", "Show that many of the steps that took longest.").Default("20").Int()
+	command := a.kingpin.Command("report", "Show the time that steps spent in each phase.")
+	top := command.Flag("top", "Show this many of the longest steps.").Default("20").Int()
 	logs := logsFlag(command)
 	command.Action(func(*kingpin.ParseContext) error {
-		ask, err := a.source(*logs)
+		queryEvents, err := a.eventSource(*logs)
 		if err != nil {
 			return err
 		}
-		answer, err := ask(event.Query{Numbers: stepEvents})
+		answer, err := queryEvents(event.Query{Numbers: stepEvents})
 		if err != nil {
 			return err
 		}
-		told := reportOn(answer.Events, answer.Missing)
-		return a.show(told, func(w io.Writer) { reportTable(w, told, *top) })
+		report := reportOn(answer.Events, answer.Missing)
+		return a.show(report, func(w io.Writer) { reportTable(w, report, *top) })
 	})
 }
 
-// reportOn makes a report of a time line in order. Steps whose beginning is not in it are
-// left out.
-func reportOn(line []event.Record, missing []string) Report {
-	known := make(map[string]*StepTimes)
-	told := Report{Steps: []*StepTimes{}, Missing: missing}
-	for _, e := range line {
+// reportOn computes a report from events, which must be in order. Steps without an event of
+// their beginning are left out.
+func reportOn(events []event.Record, missing []string) Report {
+	byStep := make(map[string]*StepTimes)
+	report := Report{Steps: []*StepTimes{}, Missing: missing}
+	for _, e := range events {
 		if e.Step == "" {
 			continue
 		}
-		s := known[e.Step]
+		s := byStep[e.Step]
 		if s == nil && (e.Number == event.StepOpened || e.Number == event.StepStartedEarly) {
 			s = &StepTimes{Step: e.Step, Account: e.Account, Began: stampTime(e.Stamp)}
-			known[e.Step] = s
-			told.Steps = append(told.Steps, s)
+			byStep[e.Step] = s
+			report.Steps = append(report.Steps, s)
 		}
 		if s != nil {
-			s.take(e)
+			s.add(e)
 		}
 	}
-	for _, s := range told.Steps {
-		s.sum()
+	for _, s := range report.Steps {
+		s.sumPhases()
 	}
-	slices.SortStableFunc(told.Steps, func(a, b *StepTimes) int { return cmp.Compare(b.Whole, a.Whole) })
-	return told
+	slices.SortStableFunc(report.Steps, func(a, b *StepTimes) int { return cmp.Compare(b.Whole, a.Whole) })
+	return report
 }
 
-// take takes an event of the step.
-func (s *StepTimes) take(e event.Record) {
+// add adds an event of the step.
+func (s *StepTimes) add(e event.Record) {
 	at := e.Stamp.WallMicros
 	switch e.Number {
 	case event.StepOpened:
-		if s.opened == 0 {
-			s.opened = at
+		if s.openedAt == 0 {
+			s.openedAt = at
 			s.Phases[Acceptance] = since(s.Began.UnixMicro(), at)
 		}
 	case event.StepOwned:
 		s.Owners++
-		if s.owned == 0 {
-			s.owned = at
-			s.Phases[Ownership] = since(s.opened, at)
+		if s.ownedAt == 0 {
+			s.ownedAt = at
+			s.Phases[Ownership] = since(s.openedAt, at)
 		}
 	case event.SamplesCommitted:
-		s.list(at)
+		s.addResults(at)
 	case event.StepEnded:
-		if !s.Ended && s.last > 0 {
-			s.Phases[Reading] = since(s.last, at)
+		if !s.Ended && s.lastResultAt > 0 {
+			s.Phases[Reading] = since(s.lastResultAt, at)
 		}
 		s.Ended = true
 	case event.AttemptFailed:
@@ -145,19 +148,20 @@
 	}
 }
 
-// list takes listed results.
-func (s *StepTimes) list(at int64) {
-	if s.listed == 0 {
-		s.listed = at
-		s.Phases[FirstResult] = since(s.owned, at)
+// addResults adds a commit of results at a wall time in microseconds.
+func (s *StepTimes) addResults(at int64) {
+	if s.firstResultAt == 0 {
+		s.firstResultAt = at
+		s.Phases[FirstResult] = since(s.ownedAt, at)
 	} else {
-		s.Gap = max(s.Gap, since(s.last, at))
+		s.Gap = max(s.Gap, since(s.lastResultAt, at))
 	}
-	s.last = at
-	s.Phases[Results] = since(s.listed, at)
+	s.lastResultAt = at
+	s.Phases[Results] = since(s.firstResultAt, at)
 }
 
-// since returns the time between two moments in microseconds, 0 if the first is not known.
+// since returns the time between two wall times in microseconds; 0 if from is 0 (not
+// known) or after to.
 func since(from, to int64) time.Duration {
 	if from == 0 {
 		return 0
@@ -165,35 +169,35 @@
 	return max(0, time.Duration(to-from)*time.Microsecond)
 }
 
-// sum adds the phases up.
-func (s *StepTimes) sum() {
+// sumPhases computes the sum of the phases and the longest one.
+func (s *StepTimes) sumPhases() {
 	longest := Acceptance
-	for p, length := range s.Phases {
-		s.Whole += length
-		if length > s.Phases[longest] {
+	for p, duration := range s.Phases {
+		s.Whole += duration
+		if duration > s.Phases[longest] {
 			longest = Phase(p)
 		}
 	}
 	s.Longest = longest.String()
 }
 
-func reportTable(w io.Writer, told Report, top int) {
-	_, _ = fmt.Fprintf(w, "%d steps; lengths in seconds\n", len(told.Steps))
+func reportTable(w io.Writer, report Report, top int) {
+	_, _ = fmt.Fprintf(w, "%d steps; durations in seconds\n", len(report.Steps))
 	row(w, "phase", "middle", "95 %", "most")
 	for p := range phases {
-		lengths := make([]time.Duration, 0, len(told.Steps))
-		for _, s := range told.Steps {
-			lengths = append(lengths, s.Phases[p])
+		durations := make([]time.Duration, 0, len(report.Steps))
+		for _, s := range report.Steps {
+			durations = append(durations, s.Phases[p])
 		}
-		slices.Sort(lengths)
-		row(w, p, quantile(lengths, 0.5), quantile(lengths, 0.95), quantile(lengths, 1))
+		slices.Sort(durations)
+		row(w, p, quantile(durations, 0.5), quantile(durations, 0.95), quantile(durations, 1))
 	}
 	_, _ = fmt.Fprintln(w)
 	row(w, "step", "account", "began", "whole", "acceptance", "ownership", "first result", "results", "reading", "longest gap", "owners", "failed runs", "given up", "")
-	for _, s := range told.Steps[:min(len(told.Steps), max(top, 0))] {
-		cells := []any{s.Step, orNone(s.Account), clock(s.Began), seconds(s.Whole)}
-		for _, length := range s.Phases {
-			cells = append(cells, seconds(length))
+	for _, s := range report.Steps[:min(len(report.Steps), max(top, 0))] {
+		cells := []any{s.Step, orDash(s.Account), formatTime(s.Began), seconds(s.Whole)}
+		for _, duration := range s.Phases {
+			cells = append(cells, seconds(duration))
 		}
 		state := ""
 		if !s.Ended {
@@ -201,17 +205,18 @@
 		}
 		row(w, append(cells, seconds(s.Gap), s.Owners, s.Failed, s.Abandoned, state)...)
 	}
-	for _, line := range missingLines(told.Missing) {
+	for _, line := range missingLines(report.Missing) {
 		_, _ = fmt.Fprintln(w, line)
 	}
 }
 
-// quantile returns the length below which a part of the sorted lengths lies.
-func quantile(sorted []time.Duration, part float64) string {
+// quantile returns the q-quantile of sorted durations in seconds, or a dash if there are
+// none.
+func quantile(sorted []time.Duration, q float64) string {
 	if len(sorted) == 0 {
 		return "-"
 	}
-	return seconds(sorted[min(int(part*float64(len(sorted))), len(sorted)-1)])
+	return seconds(sorted[min(int(q*float64(len(sorted))), len(sorted)-1)])
 }
 
 func seconds(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()) }
--- a/internal/ctl/report_test.go
+++ b/internal/ctl/report_test.go
@@ -9,12 +9,12 @@
 	"dogwoodpond/internal/event"
 )
 
-// Guards against a report that blames the wrong phase: one step waits for its owner, which
-// dies, and another for its trainer.
+// Guards against a report that names the wrong phase. The owner of one step dies between two
+// results; the trainer of another step ends it late.
 func TestReportNamesTheLongestPhase(t *testing.T) {
-	var line []event.Record
+	var events []event.Record
 	at := func(millis int64, vm, step string, number event.Number) {
-		line = append(line, event.Record{
+		events = append(events, event.Record{
 			Stamp: event.Stamp{WallMicros: 1_000_000 + millis*1000}, VM: vm, Number: number,
 			Subject: event.Subject{Step: step, Account: "acc"},
 		})
@@ -32,28 +32,28 @@
 	at(4800, "c", "late", event.StepEnded)
 	at(4900, "c", "cut", event.SamplesCommitted)
 	at(2600, "a", "read", event.StepEnded)
-	told := reportOn(line, nil)
-	if len(told.Steps) != 2 || told.Steps[0].Step != "late" || told.Steps[1].Step != "read" {
-		t.Fatalf("the steps are %+v", told.Steps)
+	report := reportOn(events, nil)
+	if len(report.Steps) != 2 || report.Steps[0].Step != "late" || report.Steps[1].Step != "read" {
+		t.Fatalf("the steps are %+v", report.Steps)
 	}
-	late, read := told.Steps[0], told.Steps[1]
+	late, read := report.Steps[0], report.Steps[1]
 	want := [phases]time.Duration{300 * time.Millisecond, 10 * time.Millisecond, 390 * time.Millisecond, 4 * time.Second, 100 * time.Millisecond}
 	if late.Phases != want || late.Longest != "results" || late.Gap != 4*time.Second || late.Owners != 2 || late.Failed != 1 || !late.Ended {
 		t.Errorf("the late step: %+v", late)
 	}
 	if read.Longest != "reading" || read.Whole != 2500*time.Millisecond {
-		t.Errorf("the one read late: %+v", read)
+		t.Errorf("the step that was read late: %+v", read)
 	}
 }
 
-// Guards against a command that prints what its page does not say, and against logs that
-// hold no steps.
+// Guards against output that does not match the operators' page, and against a report that
+// fails on logs without steps or drops a step that has not ended.
 func TestReportOfLogs(t *testing.T) {
 	dir := t.TempDir()
-	a := logOf(t, dir, "vm-a")
+	a := newVMLog(t, dir, "vm-a")
 	out, err := runTool(t, "report", "--logs", dir)
 	if err != nil || !strings.Contains(out, "0 steps") {
-		t.Errorf("a report of nothing: %v\n%s", err, out)
+		t.Errorf("a report of logs without steps: %v\n%s", err, out)
 	}
 	a.Emit(event.StepOpened, event.Subject{Step: "s", Account: "acc", Count: 3})
 	a.Emit(event.StepOwned, event.Subject{Step: "s", Epoch: 1})
@@ -63,8 +63,8 @@
 		t.Errorf("%v\n%s", err, out)
 	}
 	out, err = runTool(t, "report", "--logs", dir, "--output", "json")
-	var told Report
-	if err != nil || json.Unmarshal([]byte(out), &told) != nil || len(told.Steps) != 1 || told.Steps[0].Owners != 1 {
+	var report Report
+	if err != nil || json.Unmarshal([]byte(out), &report) != nil || len(report.Steps) != 1 || report.Steps[0].Owners != 1 {
 		t.Errorf("%v\n%s", err, out)
 	}
 }
--- a/internal/ctl/settings.go
+++ b/internal/ctl/settings.go
@@ -10,7 +10,7 @@
 
 func (a *App) settingsCommands() {
 	group := a.kingpin.Command("settings", "Settings of the daemon.")
-	check := group.Command("check", "Check a settings file; every fault is shown at once.")
+	check := group.Command("check", "Check a settings file and show all errors in it.")
 	file := check.Arg("file", "The file.").Required().ExistingFile()
 	check.Action(func(*kingpin.ParseContext) error {
 		checked, err := settings.Load(*file)
--- a/internal/ctl/timeline.go
+++ b/internal/ctl/timeline.go
@@ -15,7 +15,7 @@
 	"dogwoodpond/internal/operator"
 )
 
-// eventsRoute is the path of a query of events.
+// eventsRoute returns the path of the call that queries events.
 func eventsRoute(q event.Query) string {
 	values := url.Values{}
 	add := func(name, value string) {
@@ -40,13 +40,13 @@
 }
 
 func (a *App) timelineCommand() {
-	command := a.kingpin.Command("timeline", "Show the events of all processes, each after its causes.")
+	command := a.kingpin.Command("timeline", "Show the events of all VMs, ordered so that each follows its causes.")
 	request := command.Flag("request", "Only this request.").String()
 	step := command.Flag("step", "Only this step.").String()
 	lease := command.Flag("lease", "Only this lease.").String()
 	account := command.Flag("account", "Only this client account.").String()
-	since := command.Flag("since", "Only the latest events, for example 5m.").Duration()
-	follow := command.Flag("follow", "Go on until Ctrl-C.").Bool()
+	since := command.Flag("since", "How far back the events go, for example 5m.").Duration()
+	follow := command.Flag("follow", "Print new events until Ctrl-C.").Bool()
 	logs := logsFlag(command)
 	command.Action(func(*kingpin.ParseContext) error {
 		query := event.Query{Request: *request, Step: *step, Lease: *lease, Account: *account}
@@ -56,16 +56,16 @@
 		if *follow {
 			return a.follow(query)
 		}
-		ask, err := a.source(*logs)
+		queryEvents, err := a.eventSource(*logs)
 		if err != nil {
 			return err
 		}
-		return a.timeline(query, ask)
+		return a.timeline(query, queryEvents)
 	})
 }
 
-func (a *App) timeline(query event.Query, ask source) error {
-	answer, err := ask(query)
+func (a *App) timeline(query event.Query, queryEvents eventSource) error {
+	answer, err := queryEvents(query)
 	if err != nil {
 		return err
 	}
@@ -80,11 +80,11 @@
 }
 
 func eventRow(w io.Writer, e event.Record) {
-	row(w, clock(stampTime(e.Stamp)), e.Stamp, e.VM, e.Number, e.Name, describe(e.Subject))
+	row(w, formatTime(stampTime(e.Stamp)), e.Stamp, e.VM, e.Number, e.Name, formatSubject(e.Subject))
 }
 
-// missingLines name the VMs whose events lack, so that nobody takes their
-// silence for proof that nothing happened there.
+// missingLines returns a line for each VM that did not answer. Without it a VM without
+// events in the output would look like one where nothing happened.
 func missingLines(missing []string) []string {
 	var lines []string
 	for _, vm := range missing {
@@ -94,105 +94,106 @@
 }
 
 const (
-	followPeriod = time.Second
-	// followOverlap is read again at each turn, since an event of another VM
-	// may come in after later ones.
+	followInterval = time.Second
+	// followOverlap is the time before the newest event that is queried again at each
+	// poll, since an event of one VM may arrive after later events of other VMs.
 	followOverlap = 5 * time.Second
 )
 
-// follow prints events as they come. It never returns but by a failure.
+// follow polls for events and prints new ones. It returns only on an error.
 func (a *App) follow(query event.Query) error {
-	line := newFollower()
+	printed := newFollower()
 	for {
-		answer, err := a.eventsOfVMs(query)
+		answer, err := a.eventsFromVMs(query)
 		if err != nil {
 			return err
 		}
-		for _, e := range line.fresh(answer.Events) {
-			if err := a.followed(e); err != nil {
+		for _, e := range printed.unseen(answer.Events) {
+			if err := a.printEvent(e); err != nil {
 				return err
 			}
 		}
-		for _, vm := range line.lost(answer.Missing) {
+		for _, vm := range printed.newlyMissing(answer.Missing) {
 			a.note("%s", missingLines([]string{vm})[0])
 		}
-		query.After = line.after(query.After)
-		time.Sleep(followPeriod)
+		query.After = printed.after(query.After)
+		time.Sleep(followInterval)
 	}
 }
 
-// followed prints one event: a row for people, or one line of JSON.
-func (a *App) followed(e event.Record) error {
+// printEvent prints one event: a row for people, or one line of JSON.
+func (a *App) printEvent(e event.Record) error {
 	if *a.output == outputJSON {
 		return outputFailure(json.NewEncoder(a.out).Encode(e))
 	}
 	return a.show(e, func(w io.Writer) { eventRow(w, e) })
 }
 
-// mark tells one event from all others.
-type mark struct {
+// eventID identifies an event.
+type eventID struct {
 	vm    string
 	stamp event.Stamp
 }
 
-// follower remembers which events were printed.
+// follower records which events were printed and which VMs were reported as missing.
 type follower struct {
-	seen    map[mark]bool
+	seen    map[eventID]bool
 	missing map[string]bool
 	newest  event.Stamp
 }
 
 func newFollower() *follower {
-	return &follower{seen: map[mark]bool{}, missing: map[string]bool{}}
+	return &follower{seen: map[eventID]bool{}, missing: map[string]bool{}}
 }
 
-// fresh returns the events that were not returned before.
-func (f *follower) fresh(events []event.Record) []event.Record {
-	var fresh []event.Record
+// unseen returns the events that no earlier call has returned.
+func (f *follower) unseen(events []event.Record) []event.Record {
+	var unseen []event.Record
 	for _, e := range events {
-		m := mark{vm: e.VM, stamp: e.Stamp}
-		if f.seen[m] {
+		id := eventID{vm: e.VM, stamp: e.Stamp}
+		if f.seen[id] {
 			continue
 		}
-		f.seen[m] = true
-		fresh = append(fresh, e)
+		f.seen[id] = true
+		unseen = append(unseen, e)
 		if f.newest.Before(e.Stamp) {
 			f.newest = e.Stamp
 		}
 	}
-	return fresh
+	return unseen
 }
 
-// lost returns the VMs that are missing now and were not before.
-func (f *follower) lost(missing []string) []string {
+// newlyMissing returns the VMs that are missing now and were not at the previous call.
+func (f *follower) newlyMissing(missing []string) []string {
 	now := map[string]bool{}
-	var lost []string
+	var newlyMissing []string
 	for _, vm := range missing {
 		now[vm] = true
 		if !f.missing[vm] {
-			lost = append(lost, vm)
+			newlyMissing = append(newlyMissing, vm)
 		}
 	}
 	f.missing = now
-	return lost
+	return newlyMissing
 }
 
-// after returns where the next turn starts and forgets what lies before it.
+// after returns the stamp at which the next query starts, which is not before start, and
+// drops the IDs of older events.
 func (f *follower) after(start event.Stamp) event.Stamp {
 	next := event.Stamp{WallMicros: f.newest.WallMicros - followOverlap.Microseconds()}
 	if next.Before(start) {
 		return start
 	}
-	for m := range f.seen {
-		if m.stamp.Before(next) {
-			delete(f.seen, m)
+	for id := range f.seen {
+		if id.stamp.Before(next) {
+			delete(f.seen, id)
 		}
 	}
 	return next
 }
 
-// describe shows the non-empty fields of a subject as name=value.
-func describe(s event.Subject) string {
+// formatSubject formats the non-empty fields of a subject as name=value.
+func formatSubject(s event.Subject) string {
 	var parts []string
 	text := func(name, value string) {
 		if value != "" {
