--- a/cmd/dogwoodpond-standin/main.go
+++ b/cmd/dogwoodpond-standin/main.go
@@ -1,4 +1,5 @@
-// Command dogwoodpond-standin runs the stand-ins of tests and the quick start.
+// Command dogwoodpond-standin runs stand-ins of the platform, engines and services
+// for tests and the quick start.
 package main
 
 import (
--- a/cmd/dogwoodpondctl/main.go
+++ b/cmd/dogwoodpondctl/main.go
@@ -1,4 +1,4 @@
-// Command dogwoodpondctl is the operators' tool.
+// Command dogwoodpondctl is the operators' command-line tool.
 package main
 
 import (
--- a/cmd/dogwoodpondd/main.go
+++ b/cmd/dogwoodpondd/main.go
@@ -1,7 +1,6 @@
-// Command dogwoodpondd runs on every entry VM. It serves callers, operators and
-// the other VMs until it gets SIGTERM or SIGINT, and then drains. On the users'
-// platform it takes the settings file that the platform names; elsewhere one is
-// given by a flag.
+// Command dogwoodpondd is the daemon of an entry VM. It serves callers, operators and
+// the other VMs until it receives SIGTERM or SIGINT, and then drains. "host" reads the
+// settings file that the users' platform names; "serve" reads the one given by --settings.
 package main
 
 import (
@@ -20,12 +19,12 @@
 
 func main() {
 	app := kingpin.New("dogwoodpondd", "The daemon of an entry VM.")
-	own := app.Command("serve", "Serve by own settings and contracts.").Default()
-	path := own.Flag("settings", "The JSON settings file of this VM.").Required().String()
-	hosted := app.Command("host", "Serve on the users' platform, by its settings file.")
+	serve := app.Command("serve", "Serve with a settings file of this VM; contracts are edited with dogwoodpondctl.").Default()
+	path := serve.Flag("settings", "The JSON settings file of this VM.").Required().String()
+	hosted := app.Command("host", "Serve on the users' platform, with the settings file that the platform names.")
 	var err error
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
-	case own.FullCommand():
+	case serve.FullCommand():
 		err = run(*path)
 	case hosted.FullCommand():
 		err = host()
--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -1,5 +1,5 @@
-// Package doccheck helps tests to hold pages equal to the code. A page marks a
-// section by the lines "<!-- begin NAME -->" and "<!-- end NAME -->".
+// Package doccheck lets tests compare documentation pages with the code. A section of a
+// page begins with "<!-- begin NAME -->" on a line and ends with "<!-- end NAME -->".
 package doccheck
 
 import (
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// UpdateVariable is the environment variable that makes Section write the page
-// instead of comparing; "make docs" sets it.
+// UpdateVariable is the environment variable that makes Section update a page that
+// differs instead of failing the test; "make docs" sets it.
 const UpdateVariable = "DOGWOODPOND_UPDATE_DOCS"
 
-// Path returns the path of a file named from the repository's root.
+// Path returns the path of a file, given relative to the root of the repository.
 func Path(name string) string {
 	_, self, _, _ := runtime.Caller(0)
 	return filepath.Join(filepath.Dir(self), "..", "..", name)
 }
 
-// Read returns the text of a page of the repository.
+// Read returns the text of a page, named as for Path.
 func Read(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(Path(name))
@@ -32,7 +32,7 @@
 	return string(text)
 }
 
-// Section fails the test unless the page's section holds exactly wanted.
+// Section fails the test unless the text of the page's section equals wanted.
 func Section(t *testing.T, page, section, wanted string) {
 	t.Helper()
 	before, got, after := split(t, page, section)
@@ -40,7 +40,7 @@
 		return
 	}
 	if os.Getenv(UpdateVariable) == "" {
-		t.Errorf("%s, section %s, is not what the code says; run 'make docs' and commit the result.\nThe page has:\n%s\nThe code says:\n%s", page, section, got, wanted)
+		t.Errorf("%s, section %s, differs from the code; run 'make docs' and commit the result.\nThe page has:\n%s\nThe code has:\n%s", page, section, got, wanted)
 		return
 	}
 	if err := os.WriteFile(Path(page), []byte(before+wanted+after), 0o644); err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Column returns the cells of one column, counted from 0, of the table in a
-// page's section, without the header and without backquotes.
+// Column returns the cells of a column of the table in a page's section, without the
+// heading and without backquotes. Columns are counted from 0.
 func Column(t *testing.T, page, section string, column int) []string {
 	t.Helper()
 	_, text, _ := split(t, page, section)
@@ -64,11 +64,11 @@
 	return cells
 }
 
-// call matches a method and a path, up to a query.
+// call matches an HTTP method and a path without its query.
 var call = regexp.MustCompile("(GET|PUT|POST|DELETE) (/[^ ?`]*)")
 
-// Calls returns the calls, as "METHOD /path", that the first column of the
-// table in a page's section names, sorted and each once.
+// Calls returns the calls in the first column of the table in a page's section, as
+// "METHOD /path", sorted and without duplicates.
 func Calls(t *testing.T, page, section string) []string {
 	t.Helper()
 	var calls []string
@@ -79,9 +79,12 @@
 	return slices.Compact(calls)
 }
 
-// headerLines are the heading of a Markdown table and the line under it.
+// headerLines is the number of lines of a Markdown table before its first row: the
+// heading and the delimiter.
 const headerLines = 2
 
+// split returns the text of a page before, inside and after a section; the markers of the
+// section are in before and after.
 func split(t *testing.T, page, section string) (before, inside, after string) {
 	t.Helper()
 	text, err := os.ReadFile(Path(page))
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// A page whose table is read wrongly would pass whatever the code says.
-func TestColumnOfAPage(t *testing.T) {
+// Guards against Column misreading a table, which would make comparisons of pages with the
+// code meaningless.
+func TestColumnReturnsCellsWithoutHeadingAndQuotes(t *testing.T) {
 	codes := Column(t, "docs/API.md", "codes", 0)
 	if !slices.Contains(codes, "key_withdrawn") || slices.Contains(codes, "code") {
 		t.Errorf("the first column is %v", codes)
--- a/internal/doccheck/pages_test.go
+++ b/internal/doccheck/pages_test.go
@@ -20,8 +20,8 @@
 
 var link = regexp.MustCompile(`\]\(([^)#:]+)\)`)
 
-// A link to a page that was moved leads a newcomer nowhere.
-func TestLinksOfPagesLeadToFiles(t *testing.T) {
+// Guards against links to files that were moved or deleted.
+func TestLinksOfPagesPointToFiles(t *testing.T) {
 	pages := []string{"README.md", "CONTRIBUTING.md"}
 	for _, pattern := range []string{"docs/*.md", "docs/design/*.md"} {
 		found, err := filepath.Glob(Path(pattern))
@@ -35,7 +35,7 @@
 	for _, page := range pages {
 		for _, target := range link.FindAllStringSubmatch(read(t, page), -1) {
 			if _, err := os.Stat(Path(filepath.Join(filepath.Dir(page), target[1]))); err != nil {
-				t.Errorf("%s links to %s, which is not there", page, target[1])
+				t.Errorf("%s links to %s, which does not exist", page, target[1])
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 
 var required = regexp.MustCompile(`(?m)^\t(\S+) v\S+$`)
 
-// A library that stands on no page was taken in without anyone saying why.
+// Guards against a library whose choice is not explained on the page of libraries.
 func TestLibrariesPageListsAllDirectRequirements(t *testing.T) {
 	page := read(t, "docs/LIBRARIES.md")
 	for _, found := range required.FindAllStringSubmatch(read(t, "go.mod"), -1) {
