--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -32,7 +32,8 @@
 	return string(text)
 }
 
-// Section fails the test unless the text of the page's section equals wanted.
+// Section fails the test unless the text of the page's section equals wanted. With
+// UpdateVariable set it updates the page instead.
 func Section(t *testing.T, page, section, wanted string) {
 	t.Helper()
 	before, got, after := split(t, page, section)
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -44,7 +44,7 @@
 	// VMs has the VMs for which the time is known.
 	VMs []VMInForce `json:"vms"`
 	// NotKnown names the VMs that did not answer, that started after the edit, or whose
-	// event buffer no longer contains the event.
+	// ring buffer no longer contains the event.
 	NotKnown []string `json:"notKnown"`
 }
 
@@ -247,8 +247,8 @@
 
 // firstApplied returns when a VM first had a revision in force, and whether that is
 // known. It is not known if the VM's oldest retained event names a later revision: the VM
-// may have applied the revision long before, with an event that its buffer has dropped or
-// that was lost in a restart.
+// may have applied the revision long before, with an event that its ring buffer has
+// dropped or that was lost in a restart.
 func firstApplied(applied []appliedRevision, revision contract.Revision) (time.Time, bool) {
 	for i, a := range applied {
 		if a.revision < revision {
