--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -24,8 +24,8 @@
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fleetview"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -53,7 +53,7 @@
 // harness is an operators' API over an in-memory store.
 type harness struct {
 	address string
-	tables  *memory.Tables
+	tables  *memtables.Tables
 	fleet   *fakeFleet
 	// loseAnswers is the number of next edits that take effect but are not answered.
 	loseAnswers atomic.Int32
@@ -62,7 +62,7 @@
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	events := event.NewRecorder("vm-1", 256, event.NewClock(time.Now), zap.NewNop())
-	h := &harness{tables: memory.NewTables(), fleet: &fakeFleet{events: events}}
+	h := &harness{tables: memtables.NewTables(), fleet: &fakeFleet{events: events}}
 	rows := fleetview.NewReader(h.tables, testWindow)
 	server := operator.NewServer(operator.Config{
 		VM:          "vm-1",
@@ -70,7 +70,7 @@
 		View:        contract.NewView(),
 		Editor:      config.NewEditor(h.tables, time.Now, events),
 		Fleet:       h.fleet,
-		Upstreams:   func() []platform.Upstream { return nil },
+		Upstreams:   func() []platformapi.Upstream { return nil },
 		Leases:      rows,
 		Steps:       rows,
 		Usage:       rows,
@@ -296,7 +296,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		txn := platform.Txn{Nonce: key, Preconditions: []platform.Precondition{{Key: key}}, Writes: []platform.Write{{Key: key, Value: text}}}
+		txn := platformapi.Txn{Nonce: key, Preconditions: []platformapi.Precondition{{Key: key}}, Writes: []platformapi.Write{{Key: key, Value: text}}}
 		if err := h.tables.Commit(context.Background(), txn); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,7 +10,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Lease is a lease and its holder.
@@ -46,20 +46,20 @@
 // with *fault.StoreUnavailable.
 type Usage interface {
 	// Reports lists the reports of the usage window that contains the time at.
-	Reports(ctx context.Context, at int64) ([]platform.UsageReport, error)
+	Reports(ctx context.Context, at int64) ([]platformapi.UsageReport, error)
 	// ReportsSince lists the reports of the usage window that contains the time from,
 	// and of all later windows.
-	ReportsSince(ctx context.Context, from int64) ([]platform.UsageReport, error)
+	ReportsSince(ctx context.Context, from int64) ([]platformapi.UsageReport, error)
 }
 
 // Status is the state of the fleet as the answering VM sees it.
 type Status struct {
-	VM        string              `json:"vm"`
-	Revision  contract.Revision   `json:"revision"`
-	VMs       []VMRevision        `json:"vms"`
-	Domains   []Domain            `json:"failureDomains"`
-	Leases    []Lease             `json:"leases"`
-	Upstreams []platform.Upstream `json:"upstreams"`
+	VM        string                 `json:"vm"`
+	Revision  contract.Revision      `json:"revision"`
+	VMs       []VMRevision           `json:"vms"`
+	Domains   []Domain               `json:"failureDomains"`
+	Leases    []Lease                `json:"leases"`
+	Upstreams []platformapi.Upstream `json:"upstreams"`
 	// LeasesUnknown is true if the leases could not be read from the store; Leases is
 	// then empty.
 	LeasesUnknown bool `json:"leasesUnknown"`
@@ -161,7 +161,7 @@
 	return answer, nil
 }
 
-func domainsOf(vms []VMRevision, upstreams []platform.Upstream) []Domain {
+func domainsOf(vms []VMRevision, upstreams []platformapi.Upstream) []Domain {
 	domains := []Domain{}
 	index := map[string]int{}
 	find := func(name string) *Domain {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"dogwoodpond/internal/doccheck"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 
 	"go.uber.org/zap"
 )
@@ -94,11 +94,11 @@
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (unavailableStore) ReportsSince(context.Context, int64) ([]platform.UsageReport, error) {
+func (unavailableStore) ReportsSince(context.Context, int64) ([]platformapi.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (unavailableStore) Reports(context.Context, int64) ([]platform.UsageReport, error) {
+func (unavailableStore) Reports(context.Context, int64) ([]platformapi.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
@@ -120,7 +120,7 @@
 		View:        contract.NewView(),
 		Editor:      h.editor,
 		Fleet:       h.fleet,
-		Upstreams:   func() []platform.Upstream { return nil },
+		Upstreams:   func() []platformapi.Upstream { return nil },
 		Leases:      unavailableStore{},
 		Steps:       unavailableStore{},
 		Usage:       unavailableStore{},
