--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -21,42 +21,44 @@
 
 const (
 	dialTimeout = time.Second
-	// maxEvent bounds one event of a stream in bytes.
-	maxEvent = 1 << 20
-	// DefaultOrderTimeout bounds one order; a take-over waits as long for engines
-	// that ignore fencing.
+	// maxEventBytes is the maximum size of one event of a stream.
+	maxEventBytes = 1 << 20
+	// DefaultOrderTimeout is the timeout of one order. A new holder of a lease waits
+	// at least as long before it sends an order to an engine that ignores fencing
+	// tokens, so that no order of the previous holder takes effect later.
 	DefaultOrderTimeout = 10 * time.Second
 	loadTimeout         = time.Second
-	// maxLoad bounds a load report in bytes.
-	maxLoad = 1 << 16
+	// maxLoadBytes is the maximum size of a load report.
+	maxLoadBytes = 1 << 16
 )
 
-// Patience bounds the silence of a stream. An engine that hangs keeps its
-// connection open, so without a bound its callers would wait for their whole
-// deadline although another engine could go on.
+// Patience holds the timeouts of a stream. An engine that hangs leaves its
+// connection open, so without timeouts its callers would wait until their deadline
+// although another engine could continue the stream.
 type Patience struct {
-	// First bounds the wait for the first chunk: an engine queues requests.
+	// First is the timeout for the first chunk. It includes the time in the engine's
+	// queue.
 	First time.Duration
-	// Next bounds the wait for each further chunk.
+	// Next is the timeout for each further chunk.
 	Next time.Duration
 }
 
-// DefaultPatience holds unless a client is built with another.
+// DefaultPatience is what NewClient uses.
 var DefaultPatience = Patience{First: 2 * time.Minute, Next: 20 * time.Second}
 
-// Client reaches model engines over HTTP. It is safe for concurrent use.
+// Client is an HTTP client of model engines. It is safe for concurrent use.
 type Client struct {
 	http     *http.Client
-	patience Patience
-	// orders sends what a lease guards; see package fence.
+	timeouts Patience
+	// orders sends orders, which are guarded by a lease; see package fence.
 	orders *http.Client
 }
 
-// NewClient returns a client with the default patience.
+// NewClient returns a client with the default stream timeouts.
 func NewClient() *Client { return NewPatientClient(DefaultPatience) }
 
-// NewPatientClient returns a client with its own bounds of a stream's silence.
-func NewPatientClient(patience Patience) *Client {
+// NewPatientClient returns a client with the given stream timeouts.
+func NewPatientClient(timeouts Patience) *Client {
 	return &Client{
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -64,65 +66,66 @@
 			IdleConnTimeout:     time.Minute,
 			DisableCompression:  true,
 		}},
-		patience: patience,
+		timeouts: timeouts,
 		orders:   fence.NewClient(dialTimeout, DefaultOrderTimeout),
 	}
 }
 
-// WithOrderTimeout returns the client with another bound of one order.
+// WithOrderTimeout returns a copy of the client with another timeout of one order.
 func (c *Client) WithOrderTimeout(timeout time.Duration) *Client {
 	changed := *c
 	changed.orders = fence.NewClient(dialTimeout, timeout)
 	return &changed
 }
 
-// Stream runs one completion at the engine's address and hands each chunk to
-// sink in the order of the stream. It returns nil only after the terminal
-// event. Else it fails with *fault.UpstreamFailed, *fault.AnswerTruncated, or
-// sink's error. Each failure carries what is known about the run.
+// Stream runs one completion at the engine's address and calls sink for each chunk
+// in the order of the stream. It returns nil only after the terminal event.
+// Otherwise it fails with *fault.UpstreamFailed, *fault.AnswerTruncated or the
+// error of sink. Each error states whether the engine executed the request; see
+// fault.WithExecution.
 func (c *Client) Stream(ctx context.Context, address string, request CompletionRequest, sink func(CompletionChunk) error) error {
 	request.Stream = true
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(c.patience.First, cancel)
-	defer silence.Stop()
+	idleTimer := time.AfterFunc(c.timeouts.First, cancel)
+	defer idleTimer.Stop()
 	response, err := c.post(ctx, c.http, address+PathCompletions, request.RequestID, request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return refusedStream(address, response)
+		return refusalError(address, response)
 	}
-	heard := false
+	received := false
 	err = readStream(address, request.RequestID, response.Body, func(chunk CompletionChunk) error {
-		heard = true
-		silence.Reset(c.patience.Next)
+		received = true
+		idleTimer.Reset(c.timeouts.Next)
 		return sink(chunk)
 	})
-	if heard {
+	if received {
 		return fault.WithExecution(err, fault.Ran)
 	}
 	return fault.WithExecution(err, fault.Unknown)
 }
 
-func refusedStream(address string, response *http.Response) error {
+func refusalError(address string, response *http.Response) error {
 	execution := fault.Unknown
 	if response.StatusCode == StatusNotServed {
 		execution = fault.NotRun
 	}
-	return fault.WithExecution(failed(address, response.Status), execution)
+	return fault.WithExecution(upstreamFailed(address, response.Status), execution)
 }
 
-func failed(address, reason string) error {
+func upstreamFailed(address, reason string) error {
 	return errors.WithStack(&fault.UpstreamFailed{Upstream: address, Reason: reason})
 }
 
-// readStream reads the events of one stream. A stream can end early without
-// an error of the transport, when the engine's process dies; only the terminal
-// event tells that an answer is whole.
+// readStream reads the events of one stream. Only the terminal event shows that an
+// answer is complete: when the engine's process dies, the stream can end early
+// without a transport error.
 func readStream(address, requestID string, body io.Reader, sink func(CompletionChunk) error) error {
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return errors.WithStack(&fault.AnswerTruncated{Upstream: address})
 		}
@@ -140,42 +143,44 @@
 	return errors.WithStack(&fault.AnswerTruncated{Upstream: address})
 }
 
-// parseChunk reads one event. An event of another request would put another
-// caller's words into this answer; the engine repeats the request's ID in each.
+// parseChunk decodes one event. The engine repeats the request's ID in each event;
+// an event of another request is refused, because it would put another caller's text
+// into this answer.
 func parseChunk(address, requestID, data string) (CompletionChunk, error) {
 	var chunk CompletionChunk
 	if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-		return CompletionChunk{}, failed(address, "an event is not JSON")
+		return CompletionChunk{}, upstreamFailed(address, "an event is not JSON")
 	}
 	if chunk.ID != requestID || len(chunk.Choices) != 1 {
-		return CompletionChunk{}, failed(address, "an event of another request")
+		return CompletionChunk{}, upstreamFailed(address, "an event of another request")
 	}
 	return chunk, nil
 }
 
-// Load returns the engine's load report.
+// Load reads the engine's load report. It fails with *fault.UpstreamFailed.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathLoad, nil)
 	if err != nil {
-		return Load{}, failed(address, "address")
+		return Load{}, upstreamFailed(address, "address")
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return Load{}, failed(address, "no load report")
+		return Load{}, upstreamFailed(address, "no load report")
 	}
 	defer response.Body.Close()
 	var load Load
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxLoad)).Decode(&load); err != nil {
-		return Load{}, failed(address, "load report is not JSON")
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxLoadBytes)).Decode(&load); err != nil {
+		return Load{}, upstreamFailed(address, "load report is not JSON")
 	}
 	return load, nil
 }
 
-// Order gives an order. It fails with *fault.OrderFenced when the engine has
-// seen a newer epoch, and with *fault.UpstreamFailed when the outcome is not
-// known; then the order may be repeated with the same ID.
+// Order sends an order. It fails with *fault.OrderFenced if the engine has seen a
+// newer epoch, and with *fault.UpstreamFailed if the engine does not confirm the
+// order; then the outcome may be unknown, and the order may be sent again with the
+// same ID.
 func (c *Client) Order(ctx context.Context, address string, order Order) error {
 	response, err := c.post(ctx, c.orders, address+PathOrders, order.ID, order)
 	if err != nil {
@@ -188,12 +193,12 @@
 	case http.StatusPreconditionFailed:
 		return errors.WithStack(&fault.OrderFenced{Order: order.ID, Epoch: order.Epoch})
 	default:
-		return failed(address, response.Status)
+		return upstreamFailed(address, response.Status)
 	}
 }
 
-// post sends a body. Its failures are marked: before a connection was at hand
-// no byte can have gone out.
+// post sends a body as JSON. Its errors state whether the request was executed:
+// without a connection no byte was sent, so it was not; after that it is unknown.
 func (c *Client) post(ctx context.Context, client *http.Client, target, requestID string, body any) (*http.Response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -205,7 +210,7 @@
 	})
 	request, err := http.NewRequestWithContext(traced, http.MethodPost, "http://"+target, bytes.NewReader(text))
 	if err != nil {
-		return nil, fault.WithExecution(failed(target, "address"), fault.NotRun)
+		return nil, fault.WithExecution(upstreamFailed(target, "address"), fault.NotRun)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(HeaderRequestID, requestID)
@@ -217,7 +222,7 @@
 		return response, nil
 	}
 	if !connected.Load() {
-		return nil, fault.WithExecution(failed(target, "no connection"), fault.NotRun)
+		return nil, fault.WithExecution(upstreamFailed(target, "no connection"), fault.NotRun)
 	}
-	return nil, fault.WithExecution(failed(target, "no answer"), fault.Unknown)
+	return nil, fault.WithExecution(upstreamFailed(target, "no answer"), fault.Unknown)
 }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -7,8 +7,9 @@
 	"dogwoodpond/internal/fault"
 )
 
-// FuzzReadStream gives the reader bytes that an engine, or what stands in for it
-// after a mix-up of addresses, might send.
+// FuzzReadStream reads what an engine may send, and what another process may send
+// if addresses are mixed up. A stream must not pass as complete without its
+// terminal event, nor a chunk of another request as one of this.
 func FuzzReadStream(f *testing.F) {
 	const chunk = `data: {"id":"r1","choices":[{"offset":0,"tokens":["a"]}]}` + "\n\n"
 	for _, seed := range []string{
@@ -22,15 +23,15 @@
 		err := readStream("engine", "r1", strings.NewReader(text), func(c CompletionChunk) error {
 			chunks++
 			if c.ID != "r1" || len(c.Choices) != 1 {
-				t.Errorf("a wrong chunk passed: %+v", c)
+				t.Errorf("readStream delivered an invalid chunk: %+v", c)
 			}
 			return nil
 		})
 		if err == nil && !strings.Contains(text, DoneEvent) {
-			t.Errorf("%q without its terminal event passed for whole", text)
+			t.Errorf("stream %q has no terminal event, but readStream returned no error", text)
 		}
 		if err != nil && !fault.Is[*fault.AnswerTruncated](err) && !fault.Is[*fault.UpstreamFailed](err) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("stream %q: unexpected error: %v", text, err)
 		}
 	})
 }
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -1,5 +1,6 @@
-// Package engine is the client of model engines: streams with resume and
-// cancel, load reports and orders. The stand-in engine shares its wire types.
+// Package engine is the client of model engines: completion streams that can be
+// resumed and cancelled, load reports, and orders. The stand-in engine uses the same
+// wire types.
 package engine
 
 import "net/http"
@@ -14,18 +15,18 @@
 // Headers of a completions request.
 const (
 	HeaderRequestID = "X-Request-Id"
-	// HeaderTimeout gives what remains of the request's deadline in
-	// milliseconds, so that an engine need not finish what nobody waits for.
+	// HeaderTimeout is the time left until the request's deadline in milliseconds,
+	// so that an engine can stop a request that no caller waits for any more.
 	HeaderTimeout = "X-Request-Timeout-Ms"
 )
 
-// StatusNotServed refuses a completions request whose model or adapter the
-// engine does not serve. The protocol defines that nothing of it ran; no other
-// status says so.
+// StatusNotServed is the answer to a completions request whose model or adapter the
+// engine does not serve. The protocol guarantees that such a request was not executed;
+// no other status guarantees that.
 const StatusNotServed = http.StatusNotFound
 
-// CompletionRequest asks for a completions stream. It is built anew for each
-// attempt and never holds a caller's key.
+// CompletionRequest asks for a completions stream. Each attempt builds its own
+// request, which never contains a caller's key.
 type CompletionRequest struct {
 	RequestID string `json:"request_id"`
 	Model     string `json:"model"`
@@ -34,8 +35,7 @@
 	MaxTokens int    `json:"max_tokens"`
 	Seed      int64  `json:"seed"`
 	Stream    bool   `json:"stream"`
-	// Resume holds the tokens that earlier attempts produced; the engine goes
-	// on after them.
+	// Resume holds the tokens of earlier attempts; the engine continues after them.
 	Resume []string `json:"resume,omitempty"`
 }
 
@@ -45,9 +45,9 @@
 	ID      string             `json:"id"`
 	Model   string             `json:"model"`
 	Choices []CompletionChoice `json:"choices"`
-	// WeightVersion produced the tokens of this chunk.
+	// WeightVersion is the version of the weights that produced the tokens.
 	WeightVersion int64 `json:"weight_version"`
-	// Incarnation changes whenever the engine process restarts.
+	// Incarnation identifies one run of the engine process; it changes at a restart.
 	Incarnation string `json:"incarnation"`
 }
 
@@ -60,22 +60,22 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// DoneEvent is the data of the event that ends every whole stream.
+// DoneEvent is the data of the terminal event, which ends each complete stream.
 const DoneEvent = "[DONE]"
 
-// Load is an engine's load report. It lags behind.
+// Load is an engine's load report. It can be out of date when it is sent.
 type Load struct {
 	Running     int    `json:"running"`
 	Waiting     int    `json:"waiting"`
 	Incarnation string `json:"incarnation"`
-	// Model, Adapter, Role and WeightVersion tell what the engine serves now.
+	// Model, Adapter, Role and WeightVersion are what the engine serves now.
 	Model         string `json:"model"`
 	Adapter       string `json:"adapter,omitempty"`
 	Role          string `json:"role,omitempty"`
 	WeightVersion int64  `json:"weight_version"`
 }
 
-// OrderKind is what an order asks of an engine.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 // The kinds of orders to an engine.
@@ -84,11 +84,12 @@
 	OrderSetPool     OrderKind = "set_pool"
 )
 
-// Order changes what an engine serves. A repeat with the same ID has no
-// further effect.
+// Order changes what an engine serves. The engine executes an order once, also if it
+// is sent again with the same ID.
 type Order struct {
 	ID string `json:"id"`
-	// Epoch is the fencing number; engines that check it answer 412 to an old one.
+	// Epoch is the fencing token. Engines that check it answer 412 to an order with an
+	// older epoch than they have seen.
 	Epoch   uint64    `json:"epoch"`
 	Kind    OrderKind `json:"kind"`
 	Version int64     `json:"version,omitempty"`
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,5 +1,6 @@
-// Package service is the client of plain services. It builds each upstream
-// request anew and returns only whole answers.
+// Package service is the client of plain services, which answer each call with one
+// body. It builds each upstream request itself, without the caller's other headers,
+// and returns only complete answers.
 package service
 
 import (
@@ -23,44 +24,44 @@
 type Call struct {
 	RequestID string
 	Method    string
-	// Path starts with a slash. RawPath is its escaped form where the plain one
-	// does not tell them apart, as in url.URL.
+	// Path starts with a slash. RawPath is its escaped form, set if it differs from
+	// the default escaping of Path, as in url.URL.
 	Path    string
 	RawPath string
 	Query   url.Values
-	// ContentType and Accept are the caller's; nothing else of its header is
-	// passed on.
+	// ContentType and Accept are the caller's. No other header of the caller is
+	// forwarded.
 	ContentType string
 	Accept      string
 	Body        []byte
 }
 
-// Answer is a service's whole answer.
+// Answer is a service's complete answer.
 type Answer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"contentType"`
 	Body        []byte `json:"body"`
 }
 
-// maxAnswer bounds an answer in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes is the maximum size of an answer; a larger one counts as truncated.
+const maxAnswerBytes = 16 << 20
 
 // Headers of a call.
 const (
-	// HeaderRequestID names the request to the service. A service that repeats
-	// it in its answer lets the client notice crossed answers.
+	// HeaderRequestID identifies the request. If a service repeats it in its answer,
+	// the client detects an answer to another request.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderTimeout gives what remains of the call's deadline in milliseconds.
+	// HeaderTimeout is the time left until the call's deadline in milliseconds.
 	HeaderTimeout = "X-Request-Timeout-Ms"
 )
 
-// Client reaches plain services over HTTP. It is safe for concurrent use.
+// Client is an HTTP client of plain services. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a client. It follows no redirects and never repeats a
-// request.
+// NewClient returns a client that follows no redirects and never sends a request
+// twice.
 func NewClient() *Client {
 	return &Client{http: &http.Client{
 		Transport: &http.Transport{
@@ -73,9 +74,9 @@
 	}}
 }
 
-// Do makes the call at an address. It fails with *fault.UpstreamFailed or
-// *fault.AnswerTruncated; sent tells whether a byte of the request may have
-// gone out, and the failure is marked accordingly.
+// Do sends the call to the service at address. It fails with *fault.UpstreamFailed or
+// *fault.AnswerTruncated. sent reports whether any byte of the request may have been
+// sent; the execution stated by the error agrees with it (see fault.WithExecution).
 func (c *Client) Do(ctx context.Context, address string, call Call) (answer Answer, sent bool, err error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -83,21 +84,21 @@
 	})
 	request, err := newRequest(traced, address, call)
 	if err != nil {
-		return Answer{}, false, fault.WithExecution(failed(address, "address"), fault.NotRun)
+		return Answer{}, false, fault.WithExecution(upstreamFailed(address, "address"), fault.NotRun)
 	}
 	response, err := c.http.Do(request)
 	if err != nil && !connected.Load() {
-		return Answer{}, false, fault.WithExecution(failed(address, "no connection"), fault.NotRun)
+		return Answer{}, false, fault.WithExecution(upstreamFailed(address, "no connection"), fault.NotRun)
 	}
 	if err != nil {
-		return Answer{}, true, fault.WithExecution(failed(address, "no answer"), fault.Unknown)
+		return Answer{}, true, fault.WithExecution(upstreamFailed(address, "no answer"), fault.Unknown)
 	}
 	answer, err = readAnswer(address, call, response)
 	return answer, true, fault.WithExecution(err, fault.Unknown)
 }
 
-// newRequest builds the upstream's request anew, so that nothing of the
-// caller's header reaches the upstream but what is named here.
+// newRequest builds the upstream's request from scratch, so that the only headers
+// that reach the upstream are those set here.
 func newRequest(ctx context.Context, address string, call Call) (*http.Request, error) {
 	target := url.URL{Scheme: "http", Host: address, Path: call.Path, RawPath: call.RawPath, RawQuery: call.Query.Encode()}
 	request, err := http.NewRequestWithContext(ctx, call.Method, target.String(), bodyOf(call))
@@ -116,11 +117,11 @@
 	return request, nil
 }
 
-// bodyOf returns a body that the transport can't rewind, which keeps it from
-// sending the request a second time on its own when a kept connection turns out
-// to be closed: a call that may not be repeated would run twice, and a GET would
-// be repeated outside the retry budget. For the same reason the caller's
-// Idempotency-Key is not passed on: with it the transport would repeat a POST
+// bodyOf returns a body that the transport can't rewind. Otherwise the transport
+// would send the request again by itself when an idle connection turns out to be
+// closed: a call that must not be repeated could be executed twice, and a GET would
+// be retried outside the retry budget. For the same reason the caller's
+// Idempotency-Key is not forwarded: with it the transport would repeat a POST
 // without a body.
 func bodyOf(call Call) io.Reader {
 	if len(call.Body) == 0 && call.Method != http.MethodGet {
@@ -129,24 +130,25 @@
 	return io.NopCloser(bytes.NewReader(call.Body))
 }
 
-// readAnswer reads a whole answer. An answer that ends with its connection and
-// has neither a length nor chunks can't be told from a truncated one.
+// readAnswer reads a complete answer. An answer with neither a length nor chunked
+// encoding ends with its connection; it is refused, because it can't be distinguished
+// from a truncated one.
 func readAnswer(address string, call Call, response *http.Response) (Answer, error) {
 	defer func() { _ = response.Body.Close() }()
-	if echoed := response.Header.Get(HeaderRequestID); echoed != "" && echoed != call.RequestID {
-		return Answer{}, failed(address, "an answer to another request")
+	if echoedID := response.Header.Get(HeaderRequestID); echoedID != "" && echoedID != call.RequestID {
+		return Answer{}, upstreamFailed(address, "an answer to another request")
 	}
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
 		return Answer{}, errors.WithStack(&fault.AnswerTruncated{Upstream: address})
 	}
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
-	if err != nil || len(body) > maxAnswer {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes+1))
+	if err != nil || len(body) > maxAnswerBytes {
 		return Answer{}, errors.WithStack(&fault.AnswerTruncated{Upstream: address})
 	}
 	return Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-func failed(address, reason string) error {
+func upstreamFailed(address, reason string) error {
 	return errors.WithStack(&fault.UpstreamFailed{Upstream: address, Reason: reason})
 }
 
--- a/internal/upstream/directory.go
+++ b/internal/upstream/directory.go
@@ -1,5 +1,6 @@
-// Package upstream keeps what a VM knows of the upstreams: the platform's
-// lagging list, corrected by what the VM sees itself.
+// Package upstream holds what a VM knows about the upstreams: the platform's list,
+// which lags behind, the health that the VM derives from its own attempts, and the
+// load reports of engines.
 package upstream
 
 import (
@@ -8,7 +9,7 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Directory gives readers the known upstreams without a lock.
+// Directory holds the list of known upstreams. Readers take no lock.
 type Directory struct {
 	current atomic.Pointer[[]platform.Upstream]
 }
@@ -20,8 +21,8 @@
 	return d
 }
 
-// Load returns the known upstreams; the slice must not be changed.
+// Load returns the known upstreams. The caller must not change the slice.
 func (d *Directory) Load() []platform.Upstream { return *d.current.Load() }
 
-// Replace puts a new list in force.
+// Replace replaces the list of known upstreams.
 func (d *Directory) Replace(list []platform.Upstream) { d.current.Store(&list) }
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -8,55 +8,61 @@
 	"dogwoodpond/internal/event"
 )
 
-// Standing tells what work an upstream gets.
+// Standing is the health state of an upstream. It decides which requests the upstream
+// gets.
 type Standing int
 
-// The standings of an upstream.
+// The health states of an upstream.
 const (
-	// Healthy upstreams get work.
+	// Healthy upstreams get requests.
 	Healthy Standing = iota
-	// Probing upstreams were ejected and get one request at a time.
+	// Probing upstreams have finished their ejection and get one request, the probe.
 	Probing
-	// Ejected upstreams get none.
+	// Ejected upstreams get no requests. An upstream counts as ejected while its
+	// probe runs.
 	Ejected
 )
 
 const (
-	// failuresUntilEjected is how many failures in a row eject an upstream.
+	// failuresUntilEjected is the number of consecutive failures after which an
+	// upstream is ejected.
 	failuresUntilEjected = 3
-	// firstEjection is how long the first ejection lasts; each further one
-	// lasts twice as long, up to longestEjection.
-	firstEjection   = 2 * time.Second
-	longestEjection = time.Minute
-	// slowFactor times the median pace of the pool makes an upstream slow.
+	// minEjectionDuration is the duration of the first ejection. Each further one
+	// lasts twice as long, up to maxEjectionDuration.
+	minEjectionDuration = 2 * time.Second
+	maxEjectionDuration = time.Minute
+	// slowFactor is the multiple of the median token time of the other upstreams in
+	// the pool above which an upstream is slow.
 	slowFactor = 3
-	// paceSamples is how many answers a pace needs before it counts.
-	paceSamples = 8
-	// paceWeight is the weight of the latest answer in the pace.
-	paceWeight = 0.1
-	// ejectableShare is the largest part of a pool that may be ejected, as one
-	// in so many. A fault that all upstreams seem to have is likely to be the
-	// network's or the work's own, and ejecting all of them would turn slow
-	// service into none.
-	ejectableShare = 2
+	// minTokenTimeSamples is the number of answers that an average token time needs
+	// before it is used.
+	minTokenTimeSamples = 8
+	// tokenTimeSmoothing is the weight of the latest answer in the average token time.
+	tokenTimeSmoothing = 0.1
+	// minPoolSizePerEjection limits ejections to half of a pool: a pool needs this many
+	// upstreams for each that is ejected. A fault that all upstreams seem to have is
+	// likely to be a fault of the network or of the requests, and to eject all of them
+	// would turn slow service into no service.
+	minPoolSizePerEjection = 2
 )
 
-// record is what a VM has seen of one upstream.
+// record is what a VM knows about the health of one upstream.
 type record struct {
+	// failures counts consecutive failures.
 	failures int
-	// ejections counts the ejections since the upstream was last good.
-	ejections int
-	until     time.Time
-	out       bool
-	probing   bool
-	// pace is the smoothed time for each token.
-	pace    time.Duration
-	samples int
-}
-
-// Health keeps what this VM has seen of the upstreams' answers and ejects
-// those that fail or are slow. The time comes in as an argument. It is safe
-// for concurrent use.
+	// ejections counts the ejections since the upstream was last healthy.
+	ejections    int
+	ejectedUntil time.Time
+	ejected      bool
+	probing      bool
+	// tokenTime is the moving average of the time per token, over samples answers.
+	tokenTime time.Duration
+	samples   int
+}
+
+// Health ejects upstreams that fail or are slow, by the outcomes of this VM's
+// attempts. Its methods get the current time as an argument. It is safe for concurrent
+// use.
 type Health struct {
 	events *event.Recorder
 
@@ -64,36 +70,38 @@
 	records map[string]*record
 }
 
-// NewHealth returns a health book that has seen nothing.
+// NewHealth returns a Health to which all upstreams are healthy.
 func NewHealth(events *event.Recorder) *Health {
 	return &Health{events: events, records: make(map[string]*record)}
 }
 
-// Standing returns the standing of an upstream.
+// Standing returns the health state of an upstream.
 func (h *Health) Standing(id string, now time.Time) Standing {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := h.records[id]
 	switch {
-	case !ok || !r.out:
+	case !ok || !r.ejected:
 		return Healthy
-	case now.Before(r.until) || r.probing:
+	case now.Before(r.ejectedUntil) || r.probing:
 		return Ejected
 	default:
 		return Probing
 	}
 }
 
-// Probe marks that an ejected upstream gets its one request.
+// Probe records that the probe of an ejected upstream starts. It has no effect on a
+// healthy upstream.
 func (h *Health) Probe(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if r, ok := h.records[id]; ok && r.out {
+	if r, ok := h.records[id]; ok && r.ejected {
 		r.probing = true
 	}
 }
 
-// Abandon ends a probe that told nothing, such as one that its caller gave up.
+// Abandon ends a probe without a result, such as one that its caller cancelled. The
+// upstream can be probed again.
 func (h *Health) Abandon(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,53 +110,55 @@
 	}
 }
 
-// Succeeded notes a whole answer. pace is the time for each token, 0 when
-// unknown. peers are the upstreams of the pool.
-func (h *Health) Succeeded(id string, peers []string, pace time.Duration, now time.Time) {
+// Succeeded records a complete answer. tokenTime is the time per token, 0 if unknown.
+// pool lists the IDs of the upstreams in the pool.
+func (h *Health) Succeeded(id string, pool []string, tokenTime time.Duration, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(id)
-	if r.out {
+	if r.ejected {
 		if r.probing {
-			h.judgeProbe(r, id, peers, pace, now)
+			h.completeProbe(r, id, pool, tokenTime, now)
 		}
 		return
 	}
 	r.failures = 0
-	r.observe(pace)
-	if h.slow(r.pace, r.samples, id, peers) && h.mayEject(peers) {
+	r.observeTokenTime(tokenTime)
+	if h.isSlow(r.tokenTime, r.samples, id, pool) && h.canEject(pool) {
 		h.eject(r, id, now, "slow")
 	}
 }
 
-// judgeProbe restores an upstream unless the probe was as slow as before.
-func (h *Health) judgeProbe(r *record, id string, peers []string, pace time.Duration, now time.Time) {
+// completeProbe makes an ejected upstream healthy again, or extends its ejection if the
+// probe was slow.
+func (h *Health) completeProbe(r *record, id string, pool []string, tokenTime time.Duration, now time.Time) {
 	r.probing = false
-	if h.slow(pace, paceSamples, id, peers) {
+	if h.isSlow(tokenTime, minTokenTimeSamples, id, pool) {
 		h.eject(r, id, now, "slow")
 		return
 	}
-	r.out = false
+	r.ejected = false
 	r.failures = 0
 	r.ejections = 0
-	r.pace, r.samples = 0, 0
+	r.tokenTime, r.samples = 0, 0
 	h.events.Emit(event.UpstreamRestored, event.Subject{Upstream: id})
 }
 
-// Failed notes an attempt for which the upstream is to blame.
-func (h *Health) Failed(id string, peers []string, now time.Time) {
+// Failed records an attempt that failed by a fault of the upstream. pool lists the IDs
+// of the upstreams in the pool.
+func (h *Health) Failed(id string, pool []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(id)
 	r.failures++
-	if r.out {
+	if r.ejected {
 		if r.probing {
 			r.probing = false
 			h.eject(r, id, now, "failing")
 		}
 		return
 	}
-	if r.failures >= failuresUntilEjected && h.mayEject(peers) {
+	if r.failures >= failuresUntilEjected && h.canEject(pool) {
 		h.eject(r, id, now, "failing")
 	}
 }
@@ -162,61 +172,64 @@
 	return r
 }
 
-func (r *record) observe(pace time.Duration) {
-	if pace <= 0 {
+func (r *record) observeTokenTime(tokenTime time.Duration) {
+	if tokenTime <= 0 {
 		return
 	}
 	r.samples++
 	if r.samples == 1 {
-		r.pace = pace
+		r.tokenTime = tokenTime
 		return
 	}
-	r.pace += time.Duration(paceWeight * float64(pace-r.pace))
+	r.tokenTime += time.Duration(tokenTimeSmoothing * float64(tokenTime-r.tokenTime))
 }
 
-// slow reports whether a pace is far above the median of the other upstreams.
-func (h *Health) slow(pace time.Duration, samples int, id string, peers []string) bool {
-	if samples < paceSamples || pace <= 0 {
+// isSlow reports whether a token time is more than slowFactor times the median of the
+// healthy upstreams in the pool other than id. Without such an upstream, or with too
+// few samples, it reports false.
+func (h *Health) isSlow(tokenTime time.Duration, samples int, id string, pool []string) bool {
+	if samples < minTokenTimeSamples || tokenTime <= 0 {
 		return false
 	}
-	var others []time.Duration
-	for _, peer := range peers {
-		r, ok := h.records[peer]
-		if ok && peer != id && !r.out && r.samples >= paceSamples {
-			others = append(others, r.pace)
+	var poolTimes []time.Duration
+	for _, other := range pool {
+		r, ok := h.records[other]
+		if ok && other != id && !r.ejected && r.samples >= minTokenTimeSamples {
+			poolTimes = append(poolTimes, r.tokenTime)
 		}
 	}
-	if len(others) == 0 {
+	if len(poolTimes) == 0 {
 		return false
 	}
-	slices.Sort(others)
-	return pace > slowFactor*others[len(others)/2]
+	slices.Sort(poolTimes)
+	return tokenTime > slowFactor*poolTimes[len(poolTimes)/2]
 }
 
-func (h *Health) mayEject(peers []string) bool {
-	out := 1
-	for _, peer := range peers {
-		if r, ok := h.records[peer]; ok && r.out {
-			out++
+// canEject reports whether one more upstream of the pool may be ejected.
+func (h *Health) canEject(pool []string) bool {
+	ejected := 1
+	for _, other := range pool {
+		if r, ok := h.records[other]; ok && r.ejected {
+			ejected++
 		}
 	}
-	return out*ejectableShare <= len(peers)
+	return ejected*minPoolSizePerEjection <= len(pool)
 }
 
 func (h *Health) eject(r *record, id string, now time.Time, reason string) {
-	duration := min(longestEjection, firstEjection<<min(r.ejections, 8))
-	first := !r.out
+	duration := min(maxEjectionDuration, minEjectionDuration<<min(r.ejections, 8))
+	newlyEjected := !r.ejected
 	r.ejections++
-	r.out = true
+	r.ejected = true
 	r.failures = 0
-	r.until = now.Add(duration)
-	if first {
+	r.ejectedUntil = now.Add(duration)
+	if newlyEjected {
 		h.events.Emit(event.UpstreamEjected, event.Subject{Upstream: id, Detail: reason})
 	}
 }
 
-// Keep forgets all upstreams but those named, so that the book does not grow
-// with every upstream that ever was.
+// Keep removes the records of all upstreams that are not in ids, so that records of
+// upstreams that no longer exist do not accumulate.
 func (h *Health) Keep(ids map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,13 +240,13 @@
 	}
 }
 
-// Out returns how many upstreams are ejected.
+// Out returns the number of ejected upstreams.
 func (h *Health) Out() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for _, r := range h.records {
-		if r.out {
+		if r.ejected {
 			n++
 		}
 	}
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -10,33 +10,35 @@
 	"dogwoodpond/internal/platform"
 )
 
-// Report is an engine's load report and when it came.
+// Report is an engine's load report and the time when it was received.
 type Report struct {
 	engine.Load
 	At time.Time
-	// Misses counts the asks in a row that got no answer.
+	// Misses counts consecutive polls that failed.
 	Misses int
 }
 
-// trustTime is the time over which a report loses two thirds of its weight.
-const trustTime = 2 * time.Second
+// weightDecayTime is the age at which a report has lost two thirds of its weight.
+const weightDecayTime = 2 * time.Second
 
-// Weight returns how much a report still says at a time, from 1 down to 0.
+// Weight returns the factor, from 1 down to 0, with which a report of this age is to be
+// taken into account. It is 0 if the engine has not reported yet, or if the time of the
+// report is in the future after a jump of the clock.
 func (r Report) Weight(now time.Time) float64 {
 	age := now.Sub(r.At)
 	if r.At.IsZero() || age < 0 {
 		return 0
 	}
-	return float64(trustTime) / float64(trustTime+2*age)
+	return float64(weightDecayTime) / float64(weightDecayTime+2*age)
 }
 
-// Loads keeps the latest load reports. It is safe for concurrent use; readers
-// take no lock.
+// Loads holds the latest load report of each engine. It is safe for concurrent use;
+// readers take no lock.
 type Loads struct {
 	reports sync.Map
 }
 
-// NewLoads returns an empty book of reports.
+// NewLoads returns a Loads without reports.
 func NewLoads() *Loads { return &Loads{} }
 
 // Get returns the latest report of an upstream, if any.
@@ -48,17 +50,17 @@
 	return value.(Report), true
 }
 
-// Set keeps a report.
+// Set stores a report.
 func (l *Loads) Set(id string, r Report) { l.reports.Store(id, r) }
 
-// missed counts an ask without an answer; the last report stays and ages.
-func (l *Loads) missed(id string) {
+// noteMiss counts a failed poll. The latest report stays and keeps its time.
+func (l *Loads) noteMiss(id string) {
 	r, _ := l.Get(id)
 	r.Misses++
 	l.Set(id, r)
 }
 
-// Keep forgets all upstreams but those named.
+// Keep removes the reports of all upstreams that are not in ids.
 func (l *Loads) Keep(ids map[string]bool) {
 	l.reports.Range(func(key, _ any) bool {
 		if !ids[key.(string)] {
@@ -68,35 +70,35 @@
 	})
 }
 
-// LoadReader asks an engine for its load.
+// LoadReader reads the load report of an engine.
 type LoadReader interface {
 	Load(ctx context.Context, address string) (engine.Load, error)
 }
 
-// Poller keeps the reports of the watched engines current.
+// Poller polls the load reports of engines.
 type Poller struct {
-	reader LoadReader
-	loads  *Loads
-	period time.Duration
-	// watched returns the engines that this VM may send work to. It is few
-	// however large the fleet is.
-	watched func() []platform.Upstream
+	reader   LoadReader
+	loads    *Loads
+	interval time.Duration
+	// engines returns the engines to poll: those to which this VM may send requests.
+	// Their number does not grow with the fleet.
+	engines func() []platform.Upstream
 }
 
-// NewPoller returns a poller that asks each watched engine once a period.
-func NewPoller(reader LoadReader, loads *Loads, period time.Duration, watched func() []platform.Upstream) *Poller {
-	return &Poller{reader: reader, loads: loads, period: period, watched: watched}
+// NewPoller returns a poller that polls each engine once per interval.
+func NewPoller(reader LoadReader, loads *Loads, interval time.Duration, engines func() []platform.Upstream) *Poller {
+	return &Poller{reader: reader, loads: loads, interval: interval, engines: engines}
 }
 
-// Run polls until ctx ends. The asks of one round are spread over the period.
+// Run polls until ctx ends. The polls of one round are spread randomly over the interval.
 func (p *Poller) Run(ctx context.Context) {
-	ticker := time.NewTicker(p.period)
+	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
-	var asks sync.WaitGroup
-	defer asks.Wait()
+	var polls sync.WaitGroup
+	defer polls.Wait()
 	for {
-		for _, u := range p.watched() {
-			asks.Go(func() { p.ask(ctx, u) })
+		for _, u := range p.engines() {
+			polls.Go(func() { p.poll(ctx, u) })
 		}
 		select {
 		case <-ctx.Done():
@@ -106,15 +108,15 @@
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, u platform.Upstream) {
+func (p *Poller) poll(ctx context.Context, u platform.Upstream) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(rand.N(p.period)):
+	case <-time.After(rand.N(p.interval)):
 	}
 	load, err := p.reader.Load(ctx, u.Address)
 	if err != nil {
-		p.loads.missed(u.ID)
+		p.loads.noteMiss(u.ID)
 		return
 	}
 	p.loads.Set(u.ID, Report{Load: load, At: time.Now()})
--- a/internal/upstream/loads_test.go
+++ b/internal/upstream/loads_test.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/platform"
 )
 
-// flakyEngine answers load polls until it is told not to.
+// flakyEngine answers load polls unless down is set.
 type flakyEngine struct{ down atomic.Bool }
 
 func (e *flakyEngine) Load(context.Context, string) (engine.Load, error) {
@@ -24,45 +24,45 @@
 	return engine.Load{Running: 3, Model: "berry-1"}, nil
 }
 
-// An engine stops answering polls of its load and later answers again. Its last
-// report must stay, with its age, and tell how many polls it has missed; the
-// next answer must clear that.
-func TestPollerNotesMissedReports(t *testing.T) {
+// An engine stops answering polls of its load and later answers again. Its last report
+// must stay, with its original time and the number of failed polls since; the next answer
+// must reset that number.
+func TestPollerCountsFailedPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		e := &flakyEngine{}
 		loads := NewLoads()
-		watched := func() []platform.Upstream { return []platform.Upstream{{ID: "e1"}} }
-		go NewPoller(e, loads, time.Second, watched).Run(ctx)
+		engines := func() []platform.Upstream { return []platform.Upstream{{ID: "e1"}} }
+		go NewPoller(e, loads, time.Second, engines).Run(ctx)
 		time.Sleep(2 * time.Second)
 		e.down.Store(true)
 		time.Sleep(4 * time.Second)
 		report, ok := loads.Get("e1")
 		if !ok || report.Running != 3 || report.Misses < 3 {
-			t.Fatalf("after 4s without an answer: %+v", report)
+			t.Fatalf("after 4s without an answer: report %+v, want the last one, with at least 3 misses", report)
 		}
 		if age := time.Since(report.At); age < 3*time.Second {
-			t.Errorf("the old report claims an age of %v", age)
+			t.Errorf("the last report has an age of %v, want at least 3s", age)
 		}
 		e.down.Store(false)
 		time.Sleep(2 * time.Second)
 		if report, _ := loads.Get("e1"); report.Misses != 0 {
-			t.Errorf("%d misses after an answer", report.Misses)
+			t.Errorf("%d misses after an answer, want 0", report.Misses)
 		}
 	})
 }
 
-// A report says less the older it is; one from the future, after a jump of a
-// clock, or none at all says nothing.
-func TestReportsLoseWeightWithAge(t *testing.T) {
+// The weight of a report falls with its age. A report from the future, after a jump of the
+// clock, and a missing report must have no weight.
+func TestReportWeightFallsWithAge(t *testing.T) {
 	now := time.Now()
 	fresh := Report{At: now}.Weight(now)
 	old := Report{At: now.Add(-10 * time.Second)}.Weight(now)
 	if fresh != 1 || old <= 0 || old > 0.1 {
-		t.Errorf("weights %v and %v", fresh, old)
+		t.Errorf("weight %v of a fresh report, want 1; %v of one of 10s, want above 0 and at most 0.1", fresh, old)
 	}
 	if Report.Weight(Report{At: now.Add(time.Hour)}, now) != 0 || Report.Weight(Report{}, now) != 0 {
-		t.Error("a report without a believable time has weight")
+		t.Error("a report from the future or a missing report has a weight above 0")
 	}
 }
