--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,13 +1,14 @@
 /*
- * Claim, dispatch, refusal and repeat of a non-idempotent request with an
- * idempotency key, over two VMs and a store whose replies are lost or late.
+ * Claim, dispatch, refusal and repetition of a non-idempotent request with an
+ * idempotency key, over two VMs and a store whose replies may be lost and whose
+ * commits may take effect late.
  *
- * Go functions it stands for:
+ * Go functions that the model represents:
  *   insert      request.Claims.Take, platform.CommitSurely (a late copy of the
- *               insert may arrive at any time)
- *   run         the dispatch that follows a claim
+ *               insert may take effect at any time)
+ *   run         the dispatch of the request after its claim
  *   finish      request.Claims.Finish
- *   withdraw    request.Claims.Withdraw (a late copy may arrive at any time)
+ *   withdraw    request.Claims.Withdraw (a late copy may take effect at any time)
  *   repeat      request.Claims.Take on a claimed key
  *
  * weaken: WEAKEN_BLIND_INSERT
@@ -23,14 +24,16 @@
 #define TRIES 3		/* requests with the same key over all VMs */
 #define FREE 0
 
-/* The row: who claimed (a nonce), its version and whether the outcome stands. */
+/* The row of the claim: its nonce, its version (versions counts them), and whether
+ * the outcome is stored. */
 byte claimer, version, versions;
 bit outcome;
 
 byte nonces;
-byte runs;		/* how often the request ran */
+byte runs;		/* how often the request was run */
 bit ranAfterNotRun;
-/* A late copy of an insert and of a withdrawal on their way. */
+/* Late copies that have not taken effect: the nonce of an insert, and the row version
+ * that a withdrawal expects; 0 is none. */
 byte lateInsert, lateDelete;
 
 inline insert(nonce) {
@@ -49,7 +52,7 @@
 }
 
 /* Late copies of commits take effect at any time, or never. */
-proctype Late() {
+proctype LateCommits() {
 end:	do
 	:: atomic { lateInsert != 0 -> insert(lateInsert); lateInsert = 0 }
 	:: atomic { lateInsert != 0 -> lateInsert = 0 }
@@ -71,19 +74,19 @@
 }
 
 proctype VM() {
-	byte me, mine;
-	bit claimed, sent;
+	byte myNonce, myVersion;
+	bit claimed, dispatched;
 
 end:	do
-	:: atomic { nonces < TRIES -> nonces++; me = nonces; claimed = 0; sent = 0 }
+	:: atomic { nonces < TRIES -> nonces++; myNonce = nonces; claimed = 0; dispatched = 0 }
 #ifdef WEAKEN_RUN_BEFORE_CLAIM
-		runs++; sent = 1; assert(runs <= 1);
+		runs++; dispatched = 1; assert(runs <= 1);
 #endif
 		/* Claim. */
 		if
-		:: atomic { insert(me); claimed = (claimer == me) }
-		:: atomic {	/* no reply, and the read-back fails too */
-			lateInsert == 0 -> lateInsert = me;
+		:: atomic { insert(myNonce); claimed = (claimer == myNonce) }
+		:: atomic {	/* no reply, and the row can't be read back */
+			lateInsert == 0 -> lateInsert = myNonce;
 #ifdef WEAKEN_RUN_ON_UNKNOWN
 			claimed = 1
 #endif
@@ -93,52 +96,52 @@
 #endif
 		fi;
 		if
-		:: claimed -> atomic { mine = version }
-		:: !claimed && outcome -> goto next	/* the stored answer */
+		:: claimed -> atomic { myVersion = version }
+		:: !claimed && outcome -> goto next	/* answered from the stored outcome */
 		:: !claimed && !outcome ->
 #ifdef WEAKEN_RERUN_WITHOUT_OUTCOME
 			claimed = 1
 #else
-			goto next	/* "unknown" */
+			goto next	/* answered "unknown" */
 #endif
 		fi;
-		/* Dispatch, or give up before; or the VM is killed. */
+		/* Dispatch, or cancel before the dispatch, or the VM is killed. */
 		if
-		:: atomic { runs++; sent = 1; assert(runs <= 1) }
+		:: atomic { runs++; dispatched = 1; assert(runs <= 1) }
 		:: true
 		:: goto next
 		fi;
 		if
-		:: sent ->
+		:: dispatched ->
 			if
-			:: atomic { claimer == me -> outcome = 1; versions++; version = versions }
+			:: atomic { claimer == myNonce -> outcome = 1; versions++; version = versions }
 			:: true		/* the outcome can't be stored */
 			fi;
 #ifdef WEAKEN_WITHDRAW_AFTER_RUN
-			atomic { if :: claimer == me -> claimer = FREE; outcome = 0 :: else fi }
+			atomic { if :: claimer == myNonce -> claimer = FREE; outcome = 0 :: else fi }
 #endif
-		:: !sent ->
+		:: !dispatched ->
 			if
-			:: atomic { claimer == me -> claimer = FREE; outcome = 0 }
-			:: atomic { claimer == me && lateDelete == 0 -> lateDelete = mine }
-			:: atomic {	/* no reply, sent again, and a copy is late */
-				claimer == me && lateDelete == 0 ->
-				lateDelete = mine; claimer = FREE; outcome = 0
+			:: atomic { claimer == myNonce -> claimer = FREE; outcome = 0 }
+			:: atomic { claimer == myNonce && lateDelete == 0 -> lateDelete = myVersion }
+			:: atomic {	/* no reply; sent again, and the first copy is late */
+				claimer == myNonce && lateDelete == 0 ->
+				lateDelete = myVersion; claimer = FREE; outcome = 0
 			   }
 			:: true
 			fi;
-refused:		/* "Not run" is said of this request: it never ran, nor will. */
-			assert(!sent)
+refused:		/* The answer is "not run": the request did not run and never will. */
+			assert(!dispatched)
 		fi;
 next:		atomic {
 #ifdef WEAKEN_NOT_RUN_ON_UNKNOWN
-			assert(!sent);
+			assert(!dispatched);
 #endif
-			me = 0; mine = 0; claimed = 0; sent = 0
+			myNonce = 0; myVersion = 0; claimed = 0; dispatched = 0
 		}
 	od
 }
 
 init {
-	atomic { run Late(); run VM(); run VM() }
+	atomic { run LateCommits(); run VM(); run VM() }
 }
--- a/spec/edit.pml
+++ b/spec/edit.pml
@@ -1,9 +1,9 @@
 /*
- * Edit, spread and restart: two operators edit one key through two VMs, replies
- * are lost and repeated by edit ID, nodes read the rows, restart and learn from
- * each other. A store that is down is one whose next step does not come.
+ * Edit, distribution and restart: two operators edit the same key through two VMs,
+ * replies are lost, edits are repeated by edit ID, and nodes read the rows, restart
+ * and learn from each other. An outage of the store is a step that does not happen.
  *
- * Go functions it stands for:
+ * Go functions that the model represents:
  *   edit        config.Editor.Apply, try, commit
  *   follow      config.Syncer.fromStore, contract.Snapshot.Apply, View.Advance
  *   bootstrap   config.readSnapshot
@@ -21,26 +21,26 @@
 
 #define EDITS 2
 #define NODES 2
-#define STEPS 3	/* bound on what the nodes do */
-#define LAST 4		/* bound on the revisions */
+#define STEPS 3	/* maximum number of steps of all nodes */
+#define LAST 4		/* maximum revision */
 
-/* Rows: the head, the revisions of two subjects, which edit made a revision. */
+/* Rows: the head, the revisions of two subjects, and the revision that each edit made. */
 byte head;
 byte subject[2];
-byte made[EDITS];	/* revision that an edit was accepted at; 0 is none */
+byte made[EDITS];	/* revision at which an edit was accepted; 0 is none */
 byte writes;
 
-/* Nodes: revision in force, revision of each subject in it, and the head that
- * the node knows to have been accepted at most when it was last current. */
+/* Nodes: the revision in force, the revision of each subject in it, and an upper
+ * bound of the head at the latest time at which the node knows that it was current. */
 byte inForce[NODES];
 byte seen[NODES * 2];
-byte known[NODES];	/* head at the time up to which the node knows it was current */
+byte known[NODES];	/* the upper bound; valid if everKnown is set */
 bit everKnown[NODES];
-/* A node that answers its peer does both reads in one life. */
+/* Set while a node answers its peer: it does both reads in one incarnation. */
 bit answering[NODES];
-byte steps;		/* what all nodes did so far */
+byte steps;		/* steps of all nodes so far */
 
-/* An operator reads a subject's revision, and sends the edit up to twice. */
+/* An operator reads the subject's revision and sends the edit at most twice. */
 proctype Operator(byte id) {
 	byte base, at, tries, old;
 
@@ -55,7 +55,7 @@
 		fi;
 #endif
 		at = head;
-		/* One transaction: head, base and edit ID are demanded. */
+		/* One transaction; its preconditions are head, base and edit ID. */
 		atomic {
 			if
 			::
@@ -69,8 +69,8 @@
 			   subject[0] == base &&
 #endif
 			   true ->
-				/* Nothing that another operator did is overwritten
-				 * unseen, each revision is new, each edit made once. */
+				/* No edit of another operator is overwritten unseen,
+				 * each revision is new, and each edit is made once. */
 				assert(subject[0] == base);
 				assert(head < at + 1);
 				assert(made[id] == 0);
@@ -84,7 +84,7 @@
 			:: else
 			fi
 		}
-	:: break	/* the reply came, or the operator gives up */
+	:: break	/* the reply arrived, or the operator stops trying */
 	od;
 accepted: skip
 }
@@ -128,7 +128,7 @@
 				:: true -> r = head;
 #endif
 					advance(id, r, a, b);
-					/* What is in force is one state of the store. */
+					/* What is in force is one consistent state of the store. */
 					assert(a <= r && b <= r);
 					assert(inForce[id] != head || (seen[id * 2] == subject[0] && seen[id * 2 + 1] == subject[1]));
 					known[id] = (r > known[id] -> r : known[id]);
@@ -136,7 +136,7 @@
 				:: else
 				fi
 			}
-		:: /* Learn from the peer: first its knowledge, then its snapshot. */
+		:: /* Learn from the peer: first what it knows of the head, then its snapshot. */
 #ifdef WEAKEN_SNAPSHOT_BEFORE_KNOWLEDGE
 			atomic { answering[1 - id] = 1; r = inForce[1 - id]; a = seen[(1 - id) * 2]; b = seen[(1 - id) * 2 + 1] }
 			atomic { answering[1 - id] = 0; k = known[1 - id]; knew = everKnown[1 - id] }
@@ -161,10 +161,10 @@
 #endif
 				fi
 			}
-		:: /* Restart: all is forgotten. */
+		:: /* Restart: the node loses its state. */
 			atomic { !answering[id] -> inForce[id] = 0; seen[id * 2] = 0; seen[id * 2 + 1] = 0; known[id] = 0; everKnown[id] = 0 }
 		fi;
-		/* A node that says it was current when the head was k has k in force. */
+		/* A node that was current when the head was k has revision k or a later one in force. */
 		atomic { assert(!everKnown[id] || inForce[id] >= known[id]); a = 0; b = 0; r = 0; k = 0; knew = 0 }
 	od
 }
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,23 +1,23 @@
 /*
- * Leases and orders: acquire, renew, lapse, pause, restart, release, lost and
- * late replies, a receiver that checks fencing numbers and one that ignores
+ * Leases and orders: acquire, renew, expire, pause, restart, release, lost and
+ * late replies, a receiver that checks fencing tokens and one that ignores
  * them.
  *
- * Go functions it stands for, in internal/lease:
- *   contend, take   campaign.contend, Contender.Observe, Contender.Wait, Contender.Take
+ * Go functions that the model represents, in internal/lease:
+ *   contend, take   campaign.tryAcquire, Contender.Observe, Contender.Wait, Contender.Take
  *   renew           campaign.renew, Hold.Renewal, Hold.Renewed, Hold.Seen
  *   check           Hold.CheckAt (Guard.Check)
  *   settle          Settle, SettleTime
  *   release         campaign.release, Hold.Release
  *   compare-and-swap with a lost or late reply: platform.CommitSurely
  *
- * Time is counted in ticks. A pause is a tick that comes while a node stands
- * between two steps; so every node can be paused anywhere, for any time, but
+ * Time is counted in ticks. A pause is a tick that occurs while a node is
+ * between two steps. So a node can be paused anywhere and for any time, except
  * between the check and the end of an order to the receiver that ignores
- * fencing, which lasts at most ORDER ticks. That longer pauses there are not
- * covered is stated in docs/PROOFS.md.
+ * fencing tokens, which lasts at most ORDER ticks. docs/PROOFS.md states that
+ * longer pauses there are not covered.
  *
- * Each rule that makes the protocol safe can be taken out:
+ * Each rule that makes the protocol safe can be removed:
  * weaken: WEAKEN_TERM_FROM_REPLY
  * weaken: WEAKEN_NO_GUARD
  * weaken: WEAKEN_NO_SILENCE
@@ -33,7 +33,7 @@
 
 #define NODES 2
 #define TERM 2
-#define DRIFT 1		/* by how much a slow clock lengthens a term */
+#define DRIFT 1		/* ticks by which a slow clock lengthens a term */
 #ifdef WEAKEN_NO_MARGIN
 #define MARGIN 0
 #else
@@ -50,7 +50,7 @@
 #endif
 #endif
 #define LAST 5		/* the last tick */
-#define WRITES 3	/* bound on the writes of the row */
+#define WRITES 3	/* maximum number of writes of the row */
 #define NOBODY 0
 
 byte now;
@@ -58,27 +58,28 @@
 /* The row. */
 byte version, holder, epoch;
 
-/* Owners are numbered over all restarts; no two are alike. */
+/* Identities are numbered over all restarts; each incarnation of a node has its own. */
 byte owners;
 
-/* One node is killed and started again once. */
+/* Set once a node has been killed and restarted; this happens at most once. */
 bit restarted;
 
-/* Whether the upstream of this run checks fencing numbers. The two kinds know
- * nothing of each other, so each run has one. */
+/* Whether the receiver of orders checks fencing tokens. Receivers don't affect each
+ * other, so each run of the model has only one kind. */
 bit checks;
 
-/* Orders on their way; 0 is none. */
+/* Epochs of orders in transit, 0 is none, and the tick by which an order to the
+ * receiver that ignores fencing tokens arrives. */
 byte toChecking[NODES];
 byte toIgnoring[NODES];
 byte due[NODES];
 
-/* What the receivers saw. */
+/* The newest epoch that each receiver has seen. */
 byte newestChecking, newestIgnoring;
-/* ownerOf[e] is the owner that acted under the epoch e. */
+/* ownerOf[e] is the identity that sent orders under epoch e. */
 byte ownerOf[WRITES + 2];
 
-/* A check that passes shows that nobody else has taken the lease. */
+/* If a check passes, no other identity has acquired the lease. */
 inline act(e, who) {
 	assert(ownerOf[e] == 0 || ownerOf[e] == who);
 	assert(holder == who && epoch == e);
@@ -133,7 +134,7 @@
 	toIgnoring[i] = 0
 }
 
-/* Wire takes orders to their receivers at any time, and in time. */
+/* Wire delivers orders at any time; those with a due tick arrive by then. */
 proctype Wire() {
 end:	do
 	:: atomic { toChecking[0] != 0 -> arriveAtChecking(0) }
@@ -148,7 +149,7 @@
 	byte v, h, e;
 	bit done, known;
 
-	/* The nodes are alike, so the second one waits for the first one's write. */
+	/* The nodes are symmetric; node 1 waits for a write of node 0 to reduce the states. */
 end:	atomic { id == 0 || version > 0 -> owners++; me = owners }
 
 endcontend:
@@ -187,7 +188,7 @@
 	:: goto over
 	fi;
 
-	/* Take the lease. */
+	/* Acquire the lease. */
 	atomic { sent = now; v = 0; h = 0 }
 	atomic {
 #ifdef WEAKEN_EPOCH_STAYS
@@ -199,8 +200,8 @@
 	}
 	if
 	:: !done -> atomic { e = 0; sent = 0 } goto endcontend
-	:: done		/* the reply comes, or the nonce is read back */
-	:: done -> atomic { done = 0; e = 0; sent = 0 } goto endcontend	/* the reply is lost for good */
+	:: done		/* the reply arrives, or the nonce is read back */
+	:: done -> atomic { done = 0; e = 0; sent = 0 } goto endcontend	/* the outcome stays unknown */
 	fi;
 	atomic {
 		myVersion = seen + 1;
@@ -210,7 +211,7 @@
 		deadline = sent + TERM;
 #endif
 		settled = now + SETTLE;
-		/* What a contender remembers means nothing any more. */
+		/* The state of the contender is no longer needed. */
 		seen = 0; since = 0; known = 0; v = 0; h = 0; e = 0; sent = 0; done = 0
 	}
 
@@ -231,11 +232,11 @@
 				done = 0;
 				sent = 0
 			}
-		:: done ->	/* lost: the row is read, the term is not counted */
+		:: done ->	/* reply lost: the row is read, but the term is not extended */
 			atomic { myVersion++; done = 0; sent = 0 }
 		:: !done -> break
 		fi
-	:: /* An order to the receiver that checks: any pause after the check. */
+	:: /* An order to the receiver that checks: pauses of any length may follow the check. */
 		atomic {
 			checks && toChecking[id] == 0 &&
 #ifdef WEAKEN_NO_GUARD
@@ -246,7 +247,7 @@
 			-> act(myEpoch, me);
 			toChecking[id] = myEpoch
 		}
-	:: /* An order to the receiver that ignores fencing. */
+	:: /* An order to the receiver that ignores fencing tokens. */
 		atomic {
 			!checks && toIgnoring[id] == 0 && now >= settled &&
 #ifdef WEAKEN_NO_GUARD
@@ -258,7 +259,7 @@
 			toIgnoring[id] = myEpoch;
 			due[id] = now + ORDER
 		}
-	:: /* Drain. */
+	:: /* Release the lease when the node drains. */
 		atomic {
 #ifdef WEAKEN_RELEASE_FORGETS_EPOCH
 			swap(myVersion, NOBODY, 0, done);
@@ -269,7 +270,7 @@
 		}
 		break
 	:: now >= deadline + DRIFT -> break
-	:: /* Killed and started again: a new owner, nothing is remembered. */
+	:: /* Killed and restarted: a new identity without state. */
 		atomic {
 			!restarted ->
 			restarted = 1;
--- a/spec/score.pml
+++ b/spec/score.pml
@@ -1,14 +1,15 @@
 /*
- * The way of one item from its whole text to its listed score, over two VMs that take
- * the step from each other, a store that keeps texts and results, and a scoring service
- * whose answers fail, are lost or come after their caller has given up.
+ * Path of one item from its complete text to its committed score, over two VMs that take
+ * the step over from each other, a store of texts and results, and a scoring service
+ * whose answers may be failures, be lost or arrive after the call was cancelled.
  *
- * Go functions it stands for:
- *   generate    step.run.runItem, complete and awaitScore
+ * Go functions that the model represents:
+ *   generate    step.run.runAttempt, handleComplete and awaitScore
  *   call        step.run.score
- *   save        step.run.saveTexts: expects the state's version
- *   list        step.run.list: expects the state's version and the absence of its row
- *   take over   step.Manager.takeOver, run.resume
+ *   save        step.run.saveTexts: expects the version of the state row
+ *   commit      step.run.commitResults: expects the version of the state row and the
+ *               absence of its own row
+ *   take over   step.Manager.takeOver, run.restoreTexts
  *
  * weaken: WEAKEN_LIST_WITHOUT_SCORE
  * weaken: WEAKEN_CALL_BEFORE_TEXT
@@ -19,43 +20,43 @@
  */
 
 #define VMS 2
-#define ATTEMPTS 2	/* answers of "failed" after which the item is given up */
+#define ATTEMPTS 2	/* answers of "failed" after which the item is abandoned */
 #define CHANGES 2	/* changes of owner */
-#define TEXTS 3		/* texts that are made at most */
-#define CALLS 6		/* calls that are made at most */
+#define TEXTS 3		/* maximum number of texts generated */
+#define CALLS 6		/* maximum number of score calls */
 #define NONE 0
 
-/* The state row's version, which each change of owner replaces. */
+/* The version of the state row, which each change of owner replaces. */
 byte version = 1;
 
-/* The saved row of the item: the number of its text, NONE if none is whole, and the
- * failures counted. */
+/* The saved row of the item: the number of its text, NONE if no text is complete, and
+ * the failures counted. */
 byte savedText, savedFailures;
 
-/* The result: listed, given up, the text and the score's text that stand there. */
-bit listed, abandoned;
+/* The result of the item: committed or abandoned. */
+bit committed, abandoned;
 
-/* What truly happened: texts made, calls made, and answers of "failed". Those that an
- * owner has not saved yet may be lost with it; lost counts those that were, and those
- * of an owner that another has overtaken. */
+/* What actually happened: texts generated, calls made, and answers of "failed". An owner
+ * that dies loses the failures that it has not saved; lost counts these, and failures
+ * that a VM receives after another one has taken the step over. */
 byte texts, calls, failures, lost;
 byte unsaved[VMS];
 
-/* No failure is forgotten but those that are lost: an item that fails each time would
- * reach the service again with every change of owner. */
+/* No failures but the lost ones are missing from the count. Otherwise an item that fails
+ * each time would be sent to the service again after every change of owner. */
 #define COUNT_HOLDS (failures == count + lost)
 
 #ifdef WEAKEN_LIST_WITHOUT_STATE
-#define mayWrite(v) true
+#define canWrite(v) true
 #else
-#define mayWrite(v) (version == v)
+#define canWrite(v) (version == v)
 #endif
 
-/* A process dies, or wakes to find that another has taken over. */
-inline forget() {
-	lost = lost + unsaved[me];
-	unsaved[me] = 0;
-	mine = 0;
+/* The process dies, or resumes after a pause and finds that another VM has taken over. */
+inline stopOwning() {
+	lost = lost + unsaved[vm];
+	unsaved[vm] = 0;
+	heldVersion = 0;
 	count = 0;
 	text = NONE;
 #ifndef WEAKEN_SCORE_OUTLIVES_TEXT
@@ -63,14 +64,14 @@
 #endif
 }
 
-proctype Owner(byte me, mine) {
+proctype Owner(byte vm, heldVersion) {
 	byte text, score, count;
 
 end:	do
-	/* Taking over: what is not saved is known to nobody. */
-	:: atomic { version != mine && version <= CHANGES && !listed && !abandoned ->
+	/* Take over: what the previous owner has not saved is lost. */
+	:: atomic { version != heldVersion && version <= CHANGES && !committed && !abandoned ->
 		version++;
-		mine = version;
+		heldVersion = version;
 		lost = lost + unsaved[0] + unsaved[1];
 		unsaved[0] = 0;
 		unsaved[1] = 0;
@@ -85,13 +86,13 @@
 		score = NONE
 #endif
 	   }
-	/* The text becomes whole. */
-	:: atomic { mine != 0 && text == NONE && texts < TEXTS -> texts++; text = texts }
-	/* A call is sent. Its answer may come, be a failure, or never arrive. */
+	/* A text is completed. */
+	:: atomic { heldVersion != 0 && text == NONE && texts < TEXTS -> texts++; text = texts }
+	/* A score call. Its answer is a score or a failure, or never arrives. */
 #ifdef WEAKEN_CALL_BEFORE_TEXT
-	:: atomic { mine != 0 && score == NONE && calls < CALLS ->
+	:: atomic { heldVersion != 0 && score == NONE && calls < CALLS ->
 #else
-	:: atomic { mine != 0 && text != NONE && score == NONE && calls < CALLS && count < ATTEMPTS ->
+	:: atomic { heldVersion != 0 && text != NONE && score == NONE && calls < CALLS && count < ATTEMPTS ->
 #endif
 		assert(text != NONE);
 		calls++;
@@ -99,37 +100,37 @@
 		:: score = text
 		:: failures++; count++;
 			if
-			:: mine == version -> unsaved[me]++
+			:: heldVersion == version -> unsaved[vm]++
 			:: else -> lost++
 			fi
-		:: skip		/* refused unrun, broken off or late */
+		:: skip		/* refused without a run, interrupted or late */
 #ifdef WEAKEN_COUNT_ALL_FAILURES
 			; count++
 #endif
 		fi
 	   }
-	:: atomic { mine != 0 && mayWrite(mine) && !listed && !abandoned ->
+	:: atomic { heldVersion != 0 && canWrite(heldVersion) && !committed && !abandoned ->
 		savedText = text;
 		savedFailures = count;
-		unsaved[me] = 0
+		unsaved[vm] = 0
 	   }
 #ifdef WEAKEN_LIST_WITHOUT_SCORE
-	:: atomic { mine != 0 && text != NONE && mayWrite(mine) && !abandoned ->
+	:: atomic { heldVersion != 0 && text != NONE && canWrite(heldVersion) && !abandoned ->
 #else
-	:: atomic { mine != 0 && text != NONE && score != NONE && mayWrite(mine) && !abandoned ->
+	:: atomic { heldVersion != 0 && text != NONE && score != NONE && canWrite(heldVersion) && !abandoned ->
 #endif
-		/* A position is written once, with the score of the text that stands there. */
-		assert(!listed);
+		/* A result is committed once, with the score of its own text. */
+		assert(!committed);
 		assert(score == text);
-		listed = 1;
-		mine = 0
+		committed = 1;
+		heldVersion = 0
 	   }
-	:: atomic { mine != 0 && count >= ATTEMPTS && mayWrite(mine) && !listed && !abandoned ->
+	:: atomic { heldVersion != 0 && count >= ATTEMPTS && canWrite(heldVersion) && !committed && !abandoned ->
 		assert(failures >= ATTEMPTS);
 		abandoned = 1;
-		mine = 0
+		heldVersion = 0
 	   }
-	:: atomic { mine != 0 -> forget() }
+	:: atomic { heldVersion != 0 -> stopOwning() }
 	od
 }
 
--- a/spec/step.pml
+++ b/spec/step.pml
@@ -1,12 +1,12 @@
 /*
- * Acceptance, ownership, listing and end of one step with two items, over two VMs
- * and a store whose answers are lost and which carries commits out late.
+ * Acceptance, ownership, commit of results and end of one step with two items, over
+ * two VMs and a store whose answers may be lost and whose commits may take effect late.
  *
- * Go functions it stands for:
+ * Go functions that the model represents:
  *   accept      step.Manager.Submit, kept.CommitSurely
- *   take over   step.Manager.takeOver: the state row is replaced, then the results
- *               are read
- *   list        step.run.list: expects the state's version and the absence of its row
+ *   take over   step.Manager.takeOver: replaces the state row, then reads the results
+ *   commit      step.run.commitResults: expects the version of the state row and the
+ *               absence of its own row
  *   end         step.Manager.End
  *
  * weaken: WEAKEN_PROMISE_AFTER_SILENCE
@@ -14,9 +14,9 @@
  * weaken: WEAKEN_STALE_POSITION
  * weaken: WEAKEN_END_KEEPS_VERSION
  *
- * Two guards stand behind each other where a VM takes a step over: it reads the
+ * Two rules protect a takeover, each sufficient by itself: the new owner reads the
  * results after the change of owner, and a commit expects its row to be absent. The
- * model holds without either; WEAKEN_STALE_POSITION removes both.
+ * model holds without either one; WEAKEN_STALE_POSITION removes both.
  */
 
 #define VMS 2
@@ -24,60 +24,61 @@
 #define CHANGES 3	/* changes of the state row after its acceptance */
 #define NONE 0
 
-/* The state row: its version, 0 while it is absent, and whether the step has ended. */
+/* The state row: its version, 0 while it is absent, the number of its changes, and
+ * whether the step has ended. */
 byte version, changes;
 bit ended;
-/* The results' rows: the item at each position, and how many there are. */
+/* The rows of the results: the item at each position, and the number of rows. */
 byte row[ITEMS + 1];
 byte rows;
 
-/* What the trainer was told. */
-bit promised;		/* "not run, and never will be" */
+/* What the trainer has learned from answers. */
+bit reportedNotRun;		/* the answer was "not run": the step will never be accepted */
 bit endConfirmed;
-byte read[ITEMS + 1];	/* what it read at a position */
+byte read[ITEMS + 1];	/* the item that it read at a position */
 
-/* Late copies on their way. */
+/* Late copies that have not taken effect. */
 bit lateAccept;
 byte lateVersion, latePosition, lateItem;
 
-inline put(position, item) {
+inline writeRow(position, item) {
 	assert(!endConfirmed);
 	row[position] = item;
 	if
 	:: position >= rows -> rows = position + 1
 	:: else
 	fi;
-	/* No item stands at two positions. */
+	/* No item has two positions. */
 	assert(row[0] == NONE || row[0] != row[1])
 }
 
-/* mayList is the condition of a commit of results. */
+/* canCommit is the precondition of a commit of results. */
 #ifdef WEAKEN_LIST_WITHOUT_STATE
-#define stateHolds(v) true
+#define isCurrent(v) true
 #else
-#define stateHolds(v) (version == v)
+#define isCurrent(v) (version == v)
 #endif
 #ifdef WEAKEN_STALE_POSITION
-#define rowAbsent(p) true
+#define isAbsent(p) true
 #else
-#define rowAbsent(p) (row[p] == NONE)
+#define isAbsent(p) (row[p] == NONE)
 #endif
-#define mayList(v, p) (stateHolds(v) && rowAbsent(p))
+#define canCommit(v, p) (isCurrent(v) && isAbsent(p))
 
-/* The store carries late copies out at any time, or never. */
-proctype Late() {
+/* Late copies take effect at any time, or never. */
+proctype LateCommits() {
 end:	do
 	:: atomic { lateAccept ->
 		lateAccept = 0;
 		if
-		:: version == 0 -> version = 1; assert(!promised)
+		:: version == 0 -> version = 1; assert(!reportedNotRun)
 		:: else
 		fi
 	   }
 	:: atomic { lateAccept -> lateAccept = 0 }
 	:: atomic { lateItem != NONE ->
 		if
-		:: mayList(lateVersion, latePosition) -> put(latePosition, lateItem)
+		:: canCommit(lateVersion, latePosition) -> writeRow(latePosition, lateItem)
 		:: else
 		fi;
 		lateItem = NONE
@@ -86,52 +87,52 @@
 	od
 }
 
-/* The VM at which the step is handed in. A commit without an answer is sent again
- * until one copy is answered, or the VM gives up and promises nothing. */
+/* The VM to which the step is submitted. It sends a commit without an answer again until
+ * a copy is answered, or stops and reports an unknown outcome. */
 proctype Accept() {
-	bit silent;
+	bit unanswered;
 
 end:	do
-	:: atomic { version == 0 -> version = 1; assert(!promised); break }	/* answered */
-	:: atomic { version == 0 -> version = 1; assert(!promised); silent = 1 }	/* answer lost */
-	:: atomic { !lateAccept -> lateAccept = 1; silent = 1 }
-	:: atomic { version != 0 -> break }	/* a copy was first */
+	:: atomic { version == 0 -> version = 1; assert(!reportedNotRun); break }	/* answered */
+	:: atomic { version == 0 -> version = 1; assert(!reportedNotRun); unanswered = 1 }	/* answer lost */
+	:: atomic { !lateAccept -> lateAccept = 1; unanswered = 1 }
+	:: atomic { version != 0 -> break }	/* a copy took effect first */
 #ifdef WEAKEN_PROMISE_AFTER_SILENCE
-	:: atomic { version == 0 -> promised = 1; break }
+	:: atomic { version == 0 -> reportedNotRun = 1; break }
 #else
-	:: atomic { version == 0 && !silent -> promised = 1; break }
+	:: atomic { version == 0 && !unanswered -> reportedNotRun = 1; break }
 #endif
-	:: atomic { silent -> break }
+	:: atomic { unanswered -> break }
 	od
 }
 
-/* A VM that takes the step over whenever it thinks that nobody runs it, and lists
- * what lacks. Another VM may do so at the same time. */
+/* A VM that takes the step over whenever it assumes that no live VM owns it, and commits
+ * the missing items. The other VM may do so at the same time. */
 proctype Owner() {
-	byte mine, seen, next, item;
+	byte heldVersion, readVersion, next, item;
 
 end:	do
-	:: atomic { version != 0 && !ended && changes < CHANGES -> seen = version;
+	:: atomic { version != 0 && !ended && changes < CHANGES -> readVersion = version;
 #ifdef WEAKEN_STALE_POSITION
 		next = rows
 #endif
 	   };
 	   atomic {
 		if
-		:: version == seen && !ended && changes < CHANGES ->
+		:: version == readVersion && !ended && changes < CHANGES ->
 			version++;
 			changes++;
-			mine = version
-		:: else -> mine = 0
+			heldVersion = version
+		:: else -> heldVersion = 0
 		fi
 	   };
 #ifndef WEAKEN_STALE_POSITION
 	   atomic { next = rows };
 #endif
-	   /* The item that lacks, or either when nothing is listed. */
+	   /* The missing item, or either one while none is committed. */
 	   do
-	   :: mine == 0 || next >= ITEMS -> break
-	   :: mine != 0 && next < ITEMS ->
+	   :: heldVersion == 0 || next >= ITEMS -> break
+	   :: heldVersion != 0 && next < ITEMS ->
 		atomic {
 			if
 			:: next == 0 -> item = 1
@@ -140,16 +141,16 @@
 			fi
 		};
 		do
-		:: atomic { mayList(mine, next) -> put(next, item); next++; break }
-		:: atomic { mayList(mine, next) -> put(next, item) }	/* answer lost */
+		:: atomic { canCommit(heldVersion, next) -> writeRow(next, item); next++; break }
+		:: atomic { canCommit(heldVersion, next) -> writeRow(next, item) }	/* answer lost */
 		:: atomic { lateItem == NONE ->
-			lateVersion = mine; latePosition = next; lateItem = item }
-		:: atomic { !mayList(mine, next) && stateHolds(mine) && row[next] == item ->
-			next++; break }	/* a copy of this commit was first */
-		:: atomic { !mayList(mine, next) && !(stateHolds(mine) && row[next] == item) ->
-			mine = 0; break }
+			lateVersion = heldVersion; latePosition = next; lateItem = item }
+		:: atomic { !canCommit(heldVersion, next) && isCurrent(heldVersion) && row[next] == item ->
+			next++; break }	/* a copy of this commit took effect first */
+		:: atomic { !canCommit(heldVersion, next) && !(isCurrent(heldVersion) && row[next] == item) ->
+			heldVersion = 0; break }
 		od
-	   :: break	/* killed, or paused for ever */
+	   :: break	/* killed, or paused forever */
 	   od
 	od
 }
@@ -161,7 +162,7 @@
 	:: atomic { at = 0;
 		do
 		:: at < ITEMS ->
-			/* What was read once stays. */
+			/* A row that was read does not change. */
 			assert(read[at] == NONE || read[at] == row[at]);
 			read[at] = row[at];
 			at++
@@ -181,5 +182,5 @@
 }
 
 init {
-	atomic { run Late(); run Accept(); run Owner(); run Owner(); run Trainer() }
+	atomic { run LateCommits(); run Accept(); run Owner(); run Owner(); run Trainer() }
 }
--- a/spec/turn.pml
+++ b/spec/turn.pml
@@ -1,60 +1,62 @@
 /*
- * Whose turn it is at a cold engine: the owners of open steps rank for it, each by the
- * states that it has read, and only the first may send. Time goes on in ticks. States
- * reach a VM late, each at its own time, or not at all for a while. Steps that end are left
- * out: their owner may have the turn for FRESH ticks beside the next.
+ * First sender of a cold engine: the owners of open steps are ranked for the engine, by
+ * each VM from the states that it has read, and only the first one may send. Time advances
+ * in ticks. States reach a VM late, each at its own time, or not at all for a while. The
+ * end of steps is left out: the owner of a step that ended may still count as first for
+ * MAX_AGE ticks, beside the next first sender.
  *
- * Go functions it stands for:
- *   open        step.Manager.submitted: the state is written, then noted by its owner
- *   read        kept.Watcher.follow: all changes up to now
- *   hasTurn     step.Manager.FirstSender
+ * Go functions that the model represents:
+ *   open            step.Manager.handleSubmitOutcome: the state is written, then recorded
+ *                   by its owner
+ *   read            kept.Watcher.follow: all changes up to now
+ *   isFirstSender   step.Manager.FirstSender
  *
  * weaken: WEAKEN_OLD_STATES
  * weaken: WEAKEN_NO_SETTLING
  * weaken: WEAKEN_OTHERS_SETTLE
  */
 
-#define VMS 3		/* rank for the engine by number, 0 first */
-#define SETTLE 3	/* ticks for which an owner waits for its turn */
+#define VMS 3		/* ranked for the engine by number, 0 first */
+#define GRACE 3	/* ticks for which the step of an owner must be open before it may be first */
 #define NEVER 15
 
 #ifdef WEAKEN_OLD_STATES
-#define FRESH 5
+#define MAX_AGE 5
 #else
-#define FRESH 2		/* below SETTLE */
+#define MAX_AGE 2		/* maximum age of the states of a first sender; below GRACE */
 #endif
 
-/* For how many ticks each VM's step has been open, SETTLE or more, and how many ago it
- * read the states, FRESH + 1 or more. */
+/* The ticks since each VM's step was opened, counted up to GRACE, and since the VM read
+ * the states, counted up to MAX_AGE + 1. */
 byte openFor[VMS], readFor[VMS];
 
-/* For how many ticks each VM knows of each other's step; only NEVER or not matters but in
- * the weakened form. */
+/* The ticks since each VM learned of each step. Only a weakened form uses the number;
+ * else it matters only whether it is NEVER. */
 byte knownFor[VMS * VMS];
 
-byte firsts;
+byte firstSenders;
 
 #ifdef WEAKEN_NO_SETTLING
-#define settled(me) (openFor[me] != NEVER)
+#define graceOver(me) (openFor[me] != NEVER)
 #else
-#define settled(me) (openFor[me] == SETTLE)
+#define graceOver(me) (openFor[me] == GRACE)
 #endif
 
-/* An owner counts for the others as soon as they hear of it. */
+/* A VM includes another owner in the ranking as soon as it learns of its step. */
 #ifdef WEAKEN_OTHERS_SETTLE
-#define known(me, vm) (knownFor[(me) * VMS + (vm)] == SETTLE)
-#define LONGEST SETTLE
+#define known(me, vm) (knownFor[(me) * VMS + (vm)] == GRACE)
+#define LONGEST GRACE
 #else
 #define known(me, vm) (knownFor[(me) * VMS + (vm)] != NEVER)
 #define LONGEST 0
 #endif
 
-#define hasTurn(me) (settled(me) && readFor[me] <= FRESH \
+#define isFirstSender(me) (graceOver(me) && readFor[me] <= MAX_AGE \
 	&& ((me) < 1 || !known(me, 0)) && ((me) < 2 || !known(me, 1)))
 
-#define older(age, most) ((age) == NEVER || (age) >= (most) -> (age) : (age) + 1)
+#define nextAge(age, most) ((age) == NEVER || (age) >= (most) -> (age) : (age) + 1)
 
-/* A VM hears of the steps that are open now. */
+/* A VM learns of the steps that are open now. */
 inline read(me) {
 	readFor[me] = 0;
 	vm = 0;
@@ -70,7 +72,7 @@
 	vm = 0
 }
 
-active proctype World() {
+active proctype Fleet() {
 	byte me, vm;
 
 	atomic {
@@ -86,7 +88,7 @@
 	}
 	do
 	:: true ->
-		/* Each VM may open its step, and reads or can't, in any order. */
+		/* Each VM may open its step, and may read the states, in any order. */
 		me = 0;
 		do
 		:: me < VMS ->
@@ -103,18 +105,18 @@
 		od;
 		me = 0;
 		d_step {
-			firsts = (hasTurn(0) -> 1 : 0) + (hasTurn(1) -> 1 : 0) + (hasTurn(2) -> 1 : 0);
-			assert(firsts <= 1);
-			firsts = 0;
+			firstSenders = (isFirstSender(0) -> 1 : 0) + (isFirstSender(1) -> 1 : 0) + (isFirstSender(2) -> 1 : 0);
+			assert(firstSenders <= 1);
+			firstSenders = 0;
 			do
-			:: me < VMS * VMS -> knownFor[me] = older(knownFor[me], LONGEST); me++
+			:: me < VMS * VMS -> knownFor[me] = nextAge(knownFor[me], LONGEST); me++
 			:: else -> break
 			od;
 			me = 0;
 			do
 			:: me < VMS ->
-				openFor[me] = older(openFor[me], SETTLE);
-				readFor[me] = older(readFor[me], FRESH + 1);
+				openFor[me] = nextAge(openFor[me], GRACE);
+				readFor[me] = nextAge(readFor[me], MAX_AGE + 1);
 				me++
 			:: else -> break
 			od;
--- a/spec/usage.pml
+++ b/spec/usage.pml
@@ -1,11 +1,12 @@
 /*
- * Window, seal and report: two VM incarnations with absolute totals, two
- * closers of which one may be paused past its lease, billing that takes a
- * repeat with the same figures.
+ * Usage window, seal and report: two VM incarnations with absolute totals, two
+ * closers of which one may be paused past the end of its lease, and billing, which
+ * accepts a report again if the counts are the same.
  *
- * Go functions it stands for, in internal/usage: the meter that opens a window,
- * flushes absolute totals and seals it; the closer that reads all rows, writes
- * one report row if absent and sends exactly that row to billing.
+ * Go functions that the model represents, in internal/usage: the methods of Meter
+ * that open a window, flush absolute totals and seal the row; the methods of Closer
+ * that read all rows, write one report row if it is absent, and send exactly that row
+ * to billing.
  *
  * weaken: WEAKEN_INCREMENTS
  * weaken: WEAKEN_OPEN_AFTER_USE
@@ -19,57 +20,59 @@
 #define VMS 2
 #define USES 2		/* units that each VM serves */
 
-/* The window's end has passed. */
-bit over;
+/* Whether the end of the window has passed. */
+bit windowEnded;
 
-/* Rows of the VMs for the window. */
+/* The row of each VM for the window, and whether the VM is presumed dead. */
 bit opened[VMS], sealed[VMS], dead[VMS];
 byte total[VMS];
-/* Rows of the window's report and of the next window's corrections. */
+/* The row of the window's report with the final count, and the corrections in the next
+ * window. */
 bit reported, incomplete;
-byte figure;
+byte finalCount;
 byte corrected;
 /* Billing. */
 bit billed;
-byte bill;
-/* What was really served, and what a killed VM took with it. */
+byte billedCount;
+/* Units that were served, and those that were lost with a killed VM. */
 byte served, lost;
-byte ended;		/* VMs that have nothing more to write */
+byte finished;		/* VMs that have nothing more to write */
 
 proctype VM(byte id) {
-	byte mine, flushed;
+	byte used, flushed;
 
-	/* The row stands before the first use, so that it is missed. */
+	/* The row is written before the first use, so that the closer notices if the
+	 * totals of this VM are missing. */
 #ifndef WEAKEN_OPEN_AFTER_USE
 	opened[id] = 1;
 #endif
 	do
-	:: atomic { mine < USES && !over -> mine++; served++ }
-	:: /* Flush; the reply may be lost, and then it is sent again. */
+	:: atomic { used < USES && !windowEnded -> used++; served++ }
+	:: /* Flush. If the reply is lost, the totals are sent again. */
 		atomic {
-			mine > flushed && !sealed[id];
+			used > flushed && !sealed[id];
 #ifdef WEAKEN_INCREMENTS
-			total[id] = total[id] + (mine - flushed);
+			total[id] = total[id] + (used - flushed);
 #else
-			total[id] = mine;
+			total[id] = used;
 #endif
-			assert(total[id] <= mine);
+			assert(total[id] <= used);
 			opened[id] = 1;
 			if
-			:: flushed = mine
+			:: flushed = used
 			:: skip
 			fi
 		}
-	:: atomic { over && mine == flushed -> sealed[id] = 1; opened[id] = 1 } break
-	:: /* Cut off and taken for dead, but it goes on. */
+	:: atomic { windowEnded && used == flushed -> sealed[id] = 1; opened[id] = 1 } break
+	:: /* Cut off and presumed dead, but the VM continues. */
 		atomic { !dead[id] -> dead[id] = 1 }
-	:: /* Killed: what was not flushed is gone. */
-		atomic { dead[id] = 1; lost = lost + mine - total[id] } goto gone
+	:: /* Killed: the units that were not flushed are lost. */
+		atomic { dead[id] = 1; lost = lost + used - total[id] } goto stopped
 	od;
-	/* What comes in after the seal is a correction in the next window. */
+	/* Units recorded after the seal are a correction in the next window. */
 	if
-	:: atomic { mine < USES ->
-		mine++; served++;
+	:: atomic { used < USES ->
+		used++; served++;
 #ifdef WEAKEN_LATE_USE_IN_WINDOW
 		total[id]++
 #else
@@ -78,10 +81,10 @@
 	   }
 	:: true
 	fi;
-gone:	ended++
+stopped:	finished++
 }
 
-/* Closer runs twice; that the second one overlaps the first is a pause past the
+/* The closer runs twice. If the runs overlap, the first was paused past the end of its
  * lease. */
 proctype Closer() {
 	byte sum, sending;
@@ -91,7 +94,7 @@
 #ifndef WEAKEN_REPORT_BEFORE_SEAL
 		(!opened[0] || sealed[0] || dead[0]) && (!opened[1] || sealed[1] || dead[1]) &&
 #endif
-		over ->
+		windowEnded ->
 		sum = total[0] + total[1];
 #ifndef WEAKEN_DEAD_PASSES_AS_WHOLE
 		partial = (opened[0] && dead[0] && !sealed[0]) || (opened[1] && dead[1] && !sealed[1])
@@ -104,7 +107,7 @@
 #else
 		:: !reported ->
 #endif
-			reported = 1; figure = sum; incomplete = partial
+			reported = 1; finalCount = sum; incomplete = partial
 		:: reported
 		fi
 	}
@@ -113,30 +116,30 @@
 #ifdef WEAKEN_SEND_OWN_FIGURES
 		sending = sum;
 #else
-		sending = figure;
+		sending = finalCount;
 #endif
-		/* No window is billed twice with different figures. */
-		assert(!billed || bill == sending);
+		/* No window is billed twice with different counts. */
+		assert(!billed || billedCount == sending);
 		billed = 1;
-		bill = sending
+		billedCount = sending
 	   }
-	:: break	/* the reply is lost and it is sent again, or done */
+	:: break	/* done; the report is sent again after a lost reply */
 	od
 }
 
-/* Audit compares at the end: billed, corrected and lost make up the service,
- * and a report that lacks a VM's figures says so. */
+/* Audit checks at the end that the billed, corrected and lost units add up to those
+ * served, and that a report without the totals of a VM is marked incomplete. */
 proctype Audit() {
 end:	atomic {
-		ended == VMS && _nr_pr == 2 && billed ->
-		assert(bill + corrected + lost >= served || incomplete);
-		assert(bill + corrected <= served);
+		finished == VMS && _nr_pr == 2 && billed ->
+		assert(billedCount + corrected + lost >= served || incomplete);
+		assert(billedCount + corrected <= served);
 		assert(lost == 0 || incomplete)
 	}
 }
 
 proctype Clock() {
-	over = 1
+	windowEnded = 1
 }
 
 init {
