--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for developers; README.md explains the two that everyone needs.
+# Targets for developers. README.md explains the two main ones.
 GO ?= go
 BIN := $(CURDIR)/bin
 export PATH := $(BIN):$(PATH)
@@ -10,7 +10,7 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# test is the whole verdict of the project; .ci/run calls it.
+# test runs all checks of the project; .ci/run calls it.
 test: check spec unit fuzz smoke
 
 check: fmt-check vet lint gen-check
@@ -29,11 +29,11 @@
 gen:
 	scripts/generate.sh
 
-# gen-check fails when the committed generated code is not what gen writes.
+# gen-check fails if the committed generated code differs from what gen writes.
 gen-check:
 	scripts/generate.sh --check
 
-# docs writes the tables of the pages that are held equal to the code.
+# docs updates the tables in the pages that tests compare with the code.
 docs:
 	DOGWOODPOND_UPDATE_DOCS=1 $(GO) test ./internal/event ./internal/daemon ./internal/node ./internal/settings -run Page -count=1
 
@@ -62,7 +62,7 @@
 	$(GO) test -run "^$$" -bench AddedLatency -benchtime 4000x ./internal/processtest
 	$(GO) test -count=1 -run TestAttemptsPerRequest -v ./internal/generate
 
-# soak runs the fault soak with fresh seeds; see scripts/soak.sh.
+# soak runs the fault soak with random seeds; see scripts/soak.sh.
 soak:
 	scripts/soak.sh
 
--- a/deploy/worth.sh
+++ b/deploy/worth.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Says where the worth of days was lost: deploy/worth.sh REPORT.json...
-# A report is what the bench's run writes with --report. For each day: its worth, what
-# each part of the goal lost of it, and the largest prices. Then over all days: the
-# requests that were not served, by kind and by what their last try met.
+# Prints what reduced the worth of bench days: deploy/worth.sh REPORT.json...
+# A report is the file that a run of the bench writes with --report. For each day: its
+# worth, the loss by each part of the goal, and the largest prices. Then over all days:
+# the means, the requests by kind, and those not served, by outcome of the last attempt.
 set -euo pipefail
 [ "$#" -gt 0 ] || { echo "usage: $0 REPORT.json..." >&2; exit 2; }
 
@@ -26,6 +26,6 @@
   "requests by kind: asked, in time, late, refused, failed, not owed:",
   ([.[] | .classes[]] | group_by(.name)[]
     | "  " + (.[0].name | pad(20)) + ([([.[].n] | add), ([.[].in_aim] | add), ([.[].late] | add), ([.[].refused] | add), ([.[].failed] | add), ([.[].not_owed] | add)] | map(pad(7)) | join(""))),
-  "not served, by what the last try met:",
+  "not served, by outcome of the last attempt:",
   ([.[] | .unserved_by[]] | group_by(.[0])[] | "  " + (.[0][0] | pad(30)) + ([.[][1]] | add | tostring))
 ' "$@" < <(cat "$@")
--- a/internal/upstream/directory.go
+++ b/internal/upstream/directory.go
@@ -1,6 +1,6 @@
 // Package upstream holds what a VM knows about the upstreams: the platform's list,
-// which lags behind, the health that the VM derives from its own attempts, and the
-// load reports of engines.
+// which may be out of date, the health as seen by the VM's own attempts, and the load
+// reports of engines.
 package upstream
 
 import (
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -16,10 +16,9 @@
 const (
 	// Healthy upstreams get requests.
 	Healthy Standing = iota
-	// Probing upstreams have finished their ejection and get one request, the probe.
+	// Probing upstreams get one request, the probe, because their ejection has ended.
 	Probing
-	// Ejected upstreams get no requests. An upstream counts as ejected while its
-	// probe runs.
+	// Ejected upstreams get no requests, or no further ones while their probe runs.
 	Ejected
 )
 
--- a/scripts/bench-rollouts.sh
+++ b/scripts/bench-rollouts.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Prints the figures of steps.
-#   Part 1, virtual time, each with its plain baseline from the same run: step
-#   time and trainer idle time with and without hedging, store writes, age at
-#   delivery with and without a bound, tokens generated again after an owner's
-#   death, processor time.
-#   Part 2, processes on loopback: two trainers with 2,048 samples each at once on
-#   9 daemons and 9 engines of 8 slots, with new weights twice in the middle.
+# Measures steps.
+#   Part 1, virtual time, each measurement with its baseline from the same run:
+#   step time and trainer idle time with and without hedging, store writes, age of
+#   samples at delivery with and without a staleness limit, tokens generated again
+#   after the death of an owner, processor time.
+#   Part 2, processes on loopback: two concurrent trainers with 2,048 samples each
+#   on 9 daemons and 9 engines of 8 slots, with two weight updates during the steps.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 echo 'part 1: virtual time'
@@ -31,7 +31,8 @@
   grant "$account" 100
   keys+=("$key")
 done
-# The holders of the failure domains' leases wait before their first order.
+# The holders of the failure domains' leases wait for the order grace period before
+# their first order.
 sleep 14
 tables() { "$standin" post --method GET "$platform/stand-in/tables" | grep -oE "\"$1\":[0-9]+" | grep -oE '[0-9]+'; }
 daemon_seconds() { # processor time of all daemons so far
@@ -55,4 +56,4 @@
 cat "$work"/trainer-*.json
 awk -v c0="$commits" -v c1="$(tables commits)" -v r0="$reads" -v r1="$(tables reads)" -v s0="$spent" -v s1="$(daemon_seconds)" 'BEGIN {
   n = 4096
-  printf "all daemons, a sample: %.3f transactions, %.3f reads, %.2f ms of processor time\n", (c1-c0)/n, (r1-r0)/n, (s1-s0)*1000/n }'
+  printf "all daemons, per sample: %.3f transactions, %.3f reads, %.2f ms of processor time\n", (c1-c0)/n, (r1-r0)/n, (s1-s0)*1000/n }'
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Measures the policy under load in one run: the same requests against 9 daemons
-# in 3 failure domains and 9 stand-in engines of 8 slots, once for each policy:
+# Compares dispatch policies under load: the same requests against 9 daemons in
+# 3 failure domains and 9 stand-in engines of 8 slots, once for each policy:
 #   fifo   round robin, first come first served, queues in the engines
-#   queue  fair queues and picking in each VM, engines not shared between VMs
-#   fair   the whole policy: each VM keeps to its part of the engines
-# Part 1, overload: one account floods, one large and six small ones ask for less
-# than their share. Part 2, faults: below saturation a VM, an engine and then a
-# failure domain (its VMs and engines) are killed.
+#   queue  fair queues and choice of the engine in each VM, without quotas of VMs
+#   fair   the full policy: each VM uses only its quota of the engines
+# Part 1, overload: one account sends far more than its share, one large and six
+# small accounts demand less than theirs. Part 2, faults: below saturation, a VM, an
+# engine and then a failure domain (its VMs and engines) are killed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 # shellcheck source=scripts/fleet.sh
@@ -14,8 +14,8 @@
 policies=${POLICIES:-fifo queue fair}
 seconds=${SECONDS_EACH:-10}
 fault_seconds=26
-# Sizes of answers: skewed under overload; more even with faults, so that the
-# service of a second varies little by itself.
+# Sizes of answers: skewed under overload; more even with faults, so that the tokens
+# served per second vary little without a fault.
 skewed=',"maxTokens":128,"sigma":0.7'
 even=',"maxTokens":64,"sigma":0.2'
 
@@ -32,7 +32,7 @@
   start_vms ",\"dispatchPolicy\":\"$1\",\"digestPeriodMillis\":1000" "${vms[@]}"
   accounts=''
 }
-# add_account <name> <share> <rate> <more of the plan's members>
+# add_account <name> <share> <rate> <further JSON members of the account's plan>
 add_account() {
   grant "$1" "$2"
   accounts+="${accounts:+,}{\"name\":\"$1\",\"key\":\"$key\",\"share\":$2,\"rate\":$3,\"groups\":40,\"promptWords\":60$4}"
@@ -44,7 +44,7 @@
   for e in "${engines[@]}"; do flags+=(--engine "$e"); done
   "$standin" load --plan "$work/plan.json" "${flags[@]}" >"$3"
 }
-kill_processes() { # ends processes of this script by their IDs
+kill_processes() { # kills processes of this script, given by name
   local name
   for name in "$@"; do kill -KILL "${pid_of[$name]}"; done
 }
@@ -54,7 +54,7 @@
   add_account flood 100 220 "$skewed"
   add_account large 200 70 "$skewed"
   for n in 1 2 3 4 5; do add_account "small$n" 100 3 "$skewed"; done
-  # The last small account comes through one VM only.
+  # The last small account sends its requests to one VM only.
   add_account small6 100 3 "$skewed,\"entries\":1"
   sleep 3
   run_load "$seconds" '' "$work/load-$policy.json"
@@ -93,9 +93,9 @@
 row 'requests waiting in each engine' load '.engineQueue*10|round/10'
 row 'prefix-cache hits, %' load '.cacheHits|round'
 row 'tokens served' load '.tokens'
-row 'requests refused with a time to come back' load '[.accounts[].refused]|add'
+row 'requests refused with a time to retry after' load '[.accounts[].refused]|add'
 row 'requests of small accounts refused or failed' load '[.accounts[]|select(.name|startswith("small"))|.refused+.failed]|add'
-printf 'faults below saturation (recovery: 80 %% of the service before)\n'
+printf 'faults below saturation (recovery: 80 %% of the service before the fault)\n'
 row 'recovery after killing a VM, s' faults '.faults[0].recoverySeconds'
 row 'recovery after killing an engine, s' faults '.faults[1].recoverySeconds'
 row 'recovery after killing a failure domain, s' faults '.faults[2].recoverySeconds'
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,5 +1,5 @@
-# Functions to run a fleet on loopback; bench.sh and slopes.sh source this file.
-# Every process that is started is ended when the script exits.
+# Functions to run a fleet on loopback; bench.sh, bench-rollouts.sh and slopes.sh
+# source this file. All processes that they start are killed when the script exits.
 standin=bin/dogwoodpond-standin
 ctl=bin/dogwoodpondctl
 daemon=bin/dogwoodpondd
@@ -33,7 +33,7 @@
 
 post() { "$standin" post "$@" >/dev/null; }
 
-# start_standin <name> <arguments>: starts one and sets bound to its address.
+# start_standin <name> <arguments>: starts a stand-in and sets $bound to its address.
 start_standin() {
   local name=$1
   shift
@@ -59,8 +59,9 @@
   post "$platform/stand-in/upstreams" "{\"id\":\"$name\",\"kind\":\"engine\",\"failureDomain\":\"$domain\",\"address\":\"$bound\",\"model\":\"berry-1\",\"slots\":8}"
 }
 
-# start_vms <settings> <name:failure domain ...>: starts daemons with further
-# settings, written as JSON members with a leading comma, and lists them.
+# start_vms <settings> <name:failure domain ...>: starts daemons and registers them
+# with the platform. <settings> are further settings as JSON members, each with a
+# leading comma.
 start_vms() {
   local more=$1 spec name domain hash line callers operators peers
   shift
@@ -86,7 +87,7 @@
   done
 }
 
-# grant <account> <share>: makes a contract and sets key to a key of it.
+# grant <account> <share>: applies a contract and sets $key to a new key of the account.
 grant() {
   echo "{\"account\":\"$1\",\"share\":$2,\"staleness\":{\"maxVersions\":2,\"maxSeconds\":600}}" >"$work/contract.json"
   "$ctl" contract apply "$work/contract.json" >/dev/null
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs each fuzz target for a fixed number of inputs, so that the run has the
-# same length on every machine.
+# Runs each fuzz target for a fixed number of inputs, so that the work is the same on
+# every machine.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 executions=20000x
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Writes the generated code: protobuf and drpc by protoc, the assembly by wire.
-# With --check it fails when that changes a committed file.
+# Writes the generated code: protobuf and drpc by protoc, dependency injection by
+# wire. With --check it fails if a generated file changes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mkdir -p bin
--- a/scripts/matrix.sh
+++ b/scripts/matrix.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Runs the fault matrix: every fault at every step of each protocol, and pairs of
-# them, in virtual time. Prints the cases run and failed, one line a protocol.
+# faults, in virtual time. Prints the cases run and failed, one line per protocol.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=$(mktemp)
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Measures the slopes that docs/CAPACITY.md cites, on real daemons on loopback.
-# For each size: what control costs each VM (processor time, memory, bytes) with
-# one small request in 5 s, so that engines' loads are polled; what the fleet asks
-# of the store; and how long an edit takes until the operator's answer names every
-# VM. Then, at 9 VMs, what a request, a token and a sample cost. ASK=no leaves out
-# the small requests.
+# Measures how costs grow with the fleet, as cited in docs/CAPACITY.md, on real daemons
+# on loopback. For each size: the cost of control per VM (processor time, memory,
+# bytes) with one small request in 5 s, so that the loads of engines are polled; the
+# store calls of the fleet; and the time until the answer to an edit lists every VM.
+# Then, at 9 VMs, the cost of a request, a token and a sample. ASK=no leaves out the
+# small requests and the measurement at 9 VMs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 # shellcheck source=scripts/fleet.sh
@@ -92,14 +92,15 @@
   fleet_stop
 done
 
-# Straight lines through the sizes, carried on to the target: memory by VMs, and
-# the busiest VM, which orders for its failure domain, by the engines there (two
-# for each VM, in three failure domains). The other columns level off or fall.
+# Linear extrapolation from the measured sizes to the target: memory by VMs, and the
+# processor time of the busiest VM, which sends the orders of its failure domain, by
+# the engines there (two for each VM, in three failure domains). The other columns
+# level off or fall.
 awk -v vms="$target" -v engines="$target_engines" '
   function carry(sx, sy, sxx, sxy, x,   b) { b = (NR * sxy - sx * sy) / (NR * sxx - sx * sx); return (sy - b * sx) / NR + b * x }
   { e = 2 * $1 / 3; x += $1; xx += $1 * $1; ee += e * e; es += e; m += $4; xm += $1 * $4; b += $3; eb += e * $3 }
   END {
-    printf "carried on: %.0f MiB at %d VMs; busiest VM %.2f %% with %d engines in its failure domain\n", carry(x, m, xx, xm, vms), vms, carry(es, b, ee, eb, engines), engines
+    printf "extrapolated: %.0f MiB at %d VMs; busiest VM %.2f %% with %d engines in its failure domain\n", carry(x, m, xx, xm, vms), vms, carry(es, b, ee, eb, engines), engines
   }' "$rows"
 if [ "${ASK:-yes}" = no ]; then exit; fi
 
@@ -116,14 +117,14 @@
 cpu=$(($(cpu_ticks) - cpu)) span=$(($(date +%s%N) - begun))
 jq -r '.accounts[0] | "\(.answered) \(.tokens)"' "$work/load.json" | awk -v cpu="$cpu" -v ticks="$ticks" -v idle="$idle" -v span="$span" '{
   used = (cpu - idle * span) / ticks
-  printf "requests: %d answered, %d tokens: %.2f ms of processor time for each request, %.1f us for each token\n", $1, $2, 1000 * used / $1, 1e6 * used / $2
+  printf "requests: %d answered, %d tokens: %.2f ms of processor time per request, %.1f us per token\n", $1, $2, 1000 * used / $1, 1e6 * used / $2
 }'
 step() { # step <samples>: reads and writes of the store during one step
   local r c
   r=$(table_count reads) c=$(table_count commits)
   DOGWOODPOND_KEY=$key "$standin" trainer "${flags[@]}" --step "slopes-$1" --groups $(($1 / 8)) --samples 8 --max-tokens 32 >"$work/step.json"
   jq -r '"\(.samples) \(.millis)"' "$work/step.json" | awk -v r="$(($(table_count reads) - r))" -v c="$(($(table_count commits) - c))" '{
-    printf "step of %d samples in %.1f s: %d reads and %d writes at the store, those of the idle fleet included\n", $1, $2 / 1000, r, c
+    printf "step of %d samples in %.1f s: %d store reads and %d store writes, including those of the idle fleet\n", $1, $2 / 1000, r, c
   }'
 }
 step 64
--- a/scripts/smoke.sh
+++ b/scripts/smoke.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Runs the whole path on loopback: a platform, engines and services, and 9
-# daemons in 3 failure domains; then a contract, a key, a generate call, a keyed
-# service call and a step of grouped samples, with its owner killed in the
-# middle of the step.
-#   --end   ends by itself and fails on any difference from the expected counts
-#   --stay  stays up until Ctrl-C
+# End-to-end test on loopback: a platform, engines and services, and 9 daemons in
+# 3 failure domains; then a contract, a key, generate calls, a service call with an
+# idempotency key, and a step of grouped samples whose owner is killed while the step
+# runs.
+#   --end   exits at the end; fails on any difference from the expected counts
+#   --stay  checks the same, then keeps the processes running until Ctrl-C
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=${1:---end}
@@ -30,7 +30,7 @@
   tail -5 "$1" >&2 || true
   exit 1
 }
-# start_standin <name> <arguments>: starts one and sets bound to its address.
+# start_standin <name> <arguments>: starts a stand-in and sets $bound to its address.
 start_standin() {
   local name=$1
   shift
@@ -135,7 +135,8 @@
   request_of[${vms[$i]}]=$(grep -oE '"requestId": ?"[^"]+"' "$work/answer.json" | grep -oE '[0-9a-f-]{36}')
 done
 
-# One keyed service call, repeated through another daemon: it runs once.
+# One service call with an idempotency key, repeated through another daemon: it must be
+# executed once.
 charge() {
   "$standin" post --header "Authorization: Bearer $DOGWOODPOND_KEY" --header 'Idempotency-Key: tree-17' \
     "http://$1/v1/services/desk/deposit" '{"tree":17,"cents":2500}'
@@ -145,9 +146,9 @@
 expect 'the repeated charge' "$second" "$first"
 served=$((served + 1))
 
-# A step of grouped samples; the daemon that owns it is killed in the middle,
-# and another one takes the step over.
-owner_of() { # owner_of <step>: the latest VM that said it owns the step
+# A step of grouped samples. The daemon that owns it is killed while the step runs, and
+# another daemon must take it over.
+owner_of() { # owner_of <step>: the VM that reported last that it owns the step
   "$ctl" timeline --step "$1" 2>/dev/null | grep DWP-1402 | tail -1 | grep -oE 'vm-[a-z][0-9]' | head -1
 }
 flags=()
@@ -167,18 +168,18 @@
 sleep 0.5
 kill -KILL "${vm_pid[$owner]}"
 for vm in "${vms[@]}"; do
-  # The killed daemon took its events with it: show another one's request.
+  # The events of the killed daemon are lost, so show a request that another one got.
   [ "$vm" = "$owner" ] || { operator=${vm_operator[$vm]}; request=${request_of[$vm]}; }
 done
 export DOGWOODPOND_ADDRESS=$operator
 if ! wait "$trainer"; then
-  echo "smoke: FAILED: the step did not end" >&2
+  echo "smoke: FAILED: the trainer of the step failed" >&2
   cat "$work/trainer.json" >&2
   exit 1
 fi
 successor=$(owner_of round-1 || true)
 if [ -z "$successor" ] || [ "$successor" = "$owner" ]; then
-  echo "smoke: FAILED: nobody took the step over from $owner" >&2
+  echo "smoke: FAILED: no daemon took the step over from $owner" >&2
   cat "$work/trainer.json" >&2
   exit 1
 fi
@@ -201,11 +202,11 @@
   ran=$("$standin" post --method GET "http://$desk/stand-in/counts" | field started)
   runs=$((runs + ran))
 done
-expect 'runs of the charge that was sent twice' "$runs" 1
+expect 'executions of the charge that was sent twice' "$runs" 1
 
-# The whole path as the tool shows it.
-expect 'the outcome that explain tells' "$("$ctl" --output json explain "$request" | grep -oE '"outcome": "[a-z ]+"')" '"outcome": "answered"'
-expect 'the step that the tool lists' "$("$ctl" steps strathallan | awk '/round-1/ {print $4, $5}')" '256 256'
+# The same requests, step and edits as dogwoodpondctl shows them.
+expect 'the outcome that explain prints' "$("$ctl" --output json explain "$request" | grep -oE '"outcome": "[a-z ]+"')" '"outcome": "answered"'
+expect 'the step in the list of steps' "$("$ctl" steps strathallan | awk '/round-1/ {print $4, $5}')" '256 256'
 expect 'edits in the history' "$("$ctl" contract history strathallan | grep -c '^revision ')" 2
 reported=
 for _ in $(seq 300); do
@@ -214,13 +215,13 @@
   sleep 0.1
 done
 if [ "$reported" = 0 ]; then
-  echo "smoke: FAILED: no usage report came" >&2
+  echo "smoke: FAILED: no usage report after 300 tries" >&2
   exit 1
 fi
 
-echo "what operators see:"
+echo "status as operators see it:"
 "$ctl" status
-echo "what was served and reported so far:"
+echo "steps and usage reports so far:"
 "$ctl" steps
 "$ctl" usage
 echo "time line of request $request over all processes:"
@@ -229,12 +230,12 @@
 "$ctl" explain "$request"
 echo "smoke: ok: $served requests served, $samples samples delivered once each with their weight versions, ${#vms[@]} daemons (the owner $owner killed, $successor took over), $upstreams upstreams"
 if [ "$mode" = --stay ]; then
-  # What another terminal needs; README.md's tour reads it.
+  # Environment for another terminal; the tour in README.md reads this file.
   cat >bin/run.env <<J
 export PATH="$PWD/bin:\$PATH"
 export DOGWOODPOND_ADDRESS=$operator DOGWOODPOND_TOKEN=$token DOGWOODPOND_WHO="\${USER:-tour}"
 export CALLERS=${entries[0]}
 J
-  echo "up until Ctrl-C; in another terminal: . bin/run.env"
+  echo "running until Ctrl-C; in another terminal: . bin/run.env"
   wait
 fi
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs the fault soak by hand: scripts/soak.sh [SEEDS] [SECONDS]. SEEDS is a range or a
-# list, by default 16 fresh ones; logs of all VMs go to out/soak. At most 4 fleets run
-# at once, some 30 processes.
+# Runs the fault soak: scripts/soak.sh [SEEDS] [SECONDS]. SEEDS is a range or a list, by
+# default 16 random ones in a row; the logs of all VMs go to out/soak. At most 4 fleets
+# run at once, some 30 processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 fresh=$((RANDOM * 32768 + RANDOM + 1000))
--- a/scripts/spec.sh
+++ b/scripts/spec.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Explores every model in spec/ with Spin. Each model must hold, and each of its
-# weakened forms, named by a line "/* weaken: NAME */", must fail.
+# Explores every model in spec/ with Spin. Each model must hold. Each of its weakened
+# forms, which a line "weaken: NAME" in the model names, must violate an assertion.
 set -euo pipefail
 cd "$(dirname "$0")/../spec"
 root=$PWD
 shopt -s nullglob
 for model in *.pml; do
   work=$(mktemp -d)
-  explore() { # explore <label> [-D...]: prints pan's output
+  explore() { # explore [-D...]: prints the output of pan
     (cd "$work" && spin -a "${@}" "$root/$model" >/dev/null && gcc -O2 -w -DSAFETY -DCOLLAPSE -o pan pan.c && ./pan -m1000000 -w24)
   }
   out=$(explore)
--- a/scripts/unit.sh
+++ b/scripts/unit.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs every test with the race detector, but those that KNOWN-RED.txt lists
-# by name in its first column; a case of a test is named as TEST/CASE.
+# Runs every test with the race detector, except those that KNOWN-RED.txt names in its
+# first column; a subtest is named TEST/SUBTEST.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 skip=''
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -24,8 +24,8 @@
 #define TRIES 3		/* requests with the same key over all VMs */
 #define FREE 0
 
-/* The row of the claim: its nonce, its version (versions counts them), and whether
- * the outcome is stored. */
+/* The row of the claim: the nonce of the claimer, FREE if there is no row, the row
+ * version, the newest version so far, and whether the outcome is stored. */
 byte claimer, version, versions;
 bit outcome;
 
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -149,7 +149,8 @@
 	byte v, h, e;
 	bit done, known;
 
-	/* The nodes are symmetric; node 1 waits for a write of node 0 to reduce the states. */
+	/* The nodes are symmetric, so node 1 starts after the first write of node 0. This
+	 * reduces the number of states. */
 end:	atomic { id == 0 || version > 0 -> owners++; me = owners }
 
 endcontend:
--- a/spec/score.pml
+++ b/spec/score.pml
@@ -42,7 +42,7 @@
 byte texts, calls, failures, lost;
 byte unsaved[VMS];
 
-/* No failures but the lost ones are missing from the count. Otherwise an item that fails
+/* The count contains all failures except the lost ones. Otherwise an item that fails
  * each time would be sent to the service again after every change of owner. */
 #define COUNT_HOLDS (failures == count + lost)
 
--- a/spec/turn.pml
+++ b/spec/turn.pml
@@ -17,21 +17,21 @@
  */
 
 #define VMS 3		/* ranked for the engine by number, 0 first */
-#define GRACE 3	/* ticks for which the step of an owner must be open before it may be first */
+#define GRACE 3		/* ticks for which the step of an owner must be open before it may be first */
 #define NEVER 15
 
 #ifdef WEAKEN_OLD_STATES
 #define MAX_AGE 5
 #else
-#define MAX_AGE 2		/* maximum age of the states of a first sender; below GRACE */
+#define MAX_AGE 2	/* maximum age of the states of a first sender; below GRACE */
 #endif
 
-/* The ticks since each VM's step was opened, counted up to GRACE, and since the VM read
- * the states, counted up to MAX_AGE + 1. */
+/* The ticks since each VM's step was opened, counted up to GRACE, or NEVER; and since the
+ * VM read the states, counted up to MAX_AGE + 1. */
 byte openFor[VMS], readFor[VMS];
 
-/* The ticks since each VM learned of each step. Only a weakened form uses the number;
- * else it matters only whether it is NEVER. */
+/* The ticks since each VM learned of each step, or NEVER. Only a weakened form uses the
+ * number of ticks. */
 byte knownFor[VMS * VMS];
 
 byte firstSenders;
