--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -157,8 +157,8 @@
 	return chunk, nil
 }
 
-// Load reads the engine's load report. It fails with *fault.UpstreamFailed.
-func (c *Client) Load(ctx context.Context, address string) (Load, error) {
+// LoadReport reads the engine's load report. It fails with *fault.UpstreamFailed.
+func (c *Client) LoadReport(ctx context.Context, address string) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathLoad, nil)
--- a/internal/processtest/leaving_test.go
+++ b/internal/processtest/leaving_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/standin"
 )
 
@@ -27,8 +27,8 @@
 	l.run("unkeyed", 4, l.unkeyed)
 	engine, desk := f.engines[0], f.desks[0]
 	await(t, "both get work", func() bool { return f.counts(engine).Started > 10 && f.counts(desk).Started > 10 })
-	for _, u := range []platform.Upstream{engine.Upstream, desk.Upstream} {
-		u.State = platform.UpstreamLeaving
+	for _, u := range []platformapi.Upstream{engine.Upstream, desk.Upstream} {
+		u.State = platformapi.UpstreamLeaving
 		f.setUpstream(u)
 	}
 	time.Sleep(leavingGrace)
--- a/internal/processtest/network_test.go
+++ b/internal/processtest/network_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // network carries everything that leaves a failure domain, so that a test can
@@ -125,8 +125,8 @@
 func (n *network) rewrite(domain, path string, answer []byte) []byte {
 	var changed any
 	switch path {
-	case platform.PathVMs:
-		var vms []platform.VM
+	case platformapi.PathVMs:
+		var vms []platformapi.VM
 		if json.Unmarshal(answer, &vms) != nil {
 			return answer
 		}
@@ -134,8 +134,8 @@
 			vms[i].PeerAddress = n.relay(pair{domain, v.FailureDomain}, v.PeerAddress)
 		}
 		changed = vms
-	case platform.PathUpstreams:
-		var upstreams []platform.Upstream
+	case platformapi.PathUpstreams:
+		var upstreams []platformapi.Upstream
 		if json.Unmarshal(answer, &upstreams) != nil {
 			return answer
 		}
--- a/internal/upstream/directory.go
+++ b/internal/upstream/directory.go
@@ -6,23 +6,23 @@
 import (
 	"sync/atomic"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Directory holds the list of known upstreams. Readers take no lock.
 type Directory struct {
-	current atomic.Pointer[[]platform.Upstream]
+	current atomic.Pointer[[]platformapi.Upstream]
 }
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
 	d := &Directory{}
-	d.current.Store(&[]platform.Upstream{})
+	d.current.Store(&[]platformapi.Upstream{})
 	return d
 }
 
 // Load returns the known upstreams. The caller must not change the slice.
-func (d *Directory) Load() []platform.Upstream { return *d.current.Load() }
+func (d *Directory) Load() []platformapi.Upstream { return *d.current.Load() }
 
 // Replace replaces the list of known upstreams.
-func (d *Directory) Replace(list []platform.Upstream) { d.current.Store(&list) }
+func (d *Directory) Replace(list []platformapi.Upstream) { d.current.Store(&list) }
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dogwoodpond/internal/engine"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Report is an engine's load report and the time when it was received.
@@ -72,7 +72,7 @@
 
 // LoadReader reads the load report of an engine.
 type LoadReader interface {
-	Load(ctx context.Context, address string) (engine.Load, error)
+	LoadReport(ctx context.Context, address string) (engine.Load, error)
 }
 
 // Poller polls the load reports of engines.
@@ -82,11 +82,11 @@
 	interval time.Duration
 	// engines returns the engines to poll: those to which this VM may send requests.
 	// Their number does not grow with the fleet.
-	engines func() []platform.Upstream
+	engines func() []platformapi.Upstream
 }
 
 // NewPoller returns a poller that polls each engine once per interval.
-func NewPoller(reader LoadReader, loads *Loads, interval time.Duration, engines func() []platform.Upstream) *Poller {
+func NewPoller(reader LoadReader, loads *Loads, interval time.Duration, engines func() []platformapi.Upstream) *Poller {
 	return &Poller{reader: reader, loads: loads, interval: interval, engines: engines}
 }
 
@@ -108,13 +108,13 @@
 	}
 }
 
-func (p *Poller) poll(ctx context.Context, u platform.Upstream) {
+func (p *Poller) poll(ctx context.Context, u platformapi.Upstream) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(rand.N(p.interval)):
 	}
-	load, err := p.reader.Load(ctx, u.Address)
+	load, err := p.reader.LoadReport(ctx, u.Address)
 	if err != nil {
 		p.loads.noteMiss(u.ID)
 		return
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -10,7 +10,7 @@
 sums() { files | xargs -r sha256sum; }
 
 before=$(sums)
-PATH="$PWD/bin:$PATH" protoc --go_out=paths=source_relative:. --go-drpc_out=paths=source_relative:. internal/peer/peerpb/peer.proto internal/carry/carrypb/carry.proto
+PATH="$PWD/bin:$PATH" protoc --go_out=paths=source_relative:. --go-drpc_out=paths=source_relative:. internal/peer/peerpb/peer.proto internal/relay/carrypb/carry.proto
 if [ -f internal/daemon/wire.go ]; then
   bin/wire gen ./internal/daemon ./platform
 fi
