--- a/internal/processtest/bench_test.go
+++ b/internal/processtest/bench_test.go
@@ -10,11 +10,11 @@
 	"dogwoodpond/internal/engine"
 )
 
-// BenchmarkAddedLatency makes the same completion directly at an engine process
-// and through a daemon process, in turn. It reports both in microseconds, the
-// difference and the ratio.
+// BenchmarkAddedLatency alternately requests a completion directly from an engine
+// process and the same completion through a daemon process. It reports p50 and p99
+// of both latencies, their differences in microseconds and their ratios.
 func BenchmarkAddedLatency(b *testing.B) {
-	f := startFleet(b, shape{domains: []string{"a"}, vms: 1, engines: 1, engineArgs: []string{"--token-time", "0s", "--prefill-time", "0s"}})
+	f := startFleet(b, topology{domains: []string{"a"}, vms: 1, engines: 1, engineArgs: []string{"--token-time", "0s", "--prefill-time", "0s"}})
 	key := f.grant(testContract("strathallan"))
 	completion := fmt.Appendf(nil, `{"request_id":"r","model":%q,"prompt":%q,"max_tokens":16,"stream":true}`, model, streamPrompt)
 	var direct, through []time.Duration
--- a/internal/processtest/control_test.go
+++ b/internal/processtest/control_test.go
@@ -18,15 +18,15 @@
 func (f *fleet) publish() int64 {
 	f.t.Helper()
 	var published platform.WeightVersion
-	_, answer := f.call(http.MethodPost, f.platURL+standin.PathPublish, fmt.Appendf(nil, `{"model":%q}`, model), nil)
+	_, answer := f.call(http.MethodPost, f.platformURL+standin.PathPublish, fmt.Appendf(nil, `{"model":%q}`, model), nil)
 	if err := json.Unmarshal(answer, &published); err != nil {
 		f.t.Fatal(err)
 	}
 	return published.Version
 }
 
-// serve reports whether every engine serves a weight version.
-func (f *fleet) serve(version int64) bool {
+// enginesServe reports whether every engine serves a weight version.
+func (f *fleet) enginesServe(version int64) bool {
 	for _, e := range f.engines {
 		var load engine.Load
 		_, answer := f.call(http.MethodGet, "http://"+e.Address+engine.PathLoad, nil, nil)
@@ -37,11 +37,12 @@
 	return true
 }
 
-// holder returns the VM that the store names as a lease's holder.
-func (f *fleet) holder(asked *vm, lease string) *vm {
+// leaseHolder returns the holder of a lease according to the status of the queried
+// VM, or nil if there is none.
+func (f *fleet) leaseHolder(queried *vm, lease string) *vm {
 	f.t.Helper()
 	var status operator.Status
-	_, answer := f.call(http.MethodGet, "http://"+asked.operators+"/v1/status", nil, func(h http.Header) {
+	_, answer := f.call(http.MethodGet, "http://"+queried.operatorAddress+"/v1/status", nil, func(h http.Header) {
 		h.Set("Authorization", "Bearer "+operatorToken)
 	})
 	if err := json.Unmarshal(answer, &status); err != nil {
@@ -49,7 +50,7 @@
 	}
 	for _, l := range status.Leases {
 		for _, v := range f.vms {
-			if l.Name == lease && v.id == holderName(l.Holder) {
+			if l.Name == lease && v.id == holderVM(l.Holder) {
 				return v
 			}
 		}
@@ -57,8 +58,9 @@
 	return nil
 }
 
-// holderName cuts the campaign's nonce off a holder.
-func holderName(holder string) string {
+// holderVM returns the ID of the VM in a holder's identity, which ends with the
+// nonce of a campaign.
+func holderVM(holder string) string {
 	for i, r := range holder {
 		if r == '/' {
 			return holder[:i]
@@ -67,40 +69,40 @@
 	return holder
 }
 
-// awaitHolder waits until another VM than the given one holds a lease.
-func (f *fleet) awaitHolder(lease string, not *vm) *vm {
+// awaitHolder waits until a VM other than the excluded one holds a lease.
+func (f *fleet) awaitHolder(lease string, excluded *vm) *vm {
 	f.t.Helper()
 	var found *vm
 	await(f.t, "a holder of "+lease, func() bool {
-		for _, asked := range f.vms {
-			if asked != not {
-				found = f.holder(asked, lease)
+		for _, queried := range f.vms {
+			if queried != excluded {
+				found = f.leaseHolder(queried, lease)
 				break
 			}
 		}
-		return found != nil && found != not
+		return found != nil && found != excluded
 	})
 	return found
 }
 
-// The VM that orders weights is paused for longer than its lease, another takes
-// over and orders newer weights, and the first goes on where it stopped. An
-// order of it would set engines back to old weights; those that ignore fencing
-// numbers would obey, and samples would go stale unseen.
-func TestPausedHolderSendsNoOrderAfterItsLease(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "300ms"}})
+// The holder of the domain lease, which orders weight loads, is paused until its
+// lease has expired. A new holder orders newer weights, and then the previous
+// holder resumes. If it sent its outdated orders, engines that don't check fencing
+// tokens would return to old weights, and samples would be stale unnoticed.
+func TestPausedHolderSendsNoOrderAfterLeaseExpiry(t *testing.T) {
+	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "300ms"}})
 	f.grant(testContract("strathallan"))
 	first := f.awaitHolder("domain/a", nil)
 	second := f.publish()
-	await(t, "the first roll-out", func() bool { return f.serve(second) })
+	await(t, "the first weight update", func() bool { return f.enginesServe(second) })
 
 	third := f.publish()
 	time.Sleep(200 * time.Millisecond)
 	first.signal(t, syscall.SIGSTOP)
 	f.awaitHolder("domain/a", first)
-	await(t, "the successor's roll-out", func() bool { return f.serve(third) })
-	// One engine fails every swap, so that whoever believes to be in charge keeps
-	// ordering.
+	await(t, "the new holder's weight update", func() bool { return f.enginesServe(third) })
+	// One engine fails every weight load, so that every VM that considers itself
+	// the holder keeps sending orders.
 	f.addFault("http://"+f.engines[0].Address, standin.Fault{Path: engine.PathOrders, Mode: standin.FaultFailSwap})
 	fourth := f.publish()
 	time.Sleep(2 * time.Second)
@@ -108,18 +110,18 @@
 	first.find(t, `DWP-1203`)
 	time.Sleep(2 * time.Second)
 	f.clearFaults("http://" + f.engines[0].Address)
-	await(t, "the last roll-out", func() bool { return f.serve(fourth) })
+	await(t, "the last weight update", func() bool { return f.enginesServe(fourth) })
 	for _, e := range f.engines {
 		if c := f.counts(e); c.StaleOrders != 0 {
-			t.Errorf("%s got %d orders of a holder that had lost its lease", e.ID, c.StaleOrders)
+			t.Errorf("%s received %d orders from a holder whose lease had expired", e.ID, c.StaleOrders)
 		}
 	}
 }
 
-// The VM that orders weights is killed in the middle of a roll-out. Engines that
-// it had not reached would keep their old weights.
-func TestKilledHolderIsFollowed(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "500ms"}})
+// The VM that orders weight loads is killed during a weight update. Without a new
+// holder, engines that had not received an order would keep their old weights.
+func TestNewHolderCompletesWeightUpdateOfKilledHolder(t *testing.T) {
+	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "500ms"}})
 	f.grant(testContract("strathallan"))
 	first := f.awaitHolder("domain/a", nil)
 	time.Sleep(1500 * time.Millisecond)
@@ -127,24 +129,25 @@
 	time.Sleep(300 * time.Millisecond)
 	killed := time.Now()
 	first.kill()
-	await(t, "the successor's roll-out", func() bool { return f.serve(version) })
-	t.Logf("all engines served the version %v after the kill, the lease's term is 2s", time.Since(killed).Round(time.Millisecond))
+	await(t, "the new holder's weight update", func() bool { return f.enginesServe(version) })
+	t.Logf("all engines served the version %v after the kill; the term of the lease is 2s", time.Since(killed).Round(time.Millisecond))
 }
 
 // reports returns the usage reports that billing accepted.
 func (f *fleet) reports() []platform.UsageReport {
 	f.t.Helper()
 	var accepted []platform.UsageReport
-	_, answer := f.call(http.MethodGet, f.platURL+standin.PathReportLog, nil, nil)
+	_, answer := f.call(http.MethodGet, f.platformURL+standin.PathReportLog, nil, nil)
 	if err := json.Unmarshal(answer, &accepted); err != nil {
 		f.t.Fatal(err)
 	}
 	return accepted
 }
 
-// reported adds up everything that billing accepted for an account, and fails
-// the test if a window was accepted twice.
-func (f *fleet) reported(account string) (requests int64, incomplete bool) {
+// reportedRequests returns the number of requests in all reports that billing
+// accepted for an account, and whether a report was incomplete. The test fails if
+// a window was accepted twice.
+func (f *fleet) reportedRequests(account string) (requests int64, incomplete bool) {
 	f.t.Helper()
 	seen := make(map[int64]bool)
 	for _, r := range f.reports() {
@@ -161,13 +164,14 @@
 	return requests, incomplete
 }
 
-// VMs serve, one is killed, one is stopped as planned, and billing loses the
-// replies to some reports. The customer must be billed for each served request
-// once, and told that a bill may lack what the killed VM had not written yet.
-func TestUsageIsReportedOverAKilledVM(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a"}, vms: 3, engines: 2})
+// One VM is killed, one is stopped as planned, and billing loses the replies to
+// some reports. The client account must be billed once for each served request,
+// and the report must be marked incomplete, because it may lack usage that the
+// killed VM had not flushed.
+func TestUsageIsReportedAfterVMIsKilled(t *testing.T) {
+	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 2})
 	key := f.grant(testContract("strathallan"))
-	f.addFault(f.platURL, standin.Fault{Path: platform.PathReports, Mode: standin.FaultLoseReply, Count: 2})
+	f.addFault(f.platformURL, standin.Fault{Path: platform.PathReports, Mode: standin.FaultLoseReply, Count: 2})
 	const calls = 10
 	served := int64(0)
 	for _, v := range f.vms {
@@ -179,33 +183,33 @@
 			served++
 		}
 	}
-	time.Sleep(3 * time.Second) // The flush period is 1 s: the VM to be killed has written by now.
+	time.Sleep(3 * time.Second) // The flush interval is 1 s, so the VM to be killed has flushed its usage.
 	killed, stopped := f.vms[2], f.vms[1]
 	killed.kill()
 	stopped.signal(t, syscall.SIGTERM)
 	if err := stopped.awaitExit(t); err != nil {
-		t.Errorf("the planned stop: %v", err)
+		t.Errorf("the planned stop failed: %v", err)
 	}
 	f.vms = f.vms[:1]
-	await(t, "every request is reported", func() bool {
-		requests, _ := f.reported("strathallan")
+	await(t, "the report of every request", func() bool {
+		requests, _ := f.reportedRequests("strathallan")
 		return requests >= served
 	})
-	await(t, "the killed VM's window is reported", func() bool {
-		_, incomplete := f.reported("strathallan")
+	await(t, "an incomplete report for the killed VM's window", func() bool {
+		_, incomplete := f.reportedRequests("strathallan")
 		return incomplete
 	})
-	time.Sleep(6 * time.Second) // One more window: nothing may come on top.
-	if requests, _ := f.reported("strathallan"); requests != served {
+	time.Sleep(6 * time.Second) // After one more window the total must be unchanged.
+	if requests, _ := f.reportedRequests("strathallan"); requests != served {
 		t.Errorf("%d requests were reported, %d were served", requests, served)
 	}
 }
 
-// Work waits although the contract pays for more engines, and the reply to the
-// order is lost. The order must be given once, and never one more than the
-// contract pays for.
+// Requests are queued, the contract pays for two more engines, and the reply to
+// an order is lost. The order must not be executed twice, and the engines in use
+// must not cost more than the contract allows.
 func TestUpstreamsAreOrderedWithinTheContract(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a"}, vms: 2, engines: 1, engineArgs: []string{"--token-time", "20ms", "--slots", "2"}})
+	f := startFleet(t, topology{domains: []string{"a"}, vms: 2, engines: 1, engineArgs: []string{"--token-time", "20ms", "--slots", "2"}})
 	c := testContract("strathallan")
 	c.Spending.CentsPerHour = 250
 	key := f.grant(c)
@@ -216,7 +220,7 @@
 		}
 		f.startUpstream(u, []string{"engine"})
 	}
-	f.addFault(f.platURL, standin.Fault{Path: platform.PathOrders, Mode: standin.FaultLoseReply, Count: 1})
+	f.addFault(f.platformURL, standin.Fault{Path: platform.PathOrders, Mode: standin.FaultLoseReply, Count: 1})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	for range 24 {
@@ -234,7 +238,7 @@
 	}
 	running := func() int {
 		var listed []platform.Upstream
-		_, answer := f.call(http.MethodGet, f.platURL+platform.PathUpstreams, nil, nil)
+		_, answer := f.call(http.MethodGet, f.platformURL+platform.PathUpstreams, nil, nil)
 		if err := json.Unmarshal(answer, &listed); err != nil {
 			t.Fatal(err)
 		}
@@ -247,13 +251,13 @@
 		return count
 	}
 	most := 0
-	await(t, "two upstreams run", func() bool {
+	await(t, "two upstreams of the account", func() bool {
 		most = max(most, running())
 		return most == 2
 	})
 	time.Sleep(5 * time.Second)
 	if now := running(); now > 2 {
-		t.Errorf("%d upstreams of 100 cents run, the contract pays for 250", now)
+		t.Errorf("%d upstreams at 100 cents per hour are running, the contract allows 250 cents per hour", now)
 	}
 	close(stop)
 	for range 24 {
--- a/internal/processtest/doc.go
+++ b/internal/processtest/doc.go
@@ -1,4 +1,4 @@
-// Package processtest holds tests of whole fleets: real daemons and stand-ins
-// as separate processes on loopback. Everything lives in its test files;
-// fleet_test.go starts and stops the processes.
+// Package processtest contains end-to-end tests. They run real daemons and
+// stand-ins as separate processes on the loopback interface. The package has only
+// test files; fleet_test.go starts and stops the processes.
 package processtest
--- a/internal/processtest/drain_test.go
+++ b/internal/processtest/drain_test.go
@@ -11,20 +11,22 @@
 	"time"
 )
 
-// balancer picks ready VMs in turn, as seen a little while ago.
+// balancer is a round-robin load balancer over the ready VMs. Its view of them is
+// up to balancerPollInterval old.
 type balancer struct {
 	fleet *fleet
 	next  atomic.Int64
 	view  atomic.Pointer[[]*vm]
 }
 
-// balancerLag is how old the balancer's view of /readyz gets.
-const balancerLag = 300 * time.Millisecond
+// balancerPollInterval is the interval at which the balancer polls /readyz.
+const balancerPollInterval = 300 * time.Millisecond
 
-// newBalancer returns a balancer over the VMs that all returns.
+// newBalancer returns a balancer over the VMs that all returns. It polls them
+// until the test ends.
 func newBalancer(f *fleet, all func() []*vm) *balancer {
 	b := &balancer{fleet: f}
-	b.look(all())
+	b.poll(all())
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	done.Go(func() {
@@ -32,8 +34,8 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(balancerLag):
-				b.look(all())
+			case <-time.After(balancerPollInterval):
+				b.poll(all())
 			}
 		}
 	})
@@ -44,7 +46,7 @@
 	return b
 }
 
-func (b *balancer) look(all []*vm) {
+func (b *balancer) poll(all []*vm) {
 	ready := []*vm{}
 	for _, v := range all {
 		if b.fleet.ready(v) {
@@ -59,8 +61,8 @@
 	return ready[int(b.next.Add(1))%len(ready)]
 }
 
-// load makes calls through a balancer until its stop is closed.
-type load struct {
+// loadGenerator makes calls through a balancer until stop is closed.
+type loadGenerator struct {
 	fleet    *fleet
 	balancer *balancer
 	key      string
@@ -72,12 +74,12 @@
 	failures []string
 }
 
-// callPause bounds the load of one worker.
-const callPause = 10 * time.Millisecond
+// callInterval is the time between two calls of one worker.
+const callInterval = 10 * time.Millisecond
 
-// run repeats a kind of call in a number of workers. The call returns "" or
-// what went wrong.
-func (l *load) run(kind string, workers int, call func(v *vm, n int) string) {
+// run starts workers that repeat a kind of call. The call returns a description
+// of its failure, or "" on success.
+func (l *loadGenerator) run(kind string, workers int, call func(v *vm, n int) string) {
 	for w := range workers {
 		l.workers.Go(func() {
 			for n := 0; ; n++ {
@@ -86,15 +88,15 @@
 					return
 				default:
 				}
-				time.Sleep(callPause)
+				time.Sleep(callInterval)
 				v := l.balancer.pick()
-				l.note(kind, v, call(v, w*1_000_000+n))
+				l.noteCall(kind, v, call(v, w*1_000_000+n))
 			}
 		})
 	}
 }
 
-func (l *load) note(kind string, v *vm, problem string) {
+func (l *loadGenerator) noteCall(kind string, v *vm, problem string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served[kind]++
@@ -103,25 +105,26 @@
 	}
 }
 
-func (l *load) generate(v *vm, n int) string {
+func (l *loadGenerator) generate(v *vm, n int) string {
 	status, answer := l.fleet.generate(v, l.key, fmt.Sprint("prompt ", n), 32)
-	return unlessOK(status, answer)
+	return problemOf(status, answer)
 }
 
-func (l *load) charge(v *vm, n int) string {
+func (l *loadGenerator) charge(v *vm, n int) string {
 	status, answer := l.fleet.charge(v, l.key, fmt.Sprint("tree-", n), fmt.Sprint("charge ", n))
-	return unlessOK(status, answer)
+	return problemOf(status, answer)
 }
 
-func (l *load) unkeyed(v *vm, n int) string {
+// unkeyed makes a call to the service without an idempotency key.
+func (l *loadGenerator) unkeyed(v *vm, n int) string {
 	status, answer := l.fleet.charge(v, l.key, "", fmt.Sprint("confirm ", n))
-	return unlessOK(status, answer)
+	return problemOf(status, answer)
 }
 
-// stream reads a stream that lasts longer than the notice of a drain.
-func (l *load) stream(v *vm, _ int) string { return l.read(v, streamTokens) }
+// stream reads a stream that lasts longer than the notice period of a drain.
+func (l *loadGenerator) stream(v *vm, _ int) string { return l.readStream(v, streamTokens) }
 
-func (l *load) read(v *vm, maxTokens int) string {
+func (l *loadGenerator) readStream(v *vm, maxTokens int) string {
 	s, err := l.fleet.tryStream(v, l.key, maxTokens)
 	if err != nil {
 		return err.Error()
@@ -131,28 +134,30 @@
 		return err.Error()
 	}
 	if !strings.Contains(text.String(), "event: answer") {
-		return "no terminal event: " + tail(text.String())
+		return "the stream ended without a terminal event: " + tail(text.String())
 	}
 	return ""
 }
 
-// streamTokens gives streams of at least three seconds at 2 ms a token; the
-// notice of a drain is two seconds.
+// streamTokens is the maximum number of tokens of a stream. It makes streams last
+// at least three seconds at 2 ms per token; the notice period of a drain is two
+// seconds.
 const streamTokens = 6000
 
-func unlessOK(status int, answer []byte) string {
+// problemOf returns "" for status 200, otherwise the status and the answer.
+func problemOf(status int, answer []byte) string {
 	if status == http.StatusOK {
 		return ""
 	}
 	return fmt.Sprintf("%d %s", status, answer)
 }
 
-// Every VM is replaced, one after the other, while callers are served. A stop
-// that refuses or cuts off even one request loses a reservation or breaks a
-// stream in the middle of its answer.
+// Every VM is stopped as planned and replaced, one after the other, under load. If
+// a stop refused or interrupted a request, a caller would lose a call or receive a
+// truncated stream.
 func TestPlannedStopOfEveryVMFailsNoRequest(t *testing.T) {
-	f := startFleet(t, shape{
-		domains: []string{"a", "b", "c"}, vms: 3, engines: 2, desks: 1,
+	f := startFleet(t, topology{
+		domains: []string{"a", "b", "c"}, vms: 3, engines: 2, services: 1,
 		engineArgs: []string{"--token-time", "2ms", "--slots", "32"},
 	})
 	key := f.grant(testContract("strathallan"))
@@ -163,7 +168,7 @@
 		defer mu.Unlock()
 		return append([]*vm{}, vms...)
 	}
-	l := &load{fleet: f, balancer: newBalancer(f, list), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, list), key: key, stop: make(chan struct{}), served: make(map[string]int)}
 	l.run("stream", 9, l.stream)
 	l.run("generate", 3, l.generate)
 	l.run("keyed", 2, l.charge)
@@ -171,13 +176,13 @@
 	for i, old := range f.vms {
 		old.signal(t, syscall.SIGTERM)
 		if err := old.awaitExit(t); err != nil {
-			t.Errorf("%s ended with %v", old.id, err)
+			t.Errorf("%s exited with %v", old.id, err)
 		}
-		fresh := f.startVM(old.id, old.domain)
-		f.register(fresh)
-		await(t, fresh.id+" is ready", func() bool { return f.ready(fresh) })
+		replacement := f.startVM(old.id, old.domain)
+		f.register(replacement)
+		await(t, replacement.id+" to be ready", func() bool { return f.ready(replacement) })
 		mu.Lock()
-		vms[i] = fresh
+		vms[i] = replacement
 		mu.Unlock()
 	}
 	close(l.stop)
@@ -187,11 +192,11 @@
 		t.Error(problem)
 	}
 	if l.served["stream"] < 2*len(f.vms) {
-		t.Errorf("only %d streams ran", l.served["stream"])
+		t.Errorf("only %d streams were read", l.served["stream"])
 	}
 }
 
-// shortStream reads a stream of some hundred tokens.
-func (l *load) shortStream(v *vm, n int) string {
-	return l.read(v, 400+n%100)
+// shortStream reads a stream whose maximum number of tokens is 400 to 499.
+func (l *loadGenerator) shortStream(v *vm, n int) string {
+	return l.readStream(v, 400+n%100)
 }
--- a/internal/processtest/eviction_test.go
+++ b/internal/processtest/eviction_test.go
@@ -12,12 +12,13 @@
 	"dogwoodpond/internal/standin"
 )
 
-// evictionFleet has one paid engine in each failure domain, and reclaimable ones
-// in the second only.
-func evictionFleet(t *testing.T) (*fleet, string, []upstreamProcess) {
+// startEvictionFleet starts a fleet with one paid engine in each of two failure
+// domains and two reclaimable engines in the second. It returns the fleet, a
+// caller's key and the reclaimable engines.
+func startEvictionFleet(t *testing.T) (*fleet, string, []upstreamProcess) {
 	t.Helper()
 	slow := []string{"--token-time", "10ms"}
-	f := startFleet(t, shape{domains: []string{"a", "b"}, vms: 2, engines: 1, engineArgs: slow})
+	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 1, engineArgs: slow})
 	var reclaimable []upstreamProcess
 	for n := range 2 {
 		u := platform.Upstream{
@@ -31,16 +32,17 @@
 	return f, f.grant(c), reclaimable
 }
 
-// step runs a step of a trainer beside the eviction and returns what it got.
+// step runs one step of a trainer in the background. The channel receives its
+// result.
 func (f *fleet) step(name, key string) <-chan standin.TrainerResult {
 	var entries []string
 	for _, v := range f.vms {
-		entries = append(entries, v.callers)
+		entries = append(entries, v.callerAddress)
 	}
 	done := make(chan standin.TrainerResult, 1)
 	go func() {
 		result, err := standin.NewTrainer(standin.TrainerConfig{
-			Entries: entries, Key: key, Step: name, Model: model, Groups: 16, Samples: 8, MaxTokens: 128, Timeout: patience,
+			Entries: entries, Key: key, Step: name, Model: model, Groups: 16, Samples: 8, MaxTokens: 128, Timeout: waitTimeout,
 		}).Run(f.t.Context())
 		if err != nil {
 			f.t.Errorf("step %s: %v", name, err)
@@ -50,11 +52,12 @@
 	return done
 }
 
-// workTokens adds up a counter of all VMs, by whether upstreams were reclaimable.
+// workTokens returns the sum of dogwoodpond_work_tokens_total over all VMs for
+// upstreams that are reclaimable, or for those that are not.
 func (f *fleet) workTokens(reclaimable bool) (sum float64) {
 	label := fmt.Sprintf("reclaimable=\"%t\"", reclaimable)
 	for _, v := range f.vms {
-		_, answer := f.call(http.MethodGet, "http://"+v.callers+"/metrics", nil, nil)
+		_, answer := f.call(http.MethodGet, "http://"+v.callerAddress+"/metrics", nil, nil)
 		lines := bufio.NewScanner(strings.NewReader(string(answer)))
 		for lines.Scan() {
 			line := lines.Text()
@@ -70,21 +73,24 @@
 	return sum
 }
 
+// checkStep checks that a trainer received every sample of its step once and in
+// order, with a complete text and a weight version for every token.
 func checkStep(t *testing.T, got standin.TrainerResult) {
 	t.Helper()
 	if got.Samples != got.Wanted || got.Repeated != 0 || got.Gaps != 0 || got.Unattributed != 0 || got.Wrong != 0 {
-		t.Errorf("the step ended with %+v", got)
+		t.Errorf("the result of the step is %+v", got)
 	}
 }
 
-// The platform takes back all reclaimable engines of a failure domain, once with
-// a second of notice and once with none, while a step and streams run on them.
-// Lost samples would stall the trainer, and lost streams would cut off callers.
-func TestEvictionOfAFailureDomainLosesNothing(t *testing.T) {
+// The platform evicts all reclaimable engines of a failure domain while a step and
+// streams run on them: in one case with a notice of one second, in the other without
+// notice. A lost sample would stall the trainer, and a lost stream would leave its
+// caller with a truncated answer.
+func TestEvictionOfReclaimableEnginesLosesNothing(t *testing.T) {
 	for _, notice := range []time.Duration{time.Second, 0} {
 		t.Run(fmt.Sprintf("notice %v", notice), func(t *testing.T) {
 			t.Parallel()
-			f, key, reclaimable := evictionFleet(t)
+			f, key, reclaimable := startEvictionFleet(t)
 			step := f.step("round-1", key)
 			var streams []*stream
 			for n := range 8 {
@@ -98,19 +104,19 @@
 					t.Errorf("a stream ended with %q", tail(rest))
 				}
 			}
-			t.Logf("the streams were whole %v after the eviction", time.Since(evicted).Round(time.Millisecond))
+			t.Logf("the streams were complete %v after the eviction", time.Since(evicted).Round(time.Millisecond))
 			result := <-step
 			checkStep(t, result)
-			t.Logf("the step was whole %v after the eviction", time.Since(evicted).Round(time.Millisecond))
-			cheap, paid := f.workTokens(true), f.workTokens(false)
-			t.Logf("%.0f of %.0f tokens (%.0f %%) on reclaimable engines before and around their eviction, none lost",
-				cheap, cheap+paid, 100*cheap/(cheap+paid))
+			t.Logf("the step was complete %v after the eviction", time.Since(evicted).Round(time.Millisecond))
+			reclaimableTokens, paidTokens := f.workTokens(true), f.workTokens(false)
+			t.Logf("%.0f of %.0f tokens (%.0f %%) were generated on reclaimable engines, no sample or stream was lost",
+				reclaimableTokens, reclaimableTokens+paidTokens, 100*reclaimableTokens/(reclaimableTokens+paidTokens))
 		})
 	}
 }
 
-// evict takes engines back as the platform does: the list says so, if there is
-// any notice, and then they are gone.
+// evict stops engines as the platform does. With a notice, it lists them as leaving
+// for that time first; then it kills them.
 func (f *fleet) evict(engines []upstreamProcess, notice time.Duration) {
 	f.t.Helper()
 	if notice > 0 {
@@ -125,15 +131,15 @@
 	}
 }
 
-// No reclaimable engine can be had. Work that may run on them must run on paid
-// ones instead of waiting for what does not come.
+// A contract prefers reclaimable engines, but there are none. The work must run on
+// paid engines instead of waiting for reclaimable ones.
 func TestWorkRunsWithoutReclaimableEngines(t *testing.T) {
 	t.Parallel()
-	f := startFleet(t, shape{domains: []string{"a"}, vms: 2, engines: 2})
+	f := startFleet(t, topology{domains: []string{"a"}, vms: 2, engines: 2})
 	c := testContract("strathallan")
 	c.Reclaimable.Percent = 100
 	checkStep(t, <-f.step("round-1", f.grant(c)))
-	if cheap := f.workTokens(true); cheap != 0 {
-		t.Errorf("%.0f tokens on reclaimable engines that are not there", cheap)
+	if reclaimableTokens := f.workTokens(true); reclaimableTokens != 0 {
+		t.Errorf("%.0f tokens are counted for reclaimable engines, but there are none", reclaimableTokens)
 	}
 }
--- a/internal/processtest/fleet_test.go
+++ b/internal/processtest/fleet_test.go
@@ -23,52 +23,54 @@
 	operatorToken = "process-test-operator"
 )
 
-// shape says what a fleet consists of.
-type shape struct {
+// topology defines the processes of a fleet.
+type topology struct {
 	domains []string
-	// vms, engines and desks are counts per failure domain.
-	vms, engines, desks int
-	// engineArgs go to every engine stand-in.
+	// vms, engines and services are numbers per failure domain.
+	vms, engines, services int
+	// engineArgs are the arguments of every stand-in engine.
 	engineArgs []string
-	// settings change each daemon's settings before the start.
+	// settings, if set, changes the settings of each daemon before its start.
 	settings func(settings map[string]any)
 }
 
-// vm is one daemon.
+// vm is a VM that runs one daemon.
 type vm struct {
 	*process
-	id, domain                 string
-	callers, operators, peerAt string
+	id, domain                                  string
+	callerAddress, operatorAddress, peerAddress string
 }
 
-// upstreamProcess is one engine or service stand-in.
+// upstreamProcess is a stand-in engine or service.
 type upstreamProcess struct {
 	*process
 	platform.Upstream
 }
 
-// fleet is a running fleet. Its processes end with the test.
+// fleet is a platform with upstreams and VMs, each a process of its own. The
+// processes are killed when the test ends.
 type fleet struct {
-	t        testing.TB
-	shape    shape
-	network  *network
-	platform *process
-	platURL  string
-	engines  []upstreamProcess
-	desks    []upstreamProcess
-	vms      []*vm
-	http     *http.Client
+	t           testing.TB
+	topology    topology
+	network     *network
+	platform    *process
+	platformURL string
+	engines     []upstreamProcess
+	services    []upstreamProcess
+	vms         []*vm
+	http        *http.Client
 }
 
-// startFleet starts a platform, upstreams and daemons, and registers them.
-func startFleet(t testing.TB, s shape) *fleet {
+// startFleet starts a platform, upstreams and daemons, registers them, and waits
+// until every VM knows the others.
+func startFleet(t testing.TB, s topology) *fleet {
 	t.Helper()
-	f := &fleet{t: t, shape: s, http: &http.Client{Timeout: patience}}
+	f := &fleet{t: t, topology: s, http: &http.Client{Timeout: waitTimeout}}
 	t.Cleanup(f.http.CloseIdleConnections)
 	f.platform = start(t, "platform", "dogwoodpond-standin", "platform")
-	f.platURL = "http://" + f.platform.find(t, `listening (\S+)`)[1]
-	f.network = newNetwork(t, f.platURL)
-	f.post(f.platURL+standin.PathPublish, map[string]string{"model": model})
+	f.platformURL = "http://" + f.platform.find(t, `listening (\S+)`)[1]
+	f.network = newNetwork(t, f.platformURL)
+	f.post(f.platformURL+standin.PathPublish, map[string]string{"model": model})
 	for _, domain := range s.domains {
 		f.startUpstreams(domain)
 	}
@@ -81,38 +83,38 @@
 		f.register(v)
 	}
 	for _, v := range f.vms {
-		await(t, v.id+" knows the fleet", func() bool { return f.knowsAll(v) })
+		await(t, v.id+" to know the fleet", func() bool { return f.knowsAll(v) })
 	}
 	return f
 }
 
-// knowsAll reports whether a VM has the platform's lists and has heard of every
-// other VM.
+// knowsAll reports whether a VM has the platform's list of upstreams and knows
+// every VM.
 func (f *fleet) knowsAll(v *vm) bool {
 	s := f.status(v)
-	heard := 0
+	known := 0
 	for _, other := range s.VMs {
 		if other.Known {
-			heard++
+			known++
 		}
 	}
-	return heard == len(f.vms) && len(s.Upstreams) == len(f.engines)+len(f.desks)
+	return known == len(f.vms) && len(s.Upstreams) == len(f.engines)+len(f.services)
 }
 
 func (f *fleet) startUpstreams(domain string) {
-	for n := range f.shape.engines {
+	for n := range f.topology.engines {
 		u := platform.Upstream{
 			ID: fmt.Sprintf("engine-%s%d", domain, n+1), Kind: platform.KindEngine, FailureDomain: domain,
 			State: platform.UpstreamLive, Model: model, Slots: 8,
 		}
-		f.engines = append(f.engines, f.startUpstream(u, append([]string{"engine"}, f.shape.engineArgs...)))
+		f.engines = append(f.engines, f.startUpstream(u, append([]string{"engine"}, f.topology.engineArgs...)))
 	}
-	for n := range f.shape.desks {
+	for n := range f.topology.services {
 		u := platform.Upstream{
 			ID: fmt.Sprintf("desk-%s%d", domain, n+1), Kind: platform.KindService, FailureDomain: domain,
 			State: platform.UpstreamLive, Service: "desk", Slots: 64,
 		}
-		f.desks = append(f.desks, f.startUpstream(u, []string{"service"}))
+		f.services = append(f.services, f.startUpstream(u, []string{"service"}))
 	}
 }
 
@@ -124,13 +126,14 @@
 	return upstreamProcess{process: p, Upstream: u}
 }
 
-// setUpstream puts an entry into the platform's list, for example as leaving.
+// setUpstream adds or replaces an entry in the platform's list of upstreams, for
+// example to list it as leaving.
 func (f *fleet) setUpstream(u platform.Upstream) {
 	f.t.Helper()
-	f.post(f.platURL+standin.PathAddUpstream, u)
+	f.post(f.platformURL+standin.PathAddUpstream, u)
 }
 
-// startVM starts a daemon; register puts it on the platform's list.
+// startVM starts a daemon. It doesn't add it to the platform's list; register does.
 func (f *fleet) startVM(id, domain string) *vm {
 	f.t.Helper()
 	settings := map[string]any{
@@ -141,8 +144,8 @@
 		"leaseTermMillis":     2000, "digestPeriodMillis": 200, "revisionPollMillis": 300,
 		"usageWindowSeconds": 5, "drainSeconds": 60, "orderTimeoutMillis": 1000,
 	}
-	if f.shape.settings != nil {
-		f.shape.settings(settings)
+	if f.topology.settings != nil {
+		f.topology.settings(settings)
 	}
 	text, err := json.Marshal(settings)
 	if err != nil {
@@ -154,19 +157,19 @@
 	}
 	v := &vm{id: id, domain: domain, process: start(f.t, id, "dogwoodpondd", "--settings", path)}
 	bound := v.find(f.t, `callers=(\S+) operators=(\S+) peers=([0-9.:]+)`)
-	v.callers, v.operators, v.peerAt = bound[1], bound[2], bound[3]
+	v.callerAddress, v.operatorAddress, v.peerAddress = bound[1], bound[2], bound[3]
 	return v
 }
 
 func (f *fleet) register(v *vm) {
 	f.t.Helper()
-	f.post(f.platURL+standin.PathAddVM, platform.VM{
-		ID: v.id, FailureDomain: v.domain, Region: region, CallerAddress: v.callers, PeerAddress: v.peerAt,
+	f.post(f.platformURL+standin.PathAddVM, platform.VM{
+		ID: v.id, FailureDomain: v.domain, Region: region, CallerAddress: v.callerAddress, PeerAddress: v.peerAddress,
 	})
 }
 
-// grant creates a contract for an account and a key under it, waits until every
-// VM is ready with them, and returns the key.
+// grant creates a contract and a key for its account, waits until they are in
+// force on every VM, and returns the key.
 func (f *fleet) grant(c contract.Contract) string {
 	f.t.Helper()
 	f.operate(http.MethodPut, "/v1/contracts/"+string(c.Account), "", c)
@@ -175,7 +178,7 @@
 	revision := f.operate(http.MethodPut, "/v1/keys/"+id, "",
 		operator.KeyGrant{Account: c.Account, SecretSHA256: contract.HashSecret(secret)})
 	for _, v := range f.vms {
-		await(f.t, v.id+" has the key", func() bool { return f.ready(v) && f.revision(v) >= revision })
+		await(f.t, v.id+" to have the key", func() bool { return f.ready(v) && f.revision(v) >= revision })
 	}
 	return contract.KeyPrefix + id + "_" + secret
 }
@@ -186,7 +189,7 @@
 	return f.operate(http.MethodDelete, "/v1/keys/key"+string(account), "", nil)
 }
 
-// operate makes an edit at the first VM and returns its revision.
+// operate makes an edit at the first VM and returns the edit's revision.
 func (f *fleet) operate(method, path, base string, body any) contract.Revision {
 	f.t.Helper()
 	return f.operateAt(f.vms[0], method, path, base, body)
@@ -198,7 +201,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	status, answer := f.call(method, "http://"+v.operators+path, text, func(h http.Header) {
+	status, answer := f.call(method, "http://"+v.operatorAddress+path, text, func(h http.Header) {
 		h.Set("Authorization", "Bearer "+operatorToken)
 		h.Set(operator.HeaderEditor, "process test")
 		if base != "" {
@@ -215,12 +218,13 @@
 	return edit.Entry.Revision
 }
 
-// revision returns what a VM itself has in force.
+// revision returns the configuration revision that is in force on a VM.
 func (f *fleet) revision(v *vm) contract.Revision { return f.status(v).Revision }
 
-// status returns what a VM tells its operators; without an answer it is empty.
+// status returns the operators' status of a VM. It is empty if the VM doesn't
+// answer.
 func (f *fleet) status(v *vm) operator.Status {
-	status, answer := f.call(http.MethodGet, "http://"+v.operators+"/v1/status", nil, func(h http.Header) {
+	status, answer := f.call(http.MethodGet, "http://"+v.operatorAddress+"/v1/status", nil, func(h http.Header) {
 		h.Set("Authorization", "Bearer "+operatorToken)
 	})
 	var s operator.Status
@@ -230,13 +234,13 @@
 	return s
 }
 
-// ready reports whether the balancer would send callers to the VM.
+// ready reports whether the VM is ready for callers according to /readyz.
 func (f *fleet) ready(v *vm) bool {
-	status, _ := f.call(http.MethodGet, "http://"+v.callers+"/readyz", nil, nil)
+	status, _ := f.call(http.MethodGet, "http://"+v.callerAddress+"/readyz", nil, nil)
 	return status == http.StatusOK
 }
 
-// call sends one request; the status is 0 when no whole answer came.
+// call sends one request. The status is 0 if no complete answer arrived.
 func (f *fleet) call(method, target string, body []byte, header func(http.Header)) (int, []byte) {
 	request, err := http.NewRequest(method, target, bytes.NewReader(body))
 	if err != nil {
@@ -258,7 +262,7 @@
 	return response.StatusCode, answer
 }
 
-// post sends JSON to a stand-in and fails the test on a refusal.
+// post sends JSON to a stand-in. The test fails unless the stand-in answers 200.
 func (f *fleet) post(target string, body any) {
 	f.t.Helper()
 	text, err := json.Marshal(body)
@@ -270,10 +274,10 @@
 	}
 }
 
-// addFault sets a fault switch of a stand-in at a base URL; clearFaults clears
-// all of them.
+// addFault injects a fault into the stand-in at a base URL.
 func (f *fleet) addFault(base string, fault standin.Fault) { f.post(base+standin.PathFaults, fault) }
 
+// clearFaults clears all faults of the stand-in at a base URL.
 func (f *fleet) clearFaults(base string) {
 	f.t.Helper()
 	if status, _ := f.call(http.MethodDelete, base+standin.PathFaults, nil, nil); status != http.StatusOK {
@@ -281,7 +285,7 @@
 	}
 }
 
-// counts returns what an upstream stand-in has seen.
+// counts returns the counts of a stand-in upstream.
 func (f *fleet) counts(u upstreamProcess) standin.Counts {
 	f.t.Helper()
 	var c standin.Counts
@@ -292,18 +296,19 @@
 	return c
 }
 
-// generate makes one whole generate call at a VM.
+// generate makes one generate call without streaming at a VM.
 func (f *fleet) generate(v *vm, key, prompt string, maxTokens int) (int, []byte) {
-	return f.call(http.MethodPost, "http://"+v.callers+"/v1/generate", generateBody(prompt, maxTokens, false), bearer(key))
+	return f.call(http.MethodPost, "http://"+v.callerAddress+"/v1/generate", generateBody(prompt, maxTokens, false), bearer(key))
 }
 
 func generateBody(prompt string, maxTokens int, streamed bool) []byte {
 	return fmt.Appendf(nil, `{"model":%q,"prompt":%q,"maxTokens":%d,"stream":%t}`, model, prompt, maxTokens, streamed)
 }
 
-// charge makes one keyed call at a VM to the plain service "desk".
+// charge makes one call to the plain service "desk" through a VM. The call has an
+// idempotency key unless idempotencyKey is empty.
 func (f *fleet) charge(v *vm, key, idempotencyKey, body string) (int, []byte) {
-	return f.call(http.MethodPost, "http://"+v.callers+"/v1/services/desk/deposit", []byte(body), func(h http.Header) {
+	return f.call(http.MethodPost, "http://"+v.callerAddress+"/v1/services/desk/deposit", []byte(body), func(h http.Header) {
 		bearer(key)(h)
 		if idempotencyKey != "" {
 			h.Set("Idempotency-Key", idempotencyKey)
@@ -315,7 +320,8 @@
 	return func(h http.Header) { h.Set("Authorization", "Bearer "+key) }
 }
 
-// testContract returns a contract for process tests.
+// testContract returns the default contract of an account, with an
+// isolation.serveSeconds that is longer than any test.
 func testContract(account contract.Account) contract.Contract {
 	c := contract.DefaultContract(account)
 	c.Isolation.ServeSeconds = int64((10 * time.Minute).Seconds())
--- a/internal/processtest/leaving_test.go
+++ b/internal/processtest/leaving_test.go
@@ -12,34 +12,34 @@
 	"dogwoodpond/internal/standin"
 )
 
-// leavingGrace is how long a leaving upstream may still get new work: the
-// platform's list lags, and the VMs poll it.
-const leavingGrace = 3 * time.Second
+// leavingGracePeriod is the time during which an upstream that is listed as leaving
+// may still receive requests, because the platform's list lags and the VMs poll it.
+const leavingGracePeriod = 3 * time.Second
 
-// The platform is about to stop an engine and a desk and lists them as leaving.
-// Work that they still get is cut off when they stop: a stream breaks, and a
-// deposit has an unknown outcome.
+// The platform lists an engine and a service as leaving before it stops them. New
+// requests sent to them would be interrupted by the stop: a stream would be
+// truncated, and a deposit would have an unknown outcome.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a", "b"}, vms: 2, engines: 2, desks: 2})
+	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 2, services: 2})
 	key := f.grant(testContract("strathallan"))
-	l := &load{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
 	l.run("generate", 4, l.generate)
 	l.run("unkeyed", 4, l.unkeyed)
-	engine, desk := f.engines[0], f.desks[0]
-	await(t, "both get work", func() bool { return f.counts(engine).Started > 10 && f.counts(desk).Started > 10 })
-	for _, u := range []platform.Upstream{engine.Upstream, desk.Upstream} {
+	engine, service := f.engines[0], f.services[0]
+	await(t, "work at the engine and the service", func() bool { return f.counts(engine).Started > 10 && f.counts(service).Started > 10 })
+	for _, u := range []platform.Upstream{engine.Upstream, service.Upstream} {
 		u.State = platform.UpstreamLeaving
 		f.setUpstream(u)
 	}
-	time.Sleep(leavingGrace)
-	engineBefore, deskBefore := f.counts(engine).Started, f.counts(desk).Started
+	time.Sleep(leavingGracePeriod)
+	engineBefore, serviceBefore := f.counts(engine).Started, f.counts(service).Started
 	served := l.total()
-	await(t, "the others serve on", func() bool { return l.total() > served+200 })
+	await(t, "200 more calls", func() bool { return l.total() > served+200 })
 	if now := f.counts(engine).Started; now != engineBefore {
-		t.Errorf("the leaving engine got %d new requests", now-engineBefore)
+		t.Errorf("the leaving engine received %d new requests", now-engineBefore)
 	}
-	if now := f.counts(desk).Started; now != deskBefore {
-		t.Errorf("the leaving desk got %d new calls", now-deskBefore)
+	if now := f.counts(service).Started; now != serviceBefore {
+		t.Errorf("the leaving service received %d new calls", now-serviceBefore)
 	}
 	close(l.stop)
 	l.workers.Wait()
@@ -48,7 +48,8 @@
 	}
 }
 
-func (l *load) total() int {
+// total returns the number of calls made so far.
+func (l *loadGenerator) total() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := 0
@@ -58,18 +59,17 @@
 	return total
 }
 
-// An engine and a desk die without notice in the middle of their work. Callers
-// must not notice more than a delay: generations go on elsewhere, and a deposit
-// that was cut off is told as unknown, never as "not run".
-func TestCrashedUpstreamsLoseNoGeneration(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a", "b"}, vms: 2, engines: 2, desks: 1, engineArgs: []string{"--token-time", "5ms"}})
+// An engine is killed while it answers streams. The streams must continue at another
+// engine, so that callers see no more than a delay.
+func TestKilledEngineFailsNoStream(t *testing.T) {
+	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 2, services: 1, engineArgs: []string{"--token-time", "5ms"}})
 	key := f.grant(testContract("strathallan"))
-	l := &load{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
 	l.run("stream", 6, l.shortStream)
-	await(t, "streams run at the engine", func() bool { return f.counts(f.engines[0]).Started > 3 })
+	await(t, "streams at the engine", func() bool { return f.counts(f.engines[0]).Started > 3 })
 	f.engines[0].kill()
 	served := l.total()
-	await(t, "the streams go on", func() bool { return l.total() > served+24 })
+	await(t, "24 more streams", func() bool { return l.total() > served+24 })
 	close(l.stop)
 	l.workers.Wait()
 	t.Logf("streams: %d, failed: %d", l.total(), len(l.failures))
@@ -78,7 +78,8 @@
 	}
 }
 
-// latencies makes calls one after the other and returns their sorted times.
+// latencies makes a number of generate calls, one after the other at each VM, and
+// returns their sorted latencies.
 func (f *fleet) latencies(t *testing.T, key string, calls int) []time.Duration {
 	t.Helper()
 	var mu sync.Mutex
@@ -103,17 +104,18 @@
 	return times
 }
 
-// The whole platform hangs: its store, its lists, billing. Requests that wait
-// for any of it on their way stop with it.
+// The platform freezes: the store, the lists and billing are unresponsive. A
+// generation that waited for one of them would not end. The test logs the latencies
+// with a healthy and a frozen platform.
 func TestFrozenPlatformDoesNotSlowGenerations(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a", "b", "c"}, vms: 1, engines: 1})
+	f := startFleet(t, topology{domains: []string{"a", "b", "c"}, vms: 1, engines: 1})
 	key := f.grant(testContract("strathallan"))
 	const calls = 600
 	f.latencies(t, key, calls/4)
 	healthy := f.latencies(t, key, calls)
-	f.addFault(f.platURL, standin.Fault{Path: "/", Mode: standin.FaultFreeze})
+	f.addFault(f.platformURL, standin.Fault{Path: "/", Mode: standin.FaultFreeze})
 	frozen := f.latencies(t, key, calls)
-	f.clearFaults(f.platURL)
+	f.clearFaults(f.platformURL)
 	for _, p := range []struct {
 		name string
 		at   float64
--- a/internal/processtest/network_test.go
+++ b/internal/processtest/network_test.go
@@ -13,40 +13,44 @@
 	"dogwoodpond/internal/platform"
 )
 
-// network carries everything that leaves a failure domain, so that a test can
-// cut it: each domain has a gateway to the platform, and the lists that come
-// through it name relays for the addresses of other domains.
+// network relays all traffic between failure domains and to the platform, so that
+// a test can interrupt it. Each domain has a gateway to the platform. The gateway
+// replaces the addresses of other domains in the platform's lists by those of
+// relays.
 type network struct {
-	t       testing.TB
-	platURL string
+	t           testing.TB
+	platformURL string
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// gateways holds the URL of the gateway of each domain.
 	gateways map[string]string
-	// relays are named by the domain that dials and the address dialled.
+	// relays holds the address of each relay, by the dialing domain and the
+	// address that the relay dials.
 	relays map[string]string
-	// cuts holds the pairs of places that can't reach each other.
-	cuts map[pair]bool
-	// healed is closed at each change of cuts.
-	healed chan struct{}
-	// open holds the connections of each pair.
-	open map[pair]map[net.Conn]bool
+	// down holds the links that are down.
+	down map[link]bool
+	// changed is closed and replaced at each change of down.
+	changed chan struct{}
+	// open holds the open connections of each link.
+	open map[link]map[net.Conn]bool
 }
 
-// pair is a direction between two failure domains, or to the platform.
-type pair struct{ from, to string }
+// link is one direction between two ends: failure domains or platformEnd.
+type link struct{ from, to string }
 
-const platformPlace = "platform"
+const platformEnd = "platform"
 
-func newNetwork(t testing.TB, platURL string) *network {
+func newNetwork(t testing.TB, platformURL string) *network {
 	return &network{
-		t: t, platURL: platURL,
+		t: t, platformURL: platformURL,
 		gateways: make(map[string]string), relays: make(map[string]string),
-		cuts: make(map[pair]bool), healed: make(chan struct{}),
-		open: make(map[pair]map[net.Conn]bool),
+		down: make(map[link]bool), changed: make(chan struct{}),
+		open: make(map[link]map[net.Conn]bool),
 	}
 }
 
-// gateway returns the platform's URL as a domain sees it.
+// gateway returns the URL at which a domain reaches the platform, and starts the
+// gateway at the first call.
 func (n *network) gateway(domain string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,49 +65,52 @@
 	return server.URL
 }
 
-// cut makes two places lose each other in both directions; packets vanish.
-func (n *network) cut(a, b string) { n.change(a, b, true) }
+// cutOff takes down the links between two ends. Calls to the platform get no answer
+// until reconnect. Existing and new connections between domains are closed.
+func (n *network) cutOff(a, b string) { n.setDown(a, b, true) }
 
-// heal ends a cut.
-func (n *network) heal(a, b string) { n.change(a, b, false) }
+// reconnect brings up the links between two ends.
+func (n *network) reconnect(a, b string) { n.setDown(a, b, false) }
 
-func (n *network) change(a, b string, isCut bool) {
+func (n *network) setDown(a, b string, isDown bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, p := range []pair{{a, b}, {b, a}} {
-		n.cuts[p] = isCut
-		for conn := range n.open[p] {
+	for _, l := range []link{{a, b}, {b, a}} {
+		n.down[l] = isDown
+		for conn := range n.open[l] {
 			_ = conn.Close()
 		}
 	}
-	close(n.healed)
-	n.healed = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-func (n *network) isCut(p pair) (bool, <-chan struct{}) {
+// isDown reports whether a link is down, and returns a channel that is closed at
+// the next change.
+func (n *network) isDown(l link) (bool, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[p], n.healed
+	return n.down[l], n.changed
 }
 
-// forward passes a call to the platform, or holds it while the link is cut.
+// forward forwards a call to the platform. While the link is down, the call waits.
 func (n *network) forward(domain string, w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	for {
-		isCut, healed := n.isCut(pair{domain, platformPlace})
-		if !isCut {
+		isDown, changed := n.isDown(link{domain, platformEnd})
+		if !isDown {
 			break
 		}
 		select {
-		case <-healed:
+		case <-changed:
 		case <-r.Context().Done():
 			return
 		}
 	}
-	request, err := http.NewRequestWithContext(r.Context(), r.Method, n.platURL+r.URL.EscapedPath(), bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(r.Context(), r.Method, n.platformURL+r.URL.EscapedPath(), bytes.NewReader(body))
 	if err != nil {
 		return
 	}
@@ -121,7 +128,8 @@
 	_, _ = w.Write(n.rewrite(domain, r.URL.Path, answer))
 }
 
-// rewrite replaces the addresses of other domains by relays.
+// rewrite replaces the addresses of other domains in the platform's lists by those
+// of relays.
 func (n *network) rewrite(domain, path string, answer []byte) []byte {
 	var changed any
 	switch path {
@@ -131,7 +139,7 @@
 			return answer
 		}
 		for i, v := range vms {
-			vms[i].PeerAddress = n.relay(pair{domain, v.FailureDomain}, v.PeerAddress)
+			vms[i].PeerAddress = n.relay(link{domain, v.FailureDomain}, v.PeerAddress)
 		}
 		changed = vms
 	case platform.PathUpstreams:
@@ -140,7 +148,7 @@
 			return answer
 		}
 		for i, u := range upstreams {
-			upstreams[i].Address = n.relay(pair{domain, u.FailureDomain}, u.Address)
+			upstreams[i].Address = n.relay(link{domain, u.FailureDomain}, u.Address)
 		}
 		changed = upstreams
 	default:
@@ -153,15 +161,15 @@
 	return text
 }
 
-// relay returns an address that leads to target for as long as the pair is not
-// cut. Within a domain it is target itself.
-func (n *network) relay(p pair, target string) string {
-	if p.from == p.to || target == "" {
+// relay returns the address of a relay to target over a link, and starts the relay
+// at the first call. Within a domain it returns target itself.
+func (n *network) relay(l link, target string) string {
+	if l.from == l.to || target == "" {
 		return target
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	name := p.from + ">" + target
+	name := l.from + ">" + target
 	if at, ok := n.relays[name]; ok {
 		return at
 	}
@@ -170,35 +178,35 @@
 		return target
 	}
 	n.t.Cleanup(func() { _ = listener.Close() })
-	go n.accept(p, target, listener)
+	go n.accept(l, target, listener)
 	n.relays[name] = listener.Addr().String()
 	return n.relays[name]
 }
 
-func (n *network) accept(p pair, target string, listener net.Listener) {
+func (n *network) accept(l link, target string, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		if isCut, _ := n.isCut(p); isCut {
+		if isDown, _ := n.isDown(l); isDown {
 			_ = conn.Close()
 			continue
 		}
-		go n.join(p, conn, target)
+		go n.join(l, conn, target)
 	}
 }
 
-// join copies both ways until one end closes.
-func (n *network) join(p pair, near net.Conn, target string) {
+// join copies data in both directions until one connection is closed.
+func (n *network) join(l link, near net.Conn, target string) {
 	defer func() { _ = near.Close() }()
 	far, err := net.Dial("tcp", target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = far.Close() }()
-	n.track(p, near, true)
-	defer n.track(p, near, false)
+	n.track(l, near, true)
+	defer n.track(l, near, false)
 	done := make(chan struct{}, 2)
 	pipe := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from)
@@ -209,15 +217,15 @@
 	<-done
 }
 
-func (n *network) track(p pair, conn net.Conn, isOpen bool) {
+func (n *network) track(l link, conn net.Conn, isOpen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !isOpen {
-		delete(n.open[p], conn)
+		delete(n.open[l], conn)
 		return
 	}
-	if n.open[p] == nil {
-		n.open[p] = make(map[net.Conn]bool)
+	if n.open[l] == nil {
+		n.open[l] = make(map[net.Conn]bool)
 	}
-	n.open[p][conn] = true
+	n.open[l][conn] = true
 }
--- a/internal/processtest/path_test.go
+++ b/internal/processtest/path_test.go
@@ -9,10 +9,11 @@
 	"dogwoodpond/internal/standin"
 )
 
-// A fleet whose parts don't fit together answers nobody, though each package's
-// tests pass. The caller would get refusals or an answer with missing tokens.
+// Packages may pass their own tests but not work together. Callers would then get
+// refusals or answers with missing tokens. Every VM must return a complete answer,
+// and a duplicate of a keyed call at another VM must return the first answer.
 func TestGenerateThroughEveryVM(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a", "b", "c"}, vms: 1, engines: 1, desks: 1})
+	f := startFleet(t, topology{domains: []string{"a", "b", "c"}, vms: 1, engines: 1, services: 1})
 	key := f.grant(testContract("strathallan"))
 	const prompt, maxTokens = "When do the raspberries open?", 32
 	for _, v := range f.vms {
@@ -26,8 +27,8 @@
 		}
 	}
 	first, charged := f.charge(f.vms[0], key, "tree-17", `{"tree":17}`)
-	second, repeated := f.charge(f.vms[1], key, "tree-17", `{"tree":17}`)
-	if first != http.StatusOK || second != http.StatusOK || string(charged) != string(repeated) {
-		t.Errorf("charge: %d %s, repeated: %d %s", first, charged, second, repeated)
+	second, duplicate := f.charge(f.vms[1], key, "tree-17", `{"tree":17}`)
+	if first != http.StatusOK || second != http.StatusOK || string(charged) != string(duplicate) {
+		t.Errorf("charge: %d %s, duplicate: %d %s", first, charged, second, duplicate)
 	}
 }
--- a/internal/processtest/withdraw_test.go
+++ b/internal/processtest/withdraw_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// An operator withdraws a key while its caller is connected to another VM and
-// reads a long stream. The caller would go on reading answers that it has no
-// right to, until its stream ends by itself.
+// An operator withdraws a key at one VM while its caller reads a long stream from
+// another VM. That VM must end the stream; otherwise the caller would receive the
+// rest of the answer without a valid key.
 func TestWithdrawnKeyEndsStreamsOnOtherVMs(t *testing.T) {
-	f := startFleet(t, shape{domains: []string{"a", "b"}, vms: 1, engines: 1, engineArgs: []string{"--token-time", "100ms"}})
+	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 1, engines: 1, engineArgs: []string{"--token-time", "100ms"}})
 	key := f.grant(testContract("strathallan"))
 	stream := f.openStream(f.vms[1], key, 4096)
 	withdrawn := time.Now()
@@ -24,14 +24,14 @@
 		t.Errorf("the stream ended with %q", tail(rest))
 	}
 	if status, answer := f.generate(f.vms[1], key, "again", 8); status != http.StatusUnauthorized {
-		t.Errorf("a new call got %d %s", status, answer)
+		t.Errorf("a new call was answered with %d %s", status, answer)
 	}
 	if seen := f.counts(f.engines[0]).KeysSeen + f.counts(f.engines[1]).KeysSeen; seen != 0 {
-		t.Errorf("the engines saw the key %d times", seen)
+		t.Errorf("the engines received the key %d times", seen)
 	}
 }
 
-// stream is an open server-sent stream of a generate call.
+// stream is the open event stream of a generate call.
 type stream struct {
 	response *http.Response
 	reader   *bufio.Reader
@@ -47,13 +47,13 @@
 	return s
 }
 
-// streamPrompt is a prompt whose answer at the stand-in engine has a quarter to
-// a half of the asked tokens.
+// streamPrompt is a prompt for which the stand-in engine generates a quarter to a
+// half of the maximum number of tokens.
 const streamPrompt = "Tell me about every field"
 
 func (f *fleet) tryStream(v *vm, key string, maxTokens int) (*stream, error) {
 	body := generateBody(streamPrompt, maxTokens, true)
-	request, err := http.NewRequest(http.MethodPost, "http://"+v.callers+"/v1/generate", bytes.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+v.callerAddress+"/v1/generate", bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -74,12 +74,12 @@
 	var text strings.Builder
 	_, err := s.reader.WriteTo(&text)
 	if err != nil {
-		t.Errorf("the stream broke off: %v", err)
+		t.Errorf("the stream was truncated: %v", err)
 	}
 	return text.String()
 }
 
-// tail returns the end of a long text for a message.
+// tail returns the end of a text for use in an error message.
 func tail(text string) string {
 	const length = 300
 	return text[max(0, len(text)-length):]
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -18,11 +18,12 @@
 	"dogwoodpond/internal/fault"
 )
 
-// NewApp returns the command line of dogwoodpond-standin; results go to out.
-// Each server prints "listening ADDRESS" once it serves.
+// NewApp returns the command line application dogwoodpond-standin, which writes
+// its results to out. Each server prints "listening ADDRESS" when it accepts
+// connections.
 func NewApp(ctx context.Context, out io.Writer) *kingpin.Application {
 	app := kingpin.New("dogwoodpond-standin", "Stand-ins for tests and the quick start.")
-	address := app.Flag("listen", "The address to serve.").Default("127.0.0.1:0").String()
+	address := app.Flag("listen", "The address to listen on.").Default("127.0.0.1:0").String()
 	platformCommand(ctx, app, out, address)
 	engineCommand(ctx, app, out, address)
 	serviceCommand(ctx, app, out, address)
@@ -32,7 +33,7 @@
 	return app
 }
 
-// serve answers on an address until ctx ends.
+// serve runs an HTTP server on address until ctx ends.
 func serve(ctx context.Context, out io.Writer, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -60,13 +61,13 @@
 	config := EngineConfig{}
 	command.Flag("model", "The model that it serves.").Default("berry-1").StringVar(&config.Model)
 	command.Flag("adapter", "The adapter that it serves.").StringVar(&config.Adapter)
-	command.Flag("slots", "Requests at once.").Default("8").IntVar(&config.Slots)
-	command.Flag("token-time", "Time per token of a lone request.").Default("1ms").DurationVar(&config.TokenTime)
-	command.Flag("prefill-time", "Time per uncached prompt word.").Default("200us").DurationVar(&config.PrefillTime)
-	command.Flag("cached-prefixes", "Prompts in the prefix cache.").Default("64").IntVar(&config.CachedPrefixes)
-	command.Flag("load-lag", "Age of a load report.").Default("500ms").DurationVar(&config.LoadLag)
-	command.Flag("swap-time", "Time of a load of weights.").Default("50ms").DurationVar(&config.SwapTime)
-	command.Flag("checks-fencing", "Refuse orders with an old epoch.").BoolVar(&config.ChecksFencing)
+	command.Flag("slots", "The number of requests that run concurrently.").Default("8").IntVar(&config.Slots)
+	command.Flag("token-time", "The time per token of a request that runs alone.").Default("1ms").DurationVar(&config.TokenTime)
+	command.Flag("prefill-time", "The time per prompt word that is not in the prefix cache.").Default("200us").DurationVar(&config.PrefillTime)
+	command.Flag("cached-prefixes", "The number of prompts in the prefix cache.").Default("64").IntVar(&config.CachedPrefixes)
+	command.Flag("load-lag", "The greatest age of a load report.").Default("500ms").DurationVar(&config.LoadLag)
+	command.Flag("swap-time", "The duration of a weight load.").Default("50ms").DurationVar(&config.SwapTime)
+	command.Flag("checks-fencing", "Refuse orders with an outdated epoch.").BoolVar(&config.ChecksFencing)
 	command.Flag("weight-version", "The weight version at the start.").Default("1").Int64Var(&config.Version)
 	command.Action(func(*kingpin.ParseContext) error {
 		return serve(ctx, out, *address, NewEngine(config).Handler())
@@ -80,17 +81,17 @@
 }
 
 func trainerCommand(ctx context.Context, app *kingpin.Application, out io.Writer) {
-	command := app.Command("trainer", "A trainer that pulls one step and prints what it got.")
+	command := app.Command("trainer", "A trainer that pulls the samples of one step and prints a summary.")
 	config := TrainerConfig{}
-	command.Flag("entry", "A callers' address; repeatable.").Required().StringsVar(&config.Entries)
+	command.Flag("entry", "An address that serves callers; repeatable.").Required().StringsVar(&config.Entries)
 	command.Flag("key", "The caller's key.").Envar("DOGWOODPOND_KEY").Required().StringVar(&config.Key)
 	command.Flag("step", "The step's name.").Default("step-1").StringVar(&config.Step)
 	command.Flag("model", "The model.").Default("berry-1").StringVar(&config.Model)
-	command.Flag("groups", "Groups in the step.").Default("8").IntVar(&config.Groups)
-	command.Flag("samples", "Samples in a group.").Default("8").IntVar(&config.Samples)
-	command.Flag("max-tokens", "Bound of a sample.").Default("64").IntVar(&config.MaxTokens)
+	command.Flag("groups", "The number of groups in the step.").Default("8").IntVar(&config.Groups)
+	command.Flag("samples", "The number of samples in a group.").Default("8").IntVar(&config.Samples)
+	command.Flag("max-tokens", "The maximum number of tokens of a sample.").Default("64").IntVar(&config.MaxTokens)
 	command.Flag("scorer", "The scoring service.").StringVar(&config.Scorer)
-	command.Flag("timeout", "Bound of the step.").Default("2m").DurationVar(&config.Timeout)
+	command.Flag("timeout", "The timeout of the step.").Default("2m").DurationVar(&config.Timeout)
 	command.Action(func(*kingpin.ParseContext) error {
 		result, err := NewTrainer(config).Run(ctx)
 		_ = json.NewEncoder(out).Encode(result)
@@ -99,14 +100,14 @@
 }
 
 func loadCommand(ctx context.Context, app *kingpin.Application, out io.Writer) {
-	command := app.Command("load", "Send requests of several accounts by a plan and print what they got.")
+	command := app.Command("load", "Send the requests of several accounts as a plan defines them and print the results.")
 	config := LoadConfig{}
-	plan := command.Flag("plan", "A file with the plan in JSON.").Required().String()
-	command.Flag("entry", "A callers' address; repeatable.").Required().StringsVar(&config.Entries)
-	command.Flag("engine", "A stand-in engine to watch; repeatable.").StringsVar(&config.Engines)
+	plan := command.Flag("plan", "The path of a JSON file with the plan.").Required().String()
+	command.Flag("entry", "An address that serves callers; repeatable.").Required().StringsVar(&config.Entries)
+	command.Flag("engine", "The address of a stand-in engine to poll; repeatable.").StringsVar(&config.Engines)
 	command.Flag("model", "The model.").Default("berry-1").StringVar(&config.Model)
-	command.Flag("drain", "How long answers are awaited after the last request.").Default("1s").DurationVar(&config.Drain)
-	table := command.Flag("table", "Print a table in place of JSON.").Bool()
+	command.Flag("drain", "How long to wait for answers after the sending of requests ends.").Default("1s").DurationVar(&config.Drain)
+	table := command.Flag("table", "Print a table instead of JSON.").Bool()
 	command.Action(func(*kingpin.ParseContext) error {
 		var err error
 		if config.Plan, err = readLoadPlan(*plan); err != nil {
@@ -124,11 +125,12 @@
 	})
 }
 
-// postCommand sends one request, so that scripts need no other tool.
+// postCommand adds a command that sends one HTTP request, so that scripts need
+// no other HTTP client.
 func postCommand(ctx context.Context, app *kingpin.Application, out io.Writer) {
 	command := app.Command("post", "Send one request and print the answer.")
 	method := command.Flag("method", "The HTTP method.").Default(http.MethodPost).String()
-	headers := command.Flag("header", "A header as name: value; repeatable.").Strings()
+	headers := command.Flag("header", "A header in the form \"name: value\"; repeatable.").Strings()
 	target := command.Arg("url", "The URL.").Required().String()
 	body := command.Arg("body", "The body.").String()
 	command.Action(func(*kingpin.ParseContext) error {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -16,52 +16,59 @@
 	"dogwoodpond/internal/engine"
 )
 
-// EngineConfig shapes a stand-in engine.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
 	Model   string
 	Adapter string
-	// Slots is how many requests run at once; more wait in order of arrival.
+	// Slots is the number of requests that run concurrently. Further requests
+	// are queued in order of arrival.
 	Slots int
-	// TokenTime is the time per token of a lone request; with a full batch it
-	// doubles, as batches slow each other down.
+	// TokenTime is the time per token of a request that runs alone. The time
+	// grows with the number of running requests and is almost twice as long
+	// when all slots are in use, because the requests of a batch slow each other
+	// down.
 	TokenTime time.Duration
 	// PrefillTime is the time per prompt word that is not in the prefix cache.
 	PrefillTime time.Duration
-	// CachedPrefixes is how many prompts the prefix cache holds.
+	// CachedPrefixes is the capacity of the prefix cache in prompts.
 	CachedPrefixes int
-	// LoadLag is how old a load report is.
+	// LoadLag is the age at which a load report is renewed.
 	LoadLag time.Duration
-	// SwapTime is how long a load of weights takes.
+	// SwapTime is the duration of a weight load.
 	SwapTime time.Duration
-	// ChecksFencing makes the engine refuse orders with an old epoch.
+	// ChecksFencing makes the engine refuse orders with an epoch older than the
+	// newest that it has received.
 	ChecksFencing bool
 	// Version is the weight version at the start.
 	Version int64
 }
 
-// tokensPerChunk is how many tokens one event of a stream holds.
+// tokensPerChunk is the number of tokens in one event of a stream.
 const tokensPerChunk = 4
 
-// PathCounts returns what an engine or a service has seen.
+// PathCounts is the path at which an engine or a service returns its Counts.
 const PathCounts = "/stand-in/counts"
 
-// Counts is what an upstream stand-in has seen.
+// Counts counts the requests that a stand-in upstream has received.
 type Counts struct {
 	Started   int64 `json:"started"`
 	Completed int64 `json:"completed"`
 	Tokens    int64 `json:"tokens"`
-	// CacheHits is how many prompts were in the prefix cache.
+	// CacheHits counts requests whose prompt was in the prefix cache.
 	CacheHits int64 `json:"cacheHits"`
-	// KeysSeen counts requests that held a caller's key anywhere.
+	// KeysSeen counts requests that contained a caller's key in the body, the
+	// headers, the URL or, at a service, the trailers.
 	KeysSeen int64 `json:"keysSeen"`
-	// StaleOrders counts orders that came with an epoch older than one seen.
+	// StaleOrders counts orders whose epoch was older than that of an earlier
+	// order.
 	StaleOrders int64 `json:"staleOrders"`
 	Orders      int64 `json:"orders"`
-	// Runs counts the runs of each request ID.
+	// Runs counts executions by request ID, or by a description of the call at a
+	// service.
 	Runs map[string]int64 `json:"runs"`
 }
 
-// Engine stands in for a model engine.
+// Engine is a stand-in for a model engine.
 type Engine struct {
 	config EngineConfig
 	faults *faults
@@ -84,7 +91,7 @@
 	reportedAt  time.Time
 }
 
-// NewEngine returns an engine that serves nothing yet.
+// NewEngine returns an engine in a new incarnation.
 func NewEngine(config EngineConfig) *Engine {
 	return &Engine{
 		config:      config,
@@ -99,17 +106,17 @@
 	}
 }
 
-// Handler serves the engine's interface.
+// Handler returns the handler of the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engine.PathCompletions, e.complete)
 	mux.HandleFunc("GET "+engine.PathLoad, e.load)
 	mux.HandleFunc("POST "+engine.PathOrders, e.order)
-	mux.HandleFunc("GET "+PathCounts, e.showCounts)
+	mux.HandleFunc("GET "+PathCounts, e.serveCounts)
 	return e.faults.wrap(mux)
 }
 
-func (e *Engine) showCounts(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) serveCounts(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, http.StatusOK, e.counts)
@@ -145,11 +152,12 @@
 	e.stream(w, r, request)
 }
 
-// begin counts the request and reports whether the engine serves its model.
+// begin reports whether the engine serves the request's model and adapter, and
+// counts the request.
 func (e *Engine) begin(r *http.Request, body string, request engine.CompletionRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if holdsKey(body) || holdsKey(fmt.Sprint(r.Header, r.URL)) {
+	if containsKey(body) || containsKey(fmt.Sprint(r.Header, r.URL)) {
 		e.counts.KeysSeen++
 	}
 	if request.Model != e.model || request.Adapter != e.adapter {
@@ -162,8 +170,8 @@
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request engine.CompletionRequest) {
 	path := r.URL.Path
-	breakFault, breaks := e.faults.take(path, FaultBreak)
-	_, misreports := e.faults.take(path, FaultMisreport)
+	breakFault, breaks := e.faults.consume(path, FaultBreak)
+	_, misreports := e.faults.consume(path, FaultMisreport)
 	if !e.sleep(r, e.prefill(request)) {
 		return
 	}
@@ -186,7 +194,8 @@
 	e.mu.Unlock()
 }
 
-// sleep waits for d and reports whether the caller is still there.
+// sleep waits for d. It returns false at once when the caller cancels the
+// request.
 func (e *Engine) sleep(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -201,13 +210,14 @@
 func (e *Engine) tokenTime() time.Duration {
 	load := float64(e.running.Load()-1) / float64(e.config.Slots)
 	factor := 1 + load
-	if slow, ok := e.faults.take(engine.PathCompletions, FaultSlow); ok {
+	if slow, ok := e.faults.consume(engine.PathCompletions, FaultSlow); ok {
 		factor *= slow.Factor
 	}
 	return time.Duration(float64(e.config.TokenTime) * factor)
 }
 
-// prefill returns the time that the prompt takes and updates the prefix cache.
+// prefill returns the time to process the prompt and updates the prefix cache,
+// which evicts the least recently used prompt.
 func (e *Engine) prefill(request engine.CompletionRequest) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -261,14 +271,15 @@
 	}
 }
 
-// Token returns the token at an index of the answer to a prompt. It depends on
-// nothing else, so that a test can check resumed answers.
+// Token returns the token at an index of the answer to a prompt with a seed. It
+// depends on its arguments only, so that tests can check resumed answers.
 func Token(prompt string, seed int64, index int) string {
 	return fmt.Sprintf(" %04x", xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", prompt, seed, index))&0xffff)
 }
 
-// answerLength returns how many tokens the answer has: mostly a quarter to a
-// half of the bound, sometimes all of it, as with real stragglers.
+// answerLength returns the number of tokens of the answer. Most answers have a
+// quarter to a half of the maximum. One in 16 has all of it, as a straggler of a
+// real engine has.
 func answerLength(request engine.CompletionRequest) int {
 	h := xxhash.Sum64String(fmt.Sprintf("%s/%d", request.Prompt, request.Seed))
 	limit := request.MaxTokens
@@ -278,7 +289,7 @@
 	return max(1, limit/4+int(h>>8%uint64(limit/4+1)))
 }
 
-// AnswerLength returns the length in tokens of the answer to a prompt.
+// AnswerLength returns the number of tokens of the answer to a prompt.
 func AnswerLength(prompt string, seed int64, maxTokens int) int {
 	return answerLength(engine.CompletionRequest{Prompt: prompt, Seed: seed, MaxTokens: maxTokens})
 }
@@ -306,20 +317,20 @@
 	if !readJSON(w, r, &order) {
 		return
 	}
-	if !e.admitOrder(order) {
+	if !e.acceptOrder(order) {
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
-	if _, fails := e.faults.take(r.URL.Path, FaultFailSwap); fails {
+	if _, fails := e.faults.consume(r.URL.Path, FaultFailSwap); fails {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	time.Sleep(e.config.SwapTime)
-	e.carryOut(order)
+	e.execute(order)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (e *Engine) admitOrder(order engine.Order) bool {
+func (e *Engine) acceptOrder(order engine.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if order.Epoch < e.epoch {
@@ -330,7 +341,7 @@
 	return true
 }
 
-func (e *Engine) carryOut(order engine.Order) {
+func (e *Engine) execute(order engine.Order) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.orders[order.ID] {
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -1,6 +1,6 @@
-// Package standin holds small stand-ins for the platform, model engines, plain
-// services and trainers. Tests and the quick start run them in place of the
-// real ones; nothing of the daemon imports this package.
+// Package standin implements small stand-ins for the platform, model engines,
+// plain services and trainers. Tests and the quick start run them instead of the
+// real ones. The daemon doesn't import this package.
 package standin
 
 import (
@@ -12,55 +12,61 @@
 	"time"
 )
 
-// PathFaults takes a Fault by POST and clears all faults by DELETE.
+// PathFaults is the path at which POST adds a Fault and DELETE clears all
+// faults.
 const PathFaults = "/stand-in/faults"
 
-// FaultMode is what a fault switch does to a matching request.
+// FaultMode is the effect of a fault on a matching request.
 type FaultMode string
 
-// The modes of a fault switch.
+// The modes of a fault.
 const (
-	// FaultRefuse answers 503 before any effect.
+	// FaultRefuse answers 503 and doesn't execute the request.
 	FaultRefuse FaultMode = "refuse"
-	// FaultDelay waits before the effect.
+	// FaultDelay delays the execution of the request.
 	FaultDelay FaultMode = "delay"
-	// FaultLoseReply lets the effect happen and then drops the connection.
+	// FaultLoseReply executes the request and then closes the connection without
+	// an answer.
 	FaultLoseReply FaultMode = "lose_reply"
-	// FaultFreeze holds the request until the faults are cleared.
+	// FaultFreeze delays the request until the faults are cleared.
 	FaultFreeze FaultMode = "freeze"
-	// FaultBreak lets an engine drop a stream after Tokens tokens, and a
-	// service drop its answer in the middle.
+	// FaultBreak makes an engine close the connection of a stream after Tokens
+	// tokens, and a service truncate its answer.
 	FaultBreak FaultMode = "break"
-	// FaultMisreport lets an engine name no weight version.
+	// FaultMisreport makes an engine omit the weight version from its answer.
 	FaultMisreport FaultMode = "misreport"
-	// FaultFailSwap lets an engine answer a weight order with 500.
+	// FaultFailSwap makes an engine answer an order with 500.
 	FaultFailSwap FaultMode = "fail_swap"
-	// FaultSlow multiplies an engine's time per token by Factor.
+	// FaultSlow multiplies an engine's time per token by Factor. It is matched
+	// again for each chunk of a stream.
 	FaultSlow FaultMode = "slow"
 )
 
-// Fault is one fault switch.
+// Fault is an injected fault. It matches the requests whose path begins with
+// Path.
 type Fault struct {
 	Path   string    `json:"path"`
 	Mode   FaultMode `json:"mode"`
 	Millis int       `json:"millis,omitempty"`
 	Tokens int       `json:"tokens,omitempty"`
 	Factor float64   `json:"factor,omitempty"`
-	// Count is how many requests the fault hits; 0 means all.
+	// Count is the number of matches after which the fault is removed; 0 means no
+	// limit.
 	Count int `json:"count,omitempty"`
 }
 
-// faults holds the switches of one stand-in.
+// faults is the fault injector of one stand-in.
 type faults struct {
 	mu      sync.Mutex
 	active  []Fault
-	cleared chan struct{}
+	cleared chan struct{} // closed when the faults are cleared
 }
 
 func newFaults() *faults { return &faults{cleared: make(chan struct{})} }
 
-// take returns the first matching fault of one of the modes and counts it down.
-func (f *faults) take(path string, modes ...FaultMode) (Fault, bool) {
+// consume returns the first fault with one of the modes that matches the path,
+// and counts the match.
+func (f *faults) consume(path string, modes ...FaultMode) (Fault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i, fault := range f.active {
@@ -112,15 +118,16 @@
 	return f.cleared
 }
 
-// wrap serves the switches and applies the general modes around next.
+// wrap returns a handler that serves PathFaults and applies refusals, delays,
+// lost replies and freezes to the requests of next.
 func (f *faults) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == PathFaults {
-			f.control(w, r)
+			f.serveFaults(w, r)
 			return
 		}
-		fault, hit := f.take(r.URL.Path, FaultRefuse, FaultDelay, FaultLoseReply, FaultFreeze)
-		if !hit {
+		fault, matched := f.consume(r.URL.Path, FaultRefuse, FaultDelay, FaultLoseReply, FaultFreeze)
+		if !matched {
 			next.ServeHTTP(w, r)
 			return
 		}
@@ -147,7 +154,7 @@
 	}
 }
 
-func (f *faults) control(w http.ResponseWriter, r *http.Request) {
+func (f *faults) serveFaults(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodDelete {
 		f.clear()
 		return
@@ -159,7 +166,8 @@
 	f.add(fault)
 }
 
-// readJSON decodes the body and answers 400 when it can't.
+// readJSON decodes the body. It answers 400 and returns false if the body is not
+// valid JSON.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -168,7 +176,8 @@
 	return true
 }
 
-// writeJSON answers with a value. A caller that has gone is not an error here.
+// writeJSON answers with a value as JSON. It ignores write errors, because a
+// caller may close its connection at any time.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -19,56 +19,61 @@
 	"dogwoodpond/internal/generate"
 )
 
-// LoadConfig shapes one run of the load generator.
+// LoadConfig configures one run of the load generator.
 type LoadConfig struct {
 	Plan LoadPlan
-	// Entries are the callers' addresses; one that can't be reached is passed
-	// over, as by a balancer.
+	// Entries are the addresses that serve callers. An entry that can't be
+	// reached is skipped, as a load balancer does.
 	Entries []string
-	// Engines are the stand-in engines to watch.
+	// Engines are the addresses of the stand-in engines to poll.
 	Engines []string
 	Model   string
-	// Drain is how long answers are awaited after the last request.
+	// Drain is the time to wait for answers after the sending of requests ends.
 	Drain time.Duration
 }
 
 const (
-	// longestMicros bounds the recorded times.
-	longestMicros = int64(10 * time.Minute / time.Microsecond)
-	// digits is the precision of the histograms in decimal digits.
-	digits = 3
-	// loadBucket is the step of the time line of served tokens.
-	loadBucket = 250 * time.Millisecond
-	// maxOutstanding bounds the open requests of an account.
+	// maxRecordedMicros is the largest latency that the histograms record; larger
+	// ones are recorded as this value.
+	maxRecordedMicros = int64(10 * time.Minute / time.Microsecond)
+	// significantDigits is the precision of the histograms in decimal digits.
+	significantDigits = 3
+	// bucketDuration is the length of one bucket of the timeline of received
+	// tokens.
+	bucketDuration = 250 * time.Millisecond
+	// maxOutstanding is the maximum number of open requests of an account.
 	maxOutstanding = 4000
 	requestTimeout = 60 * time.Second
 	maxStreamEvent = 1 << 20
 )
 
-// accountLoad is what the load of one account has got so far.
+// accountLoad holds the results of one account so far.
 type accountLoad struct {
 	account LoadAccount
 	result  AccountResult
 
-	mu    sync.Mutex
-	first *hdrhistogram.Histogram
-	whole *hdrhistogram.Histogram
+	mu sync.Mutex
+	// firstToken and complete hold the latencies of first tokens and of complete
+	// answers in microseconds.
+	firstToken *hdrhistogram.Histogram
+	complete   *hdrhistogram.Histogram
 
-	outstanding atomic.Int64
+	outstanding atomic.Int64 // open requests
 }
 
-// Load runs a plan against real daemons.
+// Load is a load generator that runs a plan against real daemons.
 type Load struct {
 	config   LoadConfig
 	http     *http.Client
 	started  time.Time
 	accounts []*accountLoad
-	// served counts the tokens received in each bucket.
+	// served holds the number of tokens received in each bucket.
 	served []atomic.Int64
-	next   atomic.Uint64
+	// next counts the requests, to rotate the entry that is tried first.
+	next atomic.Uint64
 }
 
-// NewLoad returns a load that has sent nothing.
+// NewLoad returns a load generator for one run.
 func NewLoad(config LoadConfig) *Load {
 	l := &Load{
 		config: config,
@@ -76,51 +81,53 @@
 	}
 	for _, a := range config.Plan.Accounts {
 		l.accounts = append(l.accounts, &accountLoad{
-			account: a,
-			result:  AccountResult{Name: a.Name, Share: a.Share},
-			first:   hdrhistogram.New(1, longestMicros, digits),
-			whole:   hdrhistogram.New(1, longestMicros, digits),
+			account:    a,
+			result:     AccountResult{Name: a.Name, Share: a.Share},
+			firstToken: hdrhistogram.New(1, maxRecordedMicros, significantDigits),
+			complete:   hdrhistogram.New(1, maxRecordedMicros, significantDigits),
 		})
 	}
-	span := l.span() + config.Drain
-	l.served = make([]atomic.Int64, int(span/loadBucket)+1)
+	duration := l.duration() + config.Drain
+	l.served = make([]atomic.Int64, int(duration/bucketDuration)+1)
 	return l
 }
 
-func (l *Load) span() time.Duration {
+// duration returns how long the plan sends requests.
+func (l *Load) duration() time.Duration {
 	return time.Duration(l.config.Plan.Seconds * float64(time.Second))
 }
 
-// Run sends the plan's requests and returns what came of them.
+// Run sends the plan's requests and returns the results.
 func (l *Load) Run(ctx context.Context) (LoadResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.span()+l.config.Drain)
+	ctx, cancel := context.WithTimeout(ctx, l.duration()+l.config.Drain)
 	defer cancel()
-	watch := newEngineWatch(l.config.Engines)
+	poller := newEnginePoller(l.config.Engines)
 	l.started = time.Now()
-	watching, stopWatching := context.WithTimeout(ctx, l.span())
-	defer stopWatching()
-	var watched sync.WaitGroup
-	watched.Go(func() { watch.run(watching) })
+	pollCtx, stopPolling := context.WithTimeout(ctx, l.duration())
+	defer stopPolling()
+	var polling sync.WaitGroup
+	polling.Go(func() { poller.run(pollCtx) })
 	var senders sync.WaitGroup
 	for _, a := range l.accounts {
 		senders.Go(func() { l.send(ctx, a) })
 	}
 	senders.Wait()
-	watched.Wait()
-	return l.summarize(watch), nil
+	polling.Wait()
+	return l.summarize(poller), nil
 }
 
-// send fires the account's requests at their times and waits for the answers.
+// send sends each of the account's requests when it is due, without waiting for
+// earlier answers. It returns when all requests have ended.
 func (l *Load) send(ctx context.Context, a *accountLoad) {
 	var open sync.WaitGroup
 	defer open.Wait()
-	for _, r := range a.account.draw(l.span(), l.config.Plan.Seed) {
+	for _, r := range a.account.generateRequests(l.duration(), l.config.Plan.Seed) {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(l.started.Add(r.after))):
 		}
-		a.offered(r)
+		a.noteOffered(r)
 		if a.outstanding.Load() >= maxOutstanding {
 			a.count(&a.result.Dropped)
 			continue
@@ -128,12 +135,12 @@
 		a.outstanding.Add(1)
 		open.Go(func() {
 			defer a.outstanding.Add(-1)
-			l.one(ctx, a, r)
+			l.sendRequest(ctx, a, r)
 		})
 	}
 }
 
-func (a *accountLoad) offered(r loadRequest) {
+func (a *accountLoad) noteOffered(r loadRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.result.Sent++
@@ -146,15 +153,15 @@
 	*field++
 }
 
-// one sends a request and follows its answer. Times count from when the
-// request was due, not from when it was sent, so that a slow generator can't
-// hide the waits of a slow system.
-func (l *Load) one(ctx context.Context, a *accountLoad, r loadRequest) {
+// sendRequest sends a request and reads its answer. Latencies count from the time
+// at which the request was due, not from when it was sent. Otherwise a slow load
+// generator would hide the latency of a slow system (coordinated omission).
+func (l *Load) sendRequest(ctx context.Context, a *accountLoad, r loadRequest) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := l.connect(ctx, a, r)
+	response, err := l.sendToAnyEntry(ctx, a, r)
 	if err != nil {
-		l.ended(ctx, a, r, 0)
+		l.noteIncomplete(ctx, a, r, 0)
 		return
 	}
 	defer response.Body.Close()
@@ -167,28 +174,29 @@
 		a.count(&a.result.Failed)
 		return
 	}
-	if tokens, whole := l.follow(a, r, response); !whole {
-		l.ended(ctx, a, r, tokens)
+	if tokens, complete := l.readStream(a, r, response); !complete {
+		l.noteIncomplete(ctx, a, r, tokens)
 	}
 }
 
-// ended counts a request without a whole answer. One that the end of the run
-// cut off while it waited goes into the times with what it had waited by then,
-// so that requests which are never served don't make the figures look better.
-func (l *Load) ended(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
+// noteIncomplete counts a request without a complete answer. If the run ended
+// before the first token, the time waited so far is recorded as the latency of
+// the first token. Otherwise requests that are never served would improve the
+// latencies.
+func (l *Load) noteIncomplete(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
 	if ctx.Err() == nil {
 		a.count(&a.result.Failed)
 		return
 	}
 	a.count(&a.result.Unfinished)
 	if tokens == 0 {
-		a.record(a.first, l.since(r))
+		a.record(a.firstToken, l.sinceDue(r))
 	}
 }
 
-// connect sends the request to one entry after the other until one can be
-// reached.
-func (l *Load) connect(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
+// sendToAnyEntry sends the request to the entries one after the other until one
+// responds. Successive requests start at successive entries.
+func (l *Load) sendToAnyEntry(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
 	body, err := json.Marshal(entry.GenerateBody{
 		Model:          l.config.Model,
 		Prompt:         r.prompt,
@@ -222,9 +230,9 @@
 	return nil, errors.WithStack(&fault.UpstreamFailed{Upstream: "every entry", Reason: "no answer"})
 }
 
-// follow reads a stream to its end, and returns its tokens and whether it was
-// whole.
-func (l *Load) follow(a *accountLoad, r loadRequest, response *http.Response) (tokens int, whole bool) {
+// readStream reads a stream to its end. It returns the number of tokens and
+// whether the answer was complete.
+func (l *Load) readStream(a *accountLoad, r loadRequest, response *http.Response) (tokens int, complete bool) {
 	for e, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxStreamEvent}) {
 		if err != nil {
 			return tokens, false
@@ -236,12 +244,12 @@
 				return tokens, false
 			}
 			if tokens == 0 {
-				a.record(a.first, l.since(r))
+				a.record(a.firstToken, l.sinceDue(r))
 			}
 			tokens += len(chunk.Tokens)
-			l.serve(a, len(chunk.Tokens))
+			l.noteTokens(a, len(chunk.Tokens))
 		case "answer":
-			a.record(a.whole, l.since(r))
+			a.record(a.complete, l.sinceDue(r))
 			a.count(&a.result.Answered)
 			return tokens, tokens == AnswerLength(r.prompt, r.seed, r.maxTokens)
 		default:
@@ -251,18 +259,20 @@
 	return tokens, false
 }
 
-func (l *Load) since(r loadRequest) time.Duration { return time.Since(l.started.Add(r.after)) }
+// sinceDue returns the time since a request was due.
+func (l *Load) sinceDue(r loadRequest) time.Duration { return time.Since(l.started.Add(r.after)) }
 
-// serve counts tokens that arrived. Those after the last request was sent don't
-// count for the account: by then the offered load has ended.
-func (l *Load) serve(a *accountLoad, tokens int) {
+// noteTokens counts received tokens in the timeline. They also count for the
+// account if they arrive while requests are sent; later the offered load has
+// ended.
+func (l *Load) noteTokens(a *accountLoad, tokens int) {
 	now := time.Since(l.started)
-	if now < l.span() {
+	if now < l.duration() {
 		a.mu.Lock()
 		a.result.Tokens += int64(tokens)
 		a.mu.Unlock()
 	}
-	if bucket := int(now / loadBucket); bucket < len(l.served) {
+	if bucket := int(now / bucketDuration); bucket < len(l.served) {
 		l.served[bucket].Add(int64(tokens))
 	}
 }
@@ -270,5 +280,5 @@
 func (a *accountLoad) record(h *hdrhistogram.Histogram, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_ = h.RecordValue(min(longestMicros, max(1, d.Microseconds())))
+	_ = h.RecordValue(min(maxRecordedMicros, max(1, d.Microseconds())))
 }
--- a/internal/standin/loadplan.go
+++ b/internal/standin/loadplan.go
@@ -14,46 +14,53 @@
 	"dogwoodpond/internal/fault"
 )
 
-// LoadPlan is what the load generator sends.
+// LoadPlan defines the requests that the load generator sends.
 type LoadPlan struct {
 	Accounts []LoadAccount `json:"accounts"`
-	// Seconds is how long requests are sent.
+	// Seconds is the time during which requests are sent.
 	Seconds float64 `json:"seconds"`
-	// Faults tells when faults were brought about, to measure the recovery.
+	// Faults lists the faults that a script injects during the run, in the order
+	// of their times. The load generator measures the recovery from each.
 	Faults []LoadFault `json:"faults,omitempty"`
-	// Seed makes the arrivals and sizes repeatable.
+	// Seed is the seed of the arrival times and sizes, which makes a run
+	// repeatable.
 	Seed uint64 `json:"seed"`
 }
 
-// LoadAccount is the traffic of one client account. Arrivals are an open loop:
-// they don't wait for answers, as real callers of many don't.
+// LoadAccount defines the traffic of one client account. The traffic is an open
+// loop: requests don't wait for earlier answers, like those of many independent
+// callers.
 type LoadAccount struct {
 	Name string `json:"name"`
 	Key  string `json:"key"`
-	// Share is the contract's share, for the figures.
+	// Share is the share in the account's contract. It is used to compute
+	// AccountResult.OverShare.
 	Share int `json:"share"`
-	// Rate is the mean number of requests a second, with exponential gaps.
+	// Rate is the mean number of requests per second. The times between requests
+	// are exponentially distributed.
 	Rate float64 `json:"rate"`
-	// Entries limits the account to the first so many entries; 0 means all.
+	// Entries limits the account to the first Entries addresses of
+	// LoadConfig.Entries; 0 means all.
 	Entries int `json:"entries,omitempty"`
-	// MaxTokens is the median bound of an answer, Sigma the spread of its
+	// MaxTokens is the median of the requests' token limits, which are
+	// log-normally distributed. Sigma is the standard deviation of their
 	// logarithm.
 	MaxTokens int     `json:"maxTokens"`
 	Sigma     float64 `json:"sigma"`
-	// Groups is how many prompts the account has; a few are asked far more often
-	// than the others.
+	// Groups is the number of different prompts. Their popularity has a Zipf
+	// distribution.
 	Groups int `json:"groups"`
-	// PromptWords is the length of a prompt.
+	// PromptWords is the number of filler words in a prompt.
 	PromptWords int `json:"promptWords"`
 }
 
-// LoadFault is a fault that a script brings about during the load.
+// LoadFault is a fault that a script injects during the run.
 type LoadFault struct {
 	Name string `json:"name"`
-	// AtSeconds is when, counted from the start of the load.
+	// AtSeconds is the time of the fault since the start of the run.
 	AtSeconds float64 `json:"atSeconds"`
-	// Keeps is the part of the engines' slots that is left, in percent of those
-	// before the first fault.
+	// Keeps is the share of the engines' slots that remains after the fault, in
+	// percent of the slots before the first fault.
 	Keeps float64 `json:"keeps"`
 }
 
@@ -67,35 +74,37 @@
 }
 
 const (
+	// minLoadTokens and maxLoadTokens limit the token limit of a request.
 	maxLoadTokens = 1024
 	minLoadTokens = 8
-	// groupSkew is the exponent of the groups' popularity.
+	// groupSkew is the exponent of the Zipf distribution of the groups.
 	groupSkew = 1.3
 )
 
 // loadRequest is one request of the plan.
 type loadRequest struct {
-	after     time.Duration
+	after     time.Duration // time at which it is due, since the start of the run
 	group     int
 	prompt    string
 	seed      int64
 	maxTokens int
 }
 
-// draw makes the requests of an account, in the order of their arrival.
-func (a LoadAccount) draw(span time.Duration, seed uint64) []loadRequest {
+// generateRequests returns the requests of an account in the order of their
+// arrival.
+func (a LoadAccount) generateRequests(duration time.Duration, seed uint64) []loadRequest {
 	random := rand.New(rand.NewPCG(seed, uint64(len(a.Name))<<32+uint64(a.Name[0])))
-	popular := rand.NewZipf(random, groupSkew, 1, uint64(max(1, a.Groups)-1))
-	var list []loadRequest
+	popularity := rand.NewZipf(random, groupSkew, 1, uint64(max(1, a.Groups)-1))
+	var requests []loadRequest
 	for at := 0.0; ; {
 		at += random.ExpFloat64() / a.Rate
 		after := time.Duration(at * float64(time.Second))
-		if after >= span {
-			return list
+		if after >= duration {
+			return requests
 		}
-		group := int(popular.Uint64())
+		group := int(popularity.Uint64())
 		size := float64(a.MaxTokens) * math.Exp(a.Sigma*random.NormFloat64())
-		list = append(list, loadRequest{
+		requests = append(requests, loadRequest{
 			after:     after,
 			group:     group,
 			prompt:    a.prompt(group),
--- a/internal/standin/loadresult.go
+++ b/internal/standin/loadresult.go
@@ -15,73 +15,82 @@
 	"dogwoodpond/internal/engine"
 )
 
-// AccountResult is what one account got.
+// AccountResult holds the results of one account.
 type AccountResult struct {
-	Name     string `json:"name"`
-	Share    int    `json:"share"`
-	Sent     int64  `json:"sent"`
-	Answered int64  `json:"answered"`
-	// Refused counts answers 429 and 503.
+	Name  string `json:"name"`
+	Share int    `json:"share"`
+	// Sent counts the requests that were due, including dropped ones.
+	Sent     int64 `json:"sent"`
+	Answered int64 `json:"answered"`
+	// Refused counts answers with status 429 or 503.
 	Refused int64 `json:"refused"`
-	// Failed counts everything else but whole answers.
+	// Failed counts requests that ended otherwise without a complete answer.
 	Failed int64 `json:"failed"`
-	// Dropped counts requests that were not sent because too many were open.
+	// Dropped counts requests that were due but not sent, because maxOutstanding
+	// requests were open.
 	Dropped int64 `json:"dropped"`
-	// Unfinished counts requests that still waited or ran at the end.
+	// Unfinished counts requests that were still queued or running at the end of
+	// the run.
 	Unfinished int64 `json:"unfinished"`
-	// OfferedTokens is what the sent requests would have got if all had been
-	// answered, Tokens what arrived while requests were sent.
+	// OfferedTokens is the number of tokens that complete answers to all due
+	// requests would have. Tokens is the number of tokens received while requests
+	// were sent.
 	OfferedTokens int64 `json:"offeredTokens"`
 	Tokens        int64 `json:"tokens"`
-	// OverShare is Tokens over what the account's share entitles it to.
+	// OverShare is the ratio of Tokens to the number of tokens that the account is
+	// entitled to by its share.
 	OverShare float64 `json:"overShare"`
-	// FirstP50Millis and so on are the times to the first tokens.
+	// FirstP50Millis and FirstP99Millis are percentiles of the time to the first
+	// token, WholeP99Millis of the time to the end of the answer.
 	FirstP50Millis float64 `json:"firstP50Millis"`
 	FirstP99Millis float64 `json:"firstP99Millis"`
 	WholeP99Millis float64 `json:"wholeP99Millis"`
 }
 
-// FaultResult is how long the service took to recover from a fault.
+// FaultResult holds the recovery time of a fault.
 type FaultResult struct {
 	Name string `json:"name"`
-	// RecoverySeconds is the time from the fault until a second's worth of
-	// tokens is again 80 % of what the slots that are left gave before the first
-	// fault; -1 if that did not happen before the next fault.
+	// RecoverySeconds is the time from the fault until the first second in which
+	// the service delivers at least 80 % of the expected tokens. These are the
+	// tokens per second before the first fault, scaled by LoadFault.Keeps. The
+	// value is -1 if the service did not recover before the next fault or the end.
 	RecoverySeconds float64 `json:"recoverySeconds"`
 }
 
-// LoadResult is what came of a run.
+// LoadResult holds the results of a run.
 type LoadResult struct {
 	Accounts []AccountResult `json:"accounts"`
-	// WorstOverShare is the least OverShare of any account.
+	// WorstOverShare is the lowest OverShare of any account; -1 if no account is
+	// entitled to any tokens.
 	WorstOverShare float64 `json:"worstOverShare"`
-	// EngineUse is the mean part of the engines' slots that were busy, in
-	// percent; EngineQueue the mean number of requests that waited in an engine.
+	// EngineUse is the mean share of the engines' slots that were in use, in
+	// percent. EngineQueue is the mean number of requests queued in one engine.
 	EngineUse   float64 `json:"engineUse"`
 	EngineQueue float64 `json:"engineQueue"`
-	// CacheHits is the percentage of attempts whose prompt was in the cache.
+	// CacheHits is the percentage of attempts whose prompt was in the prefix cache
+	// of the engine.
 	CacheHits float64       `json:"cacheHits"`
 	Tokens    int64         `json:"tokens"`
 	Faults    []FaultResult `json:"faults,omitempty"`
-	// ServedTokens is the time line of received tokens, one figure for each
+	// ServedTokens is the timeline of received tokens: one number per interval of
 	// 250 ms.
 	ServedTokens []int64 `json:"servedTokens"`
 }
 
-func (l *Load) summarize(watch *engineWatch) LoadResult {
+func (l *Load) summarize(poller *enginePoller) LoadResult {
 	var result LoadResult
 	for _, a := range l.accounts {
 		a.mu.Lock()
 		r := a.result
-		r.FirstP50Millis = millisAt(a.first, 50)
-		r.FirstP99Millis = millisAt(a.first, 99)
-		r.WholeP99Millis = millisAt(a.whole, 99)
+		r.FirstP50Millis = millisAt(a.firstToken, 50)
+		r.FirstP99Millis = millisAt(a.firstToken, 99)
+		r.WholeP99Millis = millisAt(a.complete, 99)
 		a.mu.Unlock()
 		result.Accounts = append(result.Accounts, r)
 		result.Tokens += r.Tokens
 	}
 	result.WorstOverShare = compareWithShares(result.Accounts)
-	result.EngineUse, result.EngineQueue, result.CacheHits = watch.figures()
+	result.EngineUse, result.EngineQueue, result.CacheHits = poller.averages()
 	for i := range l.served {
 		result.ServedTokens = append(result.ServedTokens, l.served[i].Load())
 	}
@@ -93,43 +102,43 @@
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// compareWithShares fills in OverShare and returns the least. What an account is
-// entitled to is its max-min fair part of all tokens served: its share of them,
-// but no more than it asked for; what some don't ask for goes to the others by
-// their shares.
+// compareWithShares sets OverShare in each account and returns the lowest. An
+// account is entitled to its max-min fair part of all served tokens: in proportion
+// to its share, but at most what it requested. Tokens that an account does not
+// request are divided among the others in proportion to their shares.
 func compareWithShares(accounts []AccountResult) float64 {
 	entitled := make([]float64, len(accounts))
-	var left float64
+	var remaining float64
 	for _, a := range accounts {
-		left += float64(a.Tokens)
+		remaining += float64(a.Tokens)
 	}
-	open := make(map[int]bool)
+	uncapped := make(map[int]bool)
 	for i, a := range accounts {
-		open[i] = a.OfferedTokens > 0
+		uncapped[i] = a.OfferedTokens > 0
 	}
 	for {
 		shares, capped := 0.0, -1
 		for i, a := range accounts {
-			if open[i] {
+			if uncapped[i] {
 				shares += float64(a.Share)
 			}
 		}
 		for i, a := range accounts {
-			if open[i] && float64(a.OfferedTokens) <= left*float64(a.Share)/shares {
+			if uncapped[i] && float64(a.OfferedTokens) <= remaining*float64(a.Share)/shares {
 				capped = i
 			}
 		}
 		if capped < 0 {
 			for i, a := range accounts {
-				if open[i] {
-					entitled[i] = left * float64(a.Share) / shares
+				if uncapped[i] {
+					entitled[i] = remaining * float64(a.Share) / shares
 				}
 			}
 			break
 		}
 		entitled[capped] = float64(accounts[capped].OfferedTokens)
-		left -= entitled[capped]
-		open[capped] = false
+		remaining -= entitled[capped]
+		uncapped[capped] = false
 	}
 	worst := -1.0
 	for i := range accounts {
@@ -145,24 +154,26 @@
 }
 
 const (
-	// recoveredPart is how much of the expected service counts as recovered.
-	recoveredPart = 0.8
-	// warmUp is left out of the baseline.
+	// recoveredFraction is the fraction of the expected rate at which the service
+	// counts as recovered.
+	recoveredFraction = 0.8
+	// warmUp is the time at the start of the run that the baseline excludes.
 	warmUp = 2 * time.Second
-	// secondOfBuckets is the window over which recovery is judged.
-	secondOfBuckets = int(time.Second / loadBucket)
+	// bucketsPerSecond is the number of buckets in the window of one second over
+	// which the rate is measured.
+	bucketsPerSecond = int(time.Second / bucketDuration)
 )
 
-// recoveries finds when the service had recovered from each fault.
+// recoveries returns the recovery time of each fault in the plan.
 func recoveries(plan LoadPlan, served []int64) []FaultResult {
 	var results []FaultResult
 	if len(plan.Faults) == 0 {
 		return nil
 	}
-	bucketOf := func(seconds float64) int { return int(seconds * float64(secondOfBuckets)) }
-	warm := int(warmUp / loadBucket)
+	bucketOf := func(seconds float64) int { return int(seconds * float64(bucketsPerSecond)) }
+	warm := int(warmUp / bucketDuration)
 	first := bucketOf(plan.Faults[0].AtSeconds)
-	baseline := float64(sum(served[warm:first])) / float64(first-warm) * float64(secondOfBuckets)
+	baseline := float64(sum(served[warm:first])) / float64(first-warm) * float64(bucketsPerSecond)
 	for i, f := range plan.Faults {
 		end := bucketOf(plan.Seconds)
 		if i+1 < len(plan.Faults) {
@@ -170,9 +181,9 @@
 		}
 		r := FaultResult{Name: f.Name, RecoverySeconds: -1}
 		at := bucketOf(f.AtSeconds)
-		for b := at; b+secondOfBuckets <= end; b++ {
-			if float64(sum(served[b:b+secondOfBuckets])) >= recoveredPart*baseline*f.Keeps/100 {
-				r.RecoverySeconds = float64(b-at) / float64(secondOfBuckets)
+		for b := at; b+bucketsPerSecond <= end; b++ {
+			if float64(sum(served[b:b+bucketsPerSecond])) >= recoveredFraction*baseline*f.Keeps/100 {
+				r.RecoverySeconds = float64(b-at) / float64(bucketsPerSecond)
 				break
 			}
 		}
@@ -188,7 +199,7 @@
 	return total
 }
 
-// WriteTable prints the figures for people.
+// WriteTable prints the results as a table.
 func (r LoadResult) WriteTable(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "account\tshare\tsent\tanswered\trefused\tfailed\tdropped\tunfinished\ttokens\tover share\tfirst p50 ms\tfirst p99 ms\t")
@@ -204,11 +215,11 @@
 	}
 }
 
-// engineWatch samples the stand-in engines during a run.
-type engineWatch struct {
+// enginePoller polls the load of the stand-in engines during a run and sums it up.
+type enginePoller struct {
 	addresses []string
 	http      *http.Client
-	before    map[string]Counts
+	before    map[string]Counts // counts at the start, by address
 
 	mu      sync.Mutex
 	samples int
@@ -218,26 +229,26 @@
 	hits    int64
 }
 
-// watchPeriod is the step of the samples.
-const watchPeriod = 100 * time.Millisecond
+// enginePollInterval is the interval at which an enginePoller reads the load.
+const enginePollInterval = 100 * time.Millisecond
 
-func newEngineWatch(addresses []string) *engineWatch {
-	w := &engineWatch{addresses: addresses, http: &http.Client{Timeout: time.Second}, before: make(map[string]Counts)}
+func newEnginePoller(addresses []string) *enginePoller {
+	p := &enginePoller{addresses: addresses, http: &http.Client{Timeout: time.Second}, before: make(map[string]Counts)}
 	for _, address := range addresses {
 		var c Counts
-		if w.get(context.Background(), address, PathCounts, &c) {
-			w.before[address] = c
+		if p.get(context.Background(), address, PathCounts, &c) {
+			p.before[address] = c
 		}
 	}
-	return w
+	return p
 }
 
-func (w *engineWatch) get(ctx context.Context, address, path string, into any) bool {
+func (p *enginePoller) get(ctx context.Context, address, path string, into any) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return false
 	}
-	response, err := w.http.Do(request)
+	response, err := p.http.Do(request)
 	if err != nil {
 		return false
 	}
@@ -245,58 +256,59 @@
 	return json.NewDecoder(response.Body).Decode(into) == nil
 }
 
-// run samples until ctx ends, then reads the counts.
-func (w *engineWatch) run(ctx context.Context) {
-	ticker := time.NewTicker(watchPeriod)
+// run polls the engines until ctx ends, then reads their counts.
+func (p *enginePoller) run(ctx context.Context) {
+	ticker := time.NewTicker(enginePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			w.readCounts()
+			p.readCounts()
 			return
 		case <-ticker.C:
 		}
-		for _, address := range w.addresses {
+		for _, address := range p.addresses {
 			var load engine.Load
-			if w.get(ctx, address, engine.PathLoad, &load) {
-				w.add(load)
+			if p.get(ctx, address, engine.PathLoad, &load) {
+				p.add(load)
 			}
 		}
 	}
 }
 
-func (w *engineWatch) add(load engine.Load) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.samples++
-	w.running += load.Running
-	w.waiting += load.Waiting
+func (p *enginePoller) add(load engine.Load) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.samples++
+	p.running += load.Running
+	p.waiting += load.Waiting
 }
 
-func (w *engineWatch) readCounts() {
-	for _, address := range w.addresses {
+func (p *enginePoller) readCounts() {
+	for _, address := range p.addresses {
 		var c Counts
-		if w.get(context.Background(), address, PathCounts, &c) {
-			w.started += c.Started - w.before[address].Started
-			w.hits += c.CacheHits - w.before[address].CacheHits
+		if p.get(context.Background(), address, PathCounts, &c) {
+			p.started += c.Started - p.before[address].Started
+			p.hits += c.CacheHits - p.before[address].CacheHits
 		}
 	}
 }
 
-// figures returns the use of the slots and the cache hits in percent, and the
-// mean number of requests that waited in an engine.
-func (w *engineWatch) figures() (use, queue, hits float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.samples > 0 {
-		use = 100 * float64(w.running) / float64(w.samples) / standardSlots
-		queue = float64(w.waiting) / float64(w.samples)
+// averages returns the mean use of the slots in percent, the mean number of
+// requests queued in one engine, and the percentage of cache hits.
+func (p *enginePoller) averages() (use, queue, hits float64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.samples > 0 {
+		use = 100 * float64(p.running) / float64(p.samples) / defaultSlots
+		queue = float64(p.waiting) / float64(p.samples)
 	}
-	if w.started > 0 {
-		hits = 100 * float64(w.hits) / float64(w.started)
+	if p.started > 0 {
+		hits = 100 * float64(p.hits) / float64(p.started)
 	}
 	return use, queue, hits
 }
 
-// standardSlots is the number of slots of a stand-in engine by default.
-const standardSlots = 8
+// defaultSlots is the default number of slots of a stand-in engine. The averages
+// assume it for every engine.
+const defaultSlots = 8
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -20,33 +20,37 @@
 	"dogwoodpond/internal/platform/memory"
 )
 
-// Paths for tests and scripts to steer the stand-in platform.
+// Paths at which tests and scripts configure and inspect the stand-in platform.
 const (
-	// PathAddVM registers a platform.VM.
+	// PathAddVM adds a platform.VM to the list, or replaces the one with its ID.
 	PathAddVM = "/stand-in/vms"
-	// PathAddUpstream registers a platform.Upstream; state "spare" hides it
-	// until an order starts it.
+	// PathAddUpstream adds a platform.Upstream to the list, or replaces the one
+	// with its ID. An upstream in state "spare" is listed only after an order has
+	// started it.
 	PathAddUpstream = "/stand-in/upstreams"
-	// PathPublish publishes a platform.WeightVersion; the version is assigned.
+	// PathPublish publishes a platform.WeightVersion. The platform assigns the
+	// version.
 	PathPublish = "/stand-in/weights"
-	// PathReportLog lists the accepted usage reports.
+	// PathReportLog returns the accepted usage reports.
 	PathReportLog = "/stand-in/reports"
-	// PathOrderLog lists the orders that took effect.
+	// PathOrderLog returns the orders that were executed.
 	PathOrderLog = "/stand-in/orders"
-	// PathTableCounts returns the TableCounts.
+	// PathTableCounts returns TableCounts.
 	PathTableCounts = "/stand-in/tables"
 )
 
-// stateSpare is an upstream that the platform could start.
+// stateSpare is the state of an upstream that does not run and that an order can
+// start.
 const stateSpare platform.UpstreamState = "spare"
 
 const (
-	probePeriod = 500 * time.Millisecond
-	// probesUntilGone is how many failed probes remove a VM from the list.
-	probesUntilGone = 6
+	probeInterval = 500 * time.Millisecond
+	// failedProbesUntilRemoval is the number of unanswered probes since a VM was
+	// last ready after which it is removed from the list.
+	failedProbesUntilRemoval = 6
 )
 
-// TableCounts tells the load on the table service.
+// TableCounts counts the calls to the table service.
 type TableCounts struct {
 	Reads   int64 `json:"reads"`
 	Commits int64 `json:"commits"`
@@ -57,7 +61,7 @@
 	account string
 }
 
-// Platform stands in for the users' platform.
+// Platform is a stand-in for the users' platform.
 type Platform struct {
 	faults *faults
 	tables *memory.Tables
@@ -65,10 +69,10 @@
 	mu        sync.Mutex
 	objects   map[string][]byte
 	vms       []platform.VM
-	failures  map[string]int
+	failures  map[string]int // unanswered probes since the VM was last ready, by VM
 	upstreams []platform.Upstream
-	epochs    map[string]uint64
-	ordered   map[string]bool
+	epochs    map[string]uint64 // newest epoch of orders by failure domain, and of reports
+	executed  map[string]bool   // executed orders by ID
 	orders    []platform.Order
 	reports   map[reportKey]platform.UsageReport
 	reportLog []platform.UsageReport
@@ -83,12 +87,12 @@
 		objects:  make(map[string][]byte),
 		failures: make(map[string]int),
 		epochs:   make(map[string]uint64),
-		ordered:  make(map[string]bool),
+		executed: make(map[string]bool),
 		reports:  make(map[reportKey]platform.UsageReport),
 	}
 }
 
-// Handler serves the platform's interfaces.
+// Handler returns the handler of the platform's HTTP interfaces.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+platform.PathGet, p.get)
@@ -96,24 +100,24 @@
 	mux.HandleFunc("POST "+platform.PathCommit, p.commit)
 	mux.HandleFunc("PUT "+platform.PathObjects+"{key}", p.putObject)
 	mux.HandleFunc("GET "+platform.PathObjects+"{key}", p.getObject)
-	mux.HandleFunc("GET "+platform.PathVMs, list(p, func() any { return p.vms }))
-	mux.HandleFunc("GET "+platform.PathUpstreams, list(p, func() any { return p.visible() }))
+	mux.HandleFunc("GET "+platform.PathVMs, listHandler(p, func() any { return p.vms }))
+	mux.HandleFunc("GET "+platform.PathUpstreams, listHandler(p, func() any { return p.listedUpstreams() }))
 	mux.HandleFunc("POST "+platform.PathOrders, p.order)
-	mux.HandleFunc("GET "+platform.PathOffers, list(p, func() any { return p.offers() }))
+	mux.HandleFunc("GET "+platform.PathOffers, listHandler(p, func() any { return p.offers() }))
 	mux.HandleFunc("POST "+platform.PathReports, p.report)
-	mux.HandleFunc("GET "+platform.PathWeights, list(p, func() any { return p.weights }))
+	mux.HandleFunc("GET "+platform.PathWeights, listHandler(p, func() any { return p.weights }))
 	mux.HandleFunc("POST "+PathAddVM, p.addVM)
 	mux.HandleFunc("POST "+PathAddUpstream, p.addUpstream)
 	mux.HandleFunc("POST "+PathPublish, p.publish)
-	mux.HandleFunc("GET "+PathReportLog, list(p, func() any { return p.reportLog }))
-	mux.HandleFunc("GET "+PathOrderLog, list(p, func() any { return p.orders }))
+	mux.HandleFunc("GET "+PathReportLog, listHandler(p, func() any { return p.reportLog }))
+	mux.HandleFunc("GET "+PathOrderLog, listHandler(p, func() any { return p.orders }))
 	mux.HandleFunc("GET "+PathTableCounts, p.counts)
 	return p.faults.wrap(mux)
 }
 
-// list answers with a value that is read under the lock, or with 304 when the
-// caller has it already.
-func list(p *Platform, value func() any) http.HandlerFunc {
+// listHandler answers with a value that it reads under the lock, or with 304 if
+// the caller already has it according to If-None-Match.
+func listHandler(p *Platform, value func() any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		body, err := json.Marshal(value())
@@ -191,17 +195,18 @@
 	_, _ = w.Write(body)
 }
 
-func (p *Platform) visible() []platform.Upstream {
-	shown := []platform.Upstream{}
+func (p *Platform) listedUpstreams() []platform.Upstream {
+	listed := []platform.Upstream{}
 	for _, u := range p.upstreams {
 		if u.State != stateSpare {
-			shown = append(shown, u)
+			listed = append(listed, u)
 		}
 	}
-	return shown
+	return listed
 }
 
-// offers counts the spare upstreams of each kind.
+// offers returns the number of spare upstreams by failure domain, model, price and
+// whether they are reclaimable.
 func (p *Platform) offers() []platform.Offer {
 	counts := make(map[platform.Offer]int)
 	for _, u := range p.upstreams {
@@ -229,21 +234,22 @@
 		return
 	}
 	p.epochs[order.FailureDomain] = order.Epoch
-	if p.ordered[order.ID] {
+	if p.executed[order.ID] {
 		writeJSON(w, http.StatusOK, struct{}{})
 		return
 	}
-	if !p.carryOut(order) {
+	if !p.execute(order) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	p.ordered[order.ID] = true
+	p.executed[order.ID] = true
 	p.orders = append(p.orders, order)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-// carryOut starts a spare upstream or stops a running one.
-func (p *Platform) carryOut(order platform.Order) bool {
+// execute starts a spare upstream or stops a running one. It returns false if no
+// upstream matches the order.
+func (p *Platform) execute(order platform.Order) bool {
 	for i := range p.upstreams {
 		u := &p.upstreams[i]
 		switch {
@@ -341,10 +347,11 @@
 	writeJSON(w, http.StatusOK, published)
 }
 
-// Probe keeps the states of the VM list, a little late, until ctx ends.
+// Probe polls the readiness of the VMs and updates their states in the list until
+// ctx ends. The list lags behind the VMs, as that of a real platform does.
 func (p *Platform) Probe(ctx context.Context) {
-	client := &http.Client{Timeout: probePeriod}
-	ticker := time.NewTicker(probePeriod)
+	client := &http.Client{Timeout: probeInterval}
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -362,11 +369,11 @@
 	p.mu.Unlock()
 	for _, vm := range vms {
 		status := readiness(client, vm.CallerAddress)
-		p.note(vm.ID, status)
+		p.noteReadiness(vm.ID, status)
 	}
 }
 
-// readiness returns the status of /readyz, or 0 without an answer.
+// readiness returns the status code of /readyz, or 0 if the VM doesn't answer.
 func readiness(client *http.Client, address string) int {
 	response, err := client.Get("http://" + address + "/readyz")
 	if err != nil {
@@ -376,7 +383,7 @@
 	return response.StatusCode
 }
 
-func (p *Platform) note(id string, status int) {
+func (p *Platform) noteReadiness(id string, status int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	at := slices.IndexFunc(p.vms, func(v platform.VM) bool { return v.ID == id })
@@ -392,10 +399,10 @@
 	default:
 		p.vms[at].State = platform.VMLeaving
 	}
-	if p.failures[id] >= probesUntilGone {
+	if p.failures[id] >= failedProbesUntilRemoval {
 		p.vms = slices.Delete(p.vms, at, at+1)
 	}
 }
 
-// holdsKey reports whether text holds a caller's key.
-func holdsKey(text string) bool { return strings.Contains(text, "dwp_") }
+// containsKey reports whether text contains a caller's key.
+func containsKey(text string) bool { return strings.Contains(text, "dwp_") }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -9,8 +9,8 @@
 	"dogwoodpond/internal/rollout"
 )
 
-// Service stands in for a plain service such as a deposit desk. Every POST
-// counts as one charge.
+// Service is a stand-in for a plain service, for example one that charges
+// deposits. Every POST that it executes counts as one charge, except score calls.
 type Service struct {
 	faults *faults
 
@@ -18,21 +18,21 @@
 	counts Counts
 }
 
-// NewService returns a service that has seen nothing.
+// NewService returns a service that has executed no calls.
 func NewService() *Service {
 	return &Service{faults: newFaults(), counts: Counts{Runs: make(map[string]int64)}}
 }
 
-// ServiceAnswer is the body of every answer.
+// ServiceAnswer is the body of every answer except to score calls.
 type ServiceAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
-	// Charge numbers the POSTs that ran.
+	// Charge is the number of POSTs executed so far, which identifies a charge.
 	Charge int64 `json:"charge"`
 }
 
-// Handler serves the service.
+// Handler returns the handler of the service's HTTP interface.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathCounts, func(w http.ResponseWriter, _ *http.Request) {
@@ -51,7 +51,7 @@
 		return
 	}
 	answer := ServiceAnswer{Method: r.Method, Path: r.URL.Path, Body: string(body), Charge: s.count(r, string(body))}
-	if _, breaks := s.faults.take(r.URL.Path, FaultBreak); breaks {
+	if _, breaks := s.faults.consume(r.URL.Path, FaultBreak); breaks {
 		w.Header().Set("Content-Length", "4096")
 		writeJSON(w, http.StatusOK, answer)
 		panic(http.ErrAbortHandler)
@@ -59,7 +59,8 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// score scores a sample by the length of its text. It is no charge.
+// score answers a score call with the length of the text as score. It doesn't
+// count as a charge.
 func (s *Service) score(w http.ResponseWriter, r *http.Request) {
 	var request rollout.ScoreRequest
 	if !readJSON(w, r, &request) {
@@ -75,7 +76,7 @@
 func (s *Service) count(r *http.Request, body string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if holdsKey(body) || holdsKey(fmt.Sprint(r.Header, r.URL, r.Trailer)) {
+	if containsKey(body) || containsKey(fmt.Sprint(r.Header, r.URL, r.Trailer)) {
 		s.counts.KeysSeen++
 	}
 	s.counts.Started++
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -15,9 +15,10 @@
 	"dogwoodpond/internal/sample"
 )
 
-// TrainerConfig shapes one step of the stand-in trainer.
+// TrainerConfig configures one step of the stand-in trainer.
 type TrainerConfig struct {
-	// Entries are the callers' addresses; another is tried when one fails.
+	// Entries are the addresses that serve callers. When one fails, the trainer
+	// retries at the next.
 	Entries   []string
 	Key       string
 	Step      string
@@ -26,44 +27,46 @@
 	Samples   int
 	MaxTokens int
 	Scorer    string
-	// Timeout bounds the step.
+	// Timeout is the timeout of the step.
 	Timeout time.Duration
 }
 
-// TrainerResult is what the trainer received.
+// TrainerResult describes the samples that the trainer received.
 type TrainerResult struct {
 	Step    string `json:"step"`
 	Wanted  int    `json:"wanted"`
 	Samples int    `json:"samples"`
-	// Repeated counts slots that came more than once; it must be 0.
+	// Repeated counts samples of slots that had been received before; it must be 0.
 	Repeated int `json:"repeated"`
-	// Gaps counts samples whose number did not follow the one before.
+	// Gaps counts samples whose number is not the previous number plus one.
 	Gaps int `json:"gaps"`
 	// Unattributed counts samples without a weight version for every token.
 	Unattributed int `json:"unattributed"`
-	// Wrong counts samples whose text is not the engine's answer.
+	// Wrong counts samples whose text length doesn't match the number of tokens.
 	Wrong int `json:"wrong"`
-	// Mixed counts samples of more than one weight version.
+	// Mixed counts samples with tokens of more than one weight version.
 	Mixed int `json:"mixed"`
 	// Newest is the newest weight version of any sample.
 	Newest int64 `json:"newest"`
-	// Withdrawn counts tombstones of samples that went stale before they came.
+	// Withdrawn counts tombstones of samples that became stale before the trainer
+	// received them.
 	Withdrawn int `json:"withdrawn"`
 	// Unscored counts samples without a score in a step that has a scorer.
 	Unscored int `json:"unscored"`
-	// IdleMillis is how long the trainer waited with nothing to train on.
+	// IdleMillis is the time that the trainer waited for samples.
 	IdleMillis float64 `json:"idleMillis"`
-	Millis     float64 `json:"millis"`
+	// Millis is the duration of the step.
+	Millis float64 `json:"millis"`
 }
 
-// Trainer pulls one step.
+// Trainer submits one step and pulls its samples.
 type Trainer struct {
 	config TrainerConfig
 	http   *http.Client
-	next   int
+	next   int // index of the entry in use
 	seen   map[string]bool
 	result TrainerResult
-	after  int64
+	after  int64 // number of the last sample received
 	// pull is the number of the latest pull.
 	pull int64
 }
@@ -73,7 +76,7 @@
 	return &Trainer{config: config, http: &http.Client{Timeout: 20 * time.Second}, seen: make(map[string]bool)}
 }
 
-// Prompt returns the prompt of a group.
+// Prompt returns the prompt of a group in a step.
 func Prompt(step string, group int) string {
 	return fmt.Sprintf("Please answer booking question %d of round %s about the berry field", group, step)
 }
@@ -90,14 +93,14 @@
 	return d
 }
 
-// Run opens the step, pulls every sample and confirms them.
+// Run submits the step, then pulls and acknowledges all samples.
 func (t *Trainer) Run(ctx context.Context) (TrainerResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.config.Timeout)
 	defer cancel()
 	started := time.Now()
 	t.result = TrainerResult{Step: t.config.Step, Wanted: t.config.Groups * t.config.Samples}
 	route := "/v1/steps/" + t.config.Step
-	if _, err := t.call(ctx, http.MethodPut, fixed(route), t.definition()); err != nil {
+	if _, err := t.call(ctx, http.MethodPut, fixedRoute(route), t.definition()); err != nil {
 		return t.result, err
 	}
 	for t.result.Samples < t.result.Wanted {
@@ -107,10 +110,10 @@
 		if err != nil {
 			return t.result, err
 		}
-		if err := t.take(body); err != nil {
+		if err := t.readSamples(body); err != nil {
 			return t.result, err
 		}
-		if _, err := t.call(ctx, http.MethodPost, fixed(route+"/ack"), map[string]int64{"through": t.after}); err != nil {
+		if _, err := t.call(ctx, http.MethodPost, fixedRoute(route+"/ack"), map[string]int64{"through": t.after}); err != nil {
 			return t.result, err
 		}
 	}
@@ -120,22 +123,23 @@
 
 func millisSince(t time.Time) float64 { return float64(time.Since(t).Microseconds()) / 1000 }
 
-// pullRoute returns the route of the next pull. Each try is a pull of its own,
-// with a higher number.
+// pullRoute returns the route of the next pull. Each attempt is a new pull with a
+// higher number.
 func (t *Trainer) pullRoute() string {
 	t.pull++
 	return fmt.Sprintf("/v1/steps/%s/samples?after=%d&wait=5&pull=%d", t.config.Step, t.after, t.pull)
 }
 
-func fixed(route string) func() string { return func() string { return route } }
+func fixedRoute(route string) func() string { return func() string { return route } }
 
-// call tries the entries in turn until one answers or ctx ends; routeOf returns
-// the route of each try.
+// call sends a request to the entries in rotation, with a backoff between attempts.
+// It ends when an entry answers 200 or refuses the request with a 4xx status other
+// than 429, or when ctx ends. routeOf returns the route of each attempt.
 func (t *Trainer) call(ctx context.Context, method string, routeOf func() string, body any) ([]byte, error) {
-	const pause = 100 * time.Millisecond
+	const backoff = 100 * time.Millisecond
 	for {
 		route := routeOf()
-		answer, status := t.once(ctx, method, route, body)
+		answer, status := t.attempt(ctx, method, route, body)
 		if status == http.StatusOK {
 			return answer, nil
 		}
@@ -146,12 +150,14 @@
 		select {
 		case <-ctx.Done():
 			return nil, errors.WithStack(&fault.DeadlineExceeded{})
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 	}
 }
 
-func (t *Trainer) once(ctx context.Context, method, route string, body any) ([]byte, int) {
+// attempt sends a request to the entry in use. The status is 0 if no complete
+// answer arrived.
+func (t *Trainer) attempt(ctx context.Context, method, route string, body any) ([]byte, int) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, http.StatusBadRequest
@@ -178,19 +184,19 @@
 	return answer, response.StatusCode
 }
 
-func (t *Trainer) take(body []byte) error {
+func (t *Trainer) readSamples(body []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	for decoder.More() {
 		var got sample.Sample
 		if err := decoder.Decode(&got); err != nil {
 			return errors.WithStack(&fault.BadRequest{Field: "samples", Problem: "not JSON"})
 		}
-		t.check(got)
+		t.checkSample(got)
 	}
 	return nil
 }
 
-func (t *Trainer) check(got sample.Sample) {
+func (t *Trainer) checkSample(got sample.Sample) {
 	if got.Number != t.after+1 {
 		t.result.Gaps++
 	}
@@ -208,7 +214,7 @@
 	}
 	t.seen[got.Slot.Name()] = true
 	t.noteVersions(got)
-	if !attributed(got) {
+	if !isAttributed(got) {
 		t.result.Unattributed++
 	}
 	if len(got.Text) != got.Tokens*len(Token("", 0, 0)) {
@@ -228,8 +234,8 @@
 	t.result.Newest = max(t.result.Newest, newest)
 }
 
-// attributed reports whether the spans cover every token with a version.
-func attributed(got sample.Sample) bool {
+// isAttributed reports whether the spans assign a weight version to every token.
+func isAttributed(got sample.Sample) bool {
 	next := 0
 	for _, span := range got.Spans {
 		if span.Start != next || span.Version < 1 {
