--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -26,10 +26,10 @@
 // committing their results, step ownership and leases, whose calls depend on the load and
 // not on an interval.
 const (
-	// Beats are the writes of the VMs' heartbeats.
-	Beats Use = iota
-	// Totals are the writes of usage totals.
-	Totals
+	// Heartbeats are the writes of the VMs' heartbeats.
+	Heartbeats Use = iota
+	// UsageTotals are the writes of usage totals.
+	UsageTotals
 	// Members are the reads of other VMs' heartbeats.
 	Members
 	// Configuration are the long polls for changes of the configuration and of the
@@ -39,8 +39,8 @@
 	Upstreams
 	// Steps are the long polls for changes of the states of steps.
 	Steps
-	// Loads are the long polls for changes of the engines' weight loads.
-	Loads
+	// WeightLoads are the long polls for changes of the engines' weight loads.
+	WeightLoads
 	// Probes are the reads that check during an outage whether the store is available
 	// again. The other loops wait during an outage, so Probes may use their shares.
 	Probes
@@ -56,13 +56,13 @@
 	// configuration of a VM can be, and how soon the steps of a dead VM are taken over.
 	critical bool
 }{
-	Beats:         {share: 0.25, writes: true},
-	Totals:        {share: 0.25, writes: true},
+	Heartbeats:    {share: 0.25, writes: true},
+	UsageTotals:   {share: 0.25, writes: true},
 	Members:       {share: 0.15, critical: true},
 	Configuration: {share: 0.20, critical: true},
 	Upstreams:     {share: 0.15},
 	Steps:         {share: 0.15},
-	Loads:         {share: 0.10},
+	WeightLoads:   {share: 0.10},
 	Probes:        {share: 0.50},
 }
 
@@ -101,46 +101,46 @@
 		rates.Reads = defaultRates.Reads
 	}
 	b := &Budget{rates: rates, factor: 1}
-	b.SetFleet(1)
+	b.SetFleetSize(1)
 	return b
 }
 
-// SetFleet sets the number of VMs among which the calls are divided.
-func (b *Budget) SetFleet(vms int) { b.vms.Store(int64(max(vms, 1))) }
+// SetFleetSize sets the number of VMs among which the calls are divided.
+func (b *Budget) SetFleetSize(vms int) { b.vms.Store(int64(max(vms, 1))) }
 
 // FleetSize returns the number of VMs among which the calls are divided.
 func (b *Budget) FleetSize() int { return int(b.vms.Load()) }
 
-// Period returns the interval between two calls of this VM for a use; it is at least
+// Interval returns the interval between two calls of this VM for a use; it is at least
 // minInterval. Refusals lengthen only the intervals of reads that are not critical. The
 // intervals of writes must depend on the size of the fleet alone, because other VMs
 // compute from it how long to wait for the rows that this VM writes.
-func (b *Budget) Period(use Use, minInterval time.Duration) time.Duration {
-	interval := b.interval(use, minInterval)
+func (b *Budget) Interval(use Use, minInterval time.Duration) time.Duration {
+	interval := b.baseInterval(use, minInterval)
 	if shares[use].writes || shares[use].critical {
 		return interval
 	}
 	return time.Duration(float64(interval) * b.BackoffFactor(time.Now()))
 }
 
-// Retry returns the backoff after a failed read. It is minInterval, or, while the store
+// RetryBackoff returns the backoff after a failed read. It is minInterval, or, while the store
 // refuses calls, a random time around the interval of the use (around half of it for a
 // critical use). The randomness spreads the retries of VMs whose calls were refused at
 // the same time.
-func (b *Budget) Retry(use Use, minInterval time.Duration) time.Duration {
+func (b *Budget) RetryBackoff(use Use, minInterval time.Duration) time.Duration {
 	if b.BackoffFactor(time.Now()) <= 1 {
 		return minInterval
 	}
-	interval := b.interval(use, minInterval)
+	interval := b.baseInterval(use, minInterval)
 	if shares[use].critical {
 		interval /= 2
 	}
 	return interval/2 + rand.N(interval)
 }
 
-// interval returns the interval, at least minInterval, at which each VM of the fleet may
+// baseInterval returns the interval, at least minInterval, at which each VM of the fleet may
 // make calls for a use so that they all stay within its share of the rate.
-func (b *Budget) interval(use Use, minInterval time.Duration) time.Duration {
+func (b *Budget) baseInterval(use Use, minInterval time.Duration) time.Duration {
 	rate := b.rates.Reads
 	if shares[use].writes {
 		rate = b.rates.Writes
@@ -149,8 +149,8 @@
 	return max(minInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// Refused records that the store refused a call because of its rate limit.
-func (b *Budget) Refused(now time.Time) {
+// NoteRefused records that the store refused a call because of its rate limit.
+func (b *Budget) NoteRefused(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if now.Sub(b.changedAt) < backoffGrowthInterval {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -12,13 +12,13 @@
 	for _, rates := range []Rates{{800, 2000}, {3200, 16000}} {
 		for _, vms := range []int{9, 60, 195, 300, 390, 1000} {
 			b := New(rates)
-			b.SetFleet(vms)
+			b.SetFleetSize(vms)
 			var writes, reads float64
 			for use := range useCount {
 				if use == Probes {
 					continue
 				}
-				calls := float64(vms) / b.Period(use, 0).Seconds()
+				calls := float64(vms) / b.Interval(use, 0).Seconds()
 				if shares[use].writes {
 					writes += calls
 				} else {
@@ -37,9 +37,9 @@
 
 func TestSmallFleetsUseMinInterval(t *testing.T) {
 	b := New(Rates{})
-	b.SetFleet(9)
+	b.SetFleetSize(9)
 	for use := range useCount {
-		if got := b.Period(use, 500*time.Millisecond); got != 500*time.Millisecond {
+		if got := b.Interval(use, 500*time.Millisecond); got != 500*time.Millisecond {
 			t.Errorf("use %d has an interval of %s", use, got)
 		}
 	}
@@ -50,20 +50,20 @@
 func TestRefusalsLengthenIntervalsTemporarily(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Rates{})
-		b.SetFleet(9)
+		b.SetFleetSize(9)
 		const minInterval = time.Second
 		for range 100 {
-			b.Refused(time.Now())
+			b.NoteRefused(time.Now())
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got := b.Period(Beats, minInterval); got != minInterval {
+		if got := b.Interval(Heartbeats, minInterval); got != minInterval {
 			t.Errorf("the heartbeat interval is %s, want %s: other VMs would consider this VM dead", got, minInterval)
 		}
-		if got := b.Period(Upstreams, minInterval); got != maxBackoffFactor*minInterval {
+		if got := b.Interval(Upstreams, minInterval); got != maxBackoffFactor*minInterval {
 			t.Errorf("after 10 s of refusals the interval is %s, want %s", got, maxBackoffFactor*minInterval)
 		}
 		time.Sleep(10 * time.Second)
-		if got := b.Period(Upstreams, minInterval); got != minInterval {
+		if got := b.Interval(Upstreams, minInterval); got != minInterval {
 			t.Errorf("10 s after the last refusal the interval is %s, want %s", got, minInterval)
 		}
 	})
--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 const (
@@ -17,7 +17,7 @@
 )
 
 // readHead returns the newest accepted revision.
-func readHead(ctx context.Context, tables platform.Tables) (head, error) {
+func readHead(ctx context.Context, tables platformapi.Tables) (head, error) {
 	var at head
 	row, err := tables.Get(ctx, headKey)
 	if err != nil {
@@ -33,7 +33,7 @@
 // of a key without the contract that was made before. But every edit moves the
 // head, so a head that stands still over all scans shows that they saw one
 // state.
-func readSnapshot(ctx context.Context, tables platform.Tables) (*contract.Snapshot, error) {
+func readSnapshot(ctx context.Context, tables platformapi.Tables) (*contract.Snapshot, error) {
 	before, err := readHead(ctx, tables)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	return nil, nil
 }
 
-func scanSubjects(ctx context.Context, tables platform.Tables) (*contract.Snapshot, error) {
+func scanSubjects(ctx context.Context, tables platformapi.Tables) (*contract.Snapshot, error) {
 	snapshot := contract.Empty()
 	for _, prefix := range []string{contractPrefix, keyPrefix} {
 		if err := scanInto(ctx, tables, prefix, snapshot); err != nil {
@@ -66,7 +66,7 @@
 	return snapshot, nil
 }
 
-func scanInto(ctx context.Context, tables platform.Tables, prefix string, snapshot *contract.Snapshot) error {
+func scanInto(ctx context.Context, tables platformapi.Tables, prefix string, snapshot *contract.Snapshot) error {
 	after := ""
 	for {
 		rows, err := tables.Scan(ctx, prefix, after, subjectPage)
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -10,19 +10,19 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/wait"
 )
 
 // Editor commits edits. It is safe for concurrent use, also by several VMs.
 type Editor struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	now    func() time.Time
 	events *event.Recorder
 }
 
 // NewEditor returns an editor; now gives the wall time that the history shows.
-func NewEditor(tables platform.Tables, now func() time.Time, events *event.Recorder) *Editor {
+func NewEditor(tables platformapi.Tables, now func() time.Time, events *event.Recorder) *Editor {
 	return &Editor{tables: tables, now: now, events: events}
 }
 
@@ -94,7 +94,7 @@
 }
 
 // repeated returns the entry of an edit that was accepted before.
-func repeated(edit contract.Edit, row platform.Row) (contract.Entry, error) {
+func repeated(edit contract.Edit, row platformapi.Row) (contract.Entry, error) {
 	var accepted contract.Entry
 	if err := row.Decode(&accepted); err != nil {
 		return contract.Entry{}, err
@@ -107,7 +107,7 @@
 
 // checkBase refuses an edit when its contract or key changed after the revision
 // that the operator saw, so that no operator overwrites another's edit unseen.
-func checkBase(edit contract.Edit, row platform.Row) error {
+func checkBase(edit contract.Edit, row platformapi.Row) error {
 	var current contract.Subject
 	if err := row.Decode(&current); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platform.Row) (contract.Entry, error) {
+func (e *Editor) commit(ctx context.Context, edit contract.Edit, subjectRow, headRow platformapi.Row) (contract.Entry, error) {
 	var at head
 	if err := headRow.Decode(&at); err != nil {
 		return contract.Entry{}, err
@@ -137,21 +137,21 @@
 		Key:      edit.Key,
 	}
 	changed := contract.Subject{Revision: entry.Revision, Contract: edit.Contract, Key: edit.Key}
-	txn := platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	txn := platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: editKeys + edit.ID},
 			{Key: headKey, Version: headRow.Version},
 			{Key: subjectRow.Key, Version: subjectRow.Version},
 		},
-		Writes: []platform.Write{
-			{Key: editKeys + edit.ID, Value: platform.EncodeValue(entry)},
-			{Key: headKey, Value: platform.EncodeValue(head{Revision: entry.Revision})},
-			{Key: logKey(entry.Revision), Value: platform.EncodeValue(entry)},
-			{Key: subjectRow.Key, Value: platform.EncodeValue(changed)},
+		Writes: []platformapi.Write{
+			{Key: editKeys + edit.ID, Value: platformapi.EncodeValue(entry)},
+			{Key: headKey, Value: platformapi.EncodeValue(head{Revision: entry.Revision})},
+			{Key: logKey(entry.Revision), Value: platformapi.EncodeValue(entry)},
+			{Key: subjectRow.Key, Value: platformapi.EncodeValue(changed)},
 		},
 	}
-	if err := platform.CommitSurely(ctx, e.tables, txn); err != nil {
+	if err := platformapi.CommitConfirmed(ctx, e.tables, txn); err != nil {
 		return contract.Entry{}, err
 	}
 	e.events.Emit(event.EditAccepted, event.Subject{Revision: uint64(entry.Revision), Detail: edit.SubjectName()})
--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -13,15 +13,15 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 func testEvents() *event.Recorder {
 	return event.NewRecorder("vm-1", 1024, event.NewClock(time.Now), zap.NewNop())
 }
 
-func testEditor(tables platform.Tables) *Editor {
+func testEditor(tables platformapi.Tables) *Editor {
 	return NewEditor(tables, time.Now, testEvents())
 }
 
@@ -32,7 +32,7 @@
 	return contract.Edit{ID: id, Kind: contract.EditContract, Who: "clerk " + id, Base: base, Contract: &c}
 }
 
-func history(t *testing.T, tables platform.Tables) []contract.Entry {
+func history(t *testing.T, tables platformapi.Tables) []contract.Entry {
 	t.Helper()
 	entries, err := testEditor(tables).History(context.Background(), 0, 1000)
 	if err != nil {
@@ -51,7 +51,7 @@
 // contract that nobody decided.
 func TestRacingEditsOfOneContractConflict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		const racers = 8
 		failures := make([]error, racers)
 		var group sync.WaitGroup
@@ -80,7 +80,7 @@
 // each other, so all must be accepted, each at a revision of its own.
 func TestRacingEditsOfDifferentContractsAllPass(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		const racers = 8
 		var group sync.WaitGroup
 		for i := range racers {
@@ -104,7 +104,7 @@
 // undo the other one.
 func TestRepeatedEditReturnsTheFirstAnswer(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
+	w := faultinject.NewCluster(faultinject.NoFaults)
 	first, err := testEditor(w.Start(ctx, "vm-1")).Apply(ctx, editShare("a", "farm", 0, 1))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -12,7 +12,7 @@
 	"github.com/leanovate/gopter/gen"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const machineVMs = 2
@@ -20,12 +20,12 @@
 // machine is a store, an operator at each VM, and the VMs' views. Its actions
 // are those of spec/edit.pml, over the functions of this package.
 type machine struct {
-	world    *platformtest.World
+	world    *faultinject.Cluster
 	editors  [machineVMs]*Editor
 	syncers  [machineVMs]*Syncer
 	pending  [machineVMs]*contract.Edit
 	edits    int
-	fault    platformtest.Kind
+	fault    faultinject.Kind
 	accepted []time.Time // when each revision was accepted, at the latest
 	broken   string
 }
@@ -39,12 +39,12 @@
 
 func newMachine() *machine {
 	m := &machine{}
-	m.world = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+	m.world = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 		if s.Call != "commit" {
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		}
-		f := platformtest.Fault{Kind: m.fault, For: lateBy}
-		m.fault = platformtest.None
+		f := faultinject.Fault{Kind: m.fault, Duration: lateBy}
+		m.fault = faultinject.None
 		return f
 	})
 	for id := range machineVMs {
@@ -136,7 +136,7 @@
 )
 
 // machineFaults may hit the next commit of an action.
-var machineFaults = []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late}
+var machineFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
 
 // action is one command: a VM does something, and a fault hits its commit.
 type action struct {
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 	"dogwoodpond/internal/wait"
 )
 
@@ -21,13 +21,13 @@
 
 // insist repeats an edit with the same ID until it is answered, as the
 // operators' tool does.
-func insist(p *platformtest.Process, edit contract.Edit, answered *atomic.Int32) {
+func insist(p *faultinject.Process, edit contract.Edit, answered *atomic.Int32) {
 	editor := testEditor(p)
 	for p.Context.Err() == nil {
 		ctx, cancel := context.WithTimeout(p.Context, 10*time.Second)
 		_, err := editor.Apply(ctx, edit)
 		cancel()
-		if err == nil && !p.Dead() {
+		if err == nil && !p.Killed() {
 			answered.Add(1)
 			return
 		}
@@ -39,16 +39,16 @@
 // repeat until they get an answer. Whatever fails, each edit is made exactly
 // once and the history has no gap.
 func TestMatrixEdit(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
-		Name:  "edit",
-		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(w *platformtest.World) error {
+	faultinject.RunMatrix(t, faultinject.Protocol{
+		Name:      "edit",
+		Durations: faultinject.UniformDurations(15 * time.Second),
+		Run: func(w *faultinject.Cluster) error {
 			ctx, stop := context.WithCancel(context.Background())
 			var group sync.WaitGroup
 			var answered atomic.Int32
 			for _, name := range []string{"vm-1", "vm-2"} {
 				edit := editShare("edit-"+name, contract.Account("farm of "+name), 0, matrixShare)
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) { insist(p, edit, &answered) })
+				w.Supervise(ctx, &group, name, func(p *faultinject.Process) { insist(p, edit, &answered) })
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(matrixLength)
@@ -90,20 +90,20 @@
 
 // reachable is a peer that only live processes reach.
 type reachable struct {
-	process *platformtest.Process
+	process *faultinject.Process
 	peer    *follower
 }
 
 // FetchConfig implements Peers.
 func (r reachable) FetchConfig(ctx context.Context, after contract.Revision) (snapshot *contract.Snapshot, age time.Duration, err error) {
-	err = r.process.Call(ctx, platformtest.CallPeer, "config", false, func() (err error) {
+	err = r.process.Call(ctx, faultinject.CallPeer, "config", false, func() (err error) {
 		snapshot, age, err = r.peer.FetchConfig(ctx, after)
 		return err
 	})
 	return snapshot, age, err
 }
 
-func (f *follower) run(p *platformtest.Process, peer *follower) {
+func (f *follower) run(p *faultinject.Process, peer *follower) {
 	view := contract.NewView()
 	var last contract.Revision
 	s := NewSyncer(p, reachable{process: p, peer: peer}, view, testEvents(), time.Second, func(next *contract.Snapshot) {
@@ -144,17 +144,17 @@
 // fails, no VM goes back, none passes for more current than it is, and at the
 // end both have the last edit in force.
 func TestMatrixSync(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
-		Name:  "sync",
-		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(w *platformtest.World) error {
+	faultinject.RunMatrix(t, faultinject.Protocol{
+		Name:      "sync",
+		Durations: faultinject.UniformDurations(15 * time.Second),
+		Run: func(w *faultinject.Cluster) error {
 			var group sync.WaitGroup
 			defer group.Wait()
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			followers := []*follower{{}, {}}
 			for i, name := range []string{"vm-1", "vm-2"} {
-				w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+				w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 					followers[i].run(p, followers[1-i])
 				})
 				time.Sleep(time.Millisecond)
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Peers fetches configuration from other VMs while the store can't be reached.
@@ -42,7 +42,7 @@
 
 // Syncer keeps a view current.
 type Syncer struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	peers  Peers
 	view   *contract.View
 	events *event.Recorder
@@ -70,7 +70,7 @@
 
 // NewSyncer returns a syncer that polls every period, or less often in a large
 // fleet.
-func NewSyncer(tables platform.Tables, peers Peers, view *contract.View, events *event.Recorder, period time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
+func NewSyncer(tables platformapi.Tables, peers Peers, view *contract.View, events *event.Recorder, period time.Duration, onAdvance func(*contract.Snapshot), options ...Option) *Syncer {
 	s := &Syncer{
 		tables:    tables,
 		peers:     peers,
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -12,8 +12,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 // peerSyncers are the other VMs, as a syncer reaches them.
@@ -36,12 +36,12 @@
 	return newest, age, nil
 }
 
-func testSyncer(tables platform.Tables, peers Peers, options ...Option) *Syncer {
+func testSyncer(tables platformapi.Tables, peers Peers, options ...Option) *Syncer {
 	return NewSyncer(tables, peers, contract.NewView(), testEvents(), time.Second, func(*contract.Snapshot) {}, options...)
 }
 
 // edit commits n edits of n accounts.
-func edit(t *testing.T, tables platform.Tables, from, n int) {
+func edit(t *testing.T, tables platformapi.Tables, from, n int) {
 	t.Helper()
 	for i := from; i < from+n; i++ {
 		account := contract.Account(fmt.Sprint("farm-", i))
@@ -56,21 +56,21 @@
 func TestStartWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		edit(t, w.Rows, 1, 3)
 		old := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
 		old.sync(ctx)
 		edit(t, w.Rows, 4, 1)
 		knows := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
 		knows.sync(ctx)
-		w.TakeDown(time.Hour)
+		w.TakeStoreDown(time.Hour)
 		time.Sleep(time.Minute)
 		starts := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{old, knows})
 		starts.sync(ctx)
 		if got := starts.view.Load().Revision; got != 4 {
 			t.Errorf("revision %d in force, want 4", got)
 		}
-		if got := starts.Age(); got < time.Minute || got > time.Minute+2*platformtest.CallTimeout+ageGrain {
+		if got := starts.Age(); got < time.Minute || got > time.Minute+2*faultinject.CallTimeout+ageGrain {
 			t.Errorf("age %v, want the peer's of a minute", got)
 		}
 	})
@@ -82,11 +82,11 @@
 func TestNewVMsDontConfirmEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		edit(t, w.Rows, 1, 2)
 		known := testSyncer(w.Start(ctx, "vm-1"), nil)
 		known.sync(ctx)
-		w.TakeDown(24 * time.Hour)
+		w.TakeStoreDown(24 * time.Hour)
 		fresh := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{})
 		second := testSyncer(w.Start(ctx, "vm-3"), peerSyncers{fresh})
 		fresh.peers = peerSyncers{second}
@@ -111,13 +111,13 @@
 func TestKnowledgeOfACutOffDomainAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		a := testSyncer(w.Start(ctx, "vm-1"), nil)
 		b := testSyncer(w.Start(ctx, "vm-2"), peerSyncers{a})
 		a.peers = peerSyncers{b}
 		a.sync(ctx)
 		b.sync(ctx)
-		w.TakeDown(24 * time.Hour)
+		w.TakeStoreDown(24 * time.Hour)
 		start := time.Now()
 		for range 20 {
 			time.Sleep(10 * time.Second)
@@ -134,7 +134,7 @@
 // over would bring a withdrawn key back.
 func TestOldSnapshotDoesNotRevert(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
+	w := faultinject.NewCluster(faultinject.NoFaults)
 	edit(t, w.Rows, 1, 1)
 	s := testSyncer(w.Rows, nil)
 	s.sync(ctx)
@@ -151,15 +151,15 @@
 // minutes; reading the rows while edits go on could mix two revisions.
 func TestBootstrapReadsOneRevision(t *testing.T) {
 	ctx := context.Background()
-	w := platformtest.NewWorld(platformtest.NoFaults)
+	w := faultinject.NewCluster(faultinject.NoFaults)
 	edit(t, w.Rows, 1, 2*logPage)
 	racing := 0
-	w.SetScript(func(s platformtest.Step) platformtest.Fault {
+	w.SetScript(func(s faultinject.Step) faultinject.Fault {
 		if s.Process == "vm-1" && s.Call == "scan" && s.Subject == keyPrefix && racing < 2 {
 			racing++
 			edit(t, w.Rows, 2*logPage+racing, 1)
 		}
-		return platformtest.Fault{}
+		return faultinject.Fault{}
 	})
 	s := testSyncer(w.Start(ctx, "vm-1"), nil)
 	s.sync(ctx)
@@ -195,12 +195,12 @@
 // when the view becomes stale and when it is confirmed again.
 func TestStaleViewIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := platformtest.NewWorld(platformtest.NoFaults)
+		w := faultinject.NewCluster(faultinject.NoFaults)
 		ctx, stop := context.WithCancel(context.Background())
 		s := testSyncer(w.Start(ctx, "vm-1"), peerSyncers{})
 		go s.Run(ctx)
 		time.Sleep(10 * time.Second)
-		w.TakeDown(2 * staleAfter)
+		w.TakeStoreDown(2 * staleAfter)
 		time.Sleep(3 * staleAfter)
 		stop()
 		synctest.Wait()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -10,12 +10,12 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/engine"
+	"dogwoodpond/internal/enginepool"
 	"dogwoodpond/internal/lease"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/pools"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/provision"
 	"dogwoodpond/internal/usage"
-	"dogwoodpond/internal/weights"
+	"dogwoodpond/internal/weightupdate"
 )
 
 // Names of the leases.
@@ -35,13 +35,13 @@
 
 // Platform is the part of the platform's API that the controller uses.
 type Platform interface {
-	platform.Upstreams
-	platform.Weights
+	platformapi.Upstreams
+	platformapi.Weights
 }
 
-// Loads reads the load reports of engines.
-type Loads interface {
-	Load(ctx context.Context, address string) (engine.Load, error)
+// LoadReader reads the load reports of engines.
+type LoadReader interface {
+	LoadReport(ctx context.Context, address string) (engine.Load, error)
 }
 
 // Config holds the dependencies and settings of a Controller.
@@ -49,17 +49,17 @@
 	FailureDomain string
 	Leases        *lease.Manager
 	Platform      Platform
-	Loads         Loads
+	LoadReader    LoadReader
 	View          *contract.View
 	Demands       Demands
-	Roller        *weights.Roller
-	Mover         *pools.Mover
+	WeightUpdater *weightupdate.Updater
+	Mover         *enginepool.Mover
 	Provisioner   *provision.Provisioner
 	Closer        *usage.Closer
-	// Period is the interval between two rounds of orders for the failure domain.
-	Period time.Duration
-	// ClosePeriod is the interval between two checks for usage windows to close.
-	ClosePeriod time.Duration
+	// DomainInterval is the interval between two rounds of orders for the failure domain.
+	DomainInterval time.Duration
+	// CloseInterval is the interval between two checks for usage windows to close.
+	CloseInterval time.Duration
 	// OrderTimeout is how long after it was sent an order of a previous holder of
 	// the lease can still take effect.
 	OrderTimeout time.Duration
@@ -89,10 +89,10 @@
 // billing services accept outdated fencing tokens, so the first report waits until
 // no report of a previous holder can take effect any more.
 func (c *Controller) runReports(ctx context.Context, guard lease.Guard) (bool, error) {
-	if err := lease.Settle(ctx, guard, c.ReportTimeout); err != nil {
+	if err := lease.WaitOrderGracePeriod(ctx, guard, c.ReportTimeout); err != nil {
 		return false, err
 	}
-	c.Closer.Run(ctx, guard, c.ClosePeriod)
+	c.Closer.Run(ctx, guard, c.CloseInterval)
 	return false, guard.Check()
 }
 
@@ -100,11 +100,11 @@
 // ends. Some engines ignore fencing tokens, so the first order waits until no
 // order of a previous holder can take effect any more.
 func (c *Controller) runDomain(ctx context.Context, guard lease.Guard) (bool, error) {
-	if err := lease.Settle(ctx, guard, c.OrderTimeout); err != nil {
+	if err := lease.WaitOrderGracePeriod(ctx, guard, c.OrderTimeout); err != nil {
 		return false, err
 	}
-	defer c.Roller.Wait()
-	ticker := time.NewTicker(c.Period)
+	defer c.WeightUpdater.Wait()
+	ticker := time.NewTicker(c.DomainInterval)
 	defer ticker.Stop()
 	for guard.Check() == nil {
 		c.tick(ctx, guard)
@@ -126,7 +126,7 @@
 	}
 	observed := c.observe(ctx, upstreams)
 	if versions, err := c.Platform.Latest(ctx); err == nil {
-		c.Roller.Tick(ctx, guard, weightEngines(observed), latestVersions(versions))
+		c.WeightUpdater.Tick(ctx, guard, weightEngines(observed), latestVersions(versions))
 	}
 	demands := c.Demands.Demand()
 	_ = c.Mover.Tick(ctx, guard, poolEngines(observed), queuedByPool(demands))
@@ -134,7 +134,7 @@
 }
 
 // provision orders upstreams for the accounts whose contracts pay for them.
-func (c *Controller) provision(ctx context.Context, guard lease.Guard, upstreams []platform.Upstream, demands []provision.Demand) {
+func (c *Controller) provision(ctx context.Context, guard lease.Guard, upstreams []platformapi.Upstream, demands []provision.Demand) {
 	offers, err := c.Platform.Offers(ctx)
 	if err != nil {
 		return
--- a/internal/control/demands.go
+++ b/internal/control/demands.go
@@ -6,25 +6,25 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/dispatch"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/provision"
 	"dogwoodpond/internal/upstream"
 )
 
-// FleetDemands sums the demands in the digests of a failure domain's VMs. In a
+// DomainDemands sums the demands in the digests of a failure domain's VMs. In a
 // large failure domain a VM receives digests only from its own cell; the sum is
 // then scaled up from the VMs whose demand is known to all VMs.
-type FleetDemands struct {
+type DomainDemands struct {
 	domain    string
 	members   func() []dispatch.Member
 	view      *contract.View
 	directory *upstream.Directory
 }
 
-// NewFleetDemands returns the demands of the named failure domain. members
+// NewDomainDemands returns the demands of the named failure domain. members
 // returns the VMs that are alive, with their demands.
-func NewFleetDemands(domain string, members func() []dispatch.Member, view *contract.View, directory *upstream.Directory) *FleetDemands {
-	return &FleetDemands{domain: domain, members: members, view: view, directory: directory}
+func NewDomainDemands(domain string, members func() []dispatch.Member, view *contract.View, directory *upstream.Directory) *DomainDemands {
+	return &DomainDemands{domain: domain, members: members, view: view, directory: directory}
 }
 
 // flowKey identifies a demand by the IDs that digests contain.
@@ -33,12 +33,12 @@
 }
 
 // Demand implements Demands. The result is sorted by account and pool.
-func (f *FleetDemands) Demand() []provision.Demand {
+func (f *DomainDemands) Demand() []provision.Demand {
 	sums, scale := f.sum()
 	var demands []provision.Demand
 	for _, pool := range f.enginePools() {
 		for account := range f.view.Load().Contracts {
-			flow, ok := sums[flowKey{pool: pool.ID(), account: dispatch.AccountID(account)}]
+			flow, ok := sums[flowKey{pool: pool.Hash(), account: dispatch.AccountHash(account)}]
 			if !ok {
 				continue
 			}
@@ -47,7 +47,7 @@
 				Model:   pool.Model,
 				Adapter: pool.Adapter,
 				Running: int(float64(flow.InFlight) * scale),
-				Queued:  int(float64(flow.Waiting) * scale),
+				Queued:  int(float64(flow.Queued) * scale),
 			})
 		}
 	}
@@ -59,7 +59,7 @@
 
 // sum returns the summed flows of the VMs whose demand is known, and the ratio of
 // all VMs of the failure domain to these.
-func (f *FleetDemands) sum() (sums map[flowKey]dispatch.FlowDemand, scale float64) {
+func (f *DomainDemands) sum() (sums map[flowKey]dispatch.FlowDemand, scale float64) {
 	sums = make(map[flowKey]dispatch.FlowDemand)
 	known, all := 0, 0
 	for _, m := range f.members() {
@@ -67,7 +67,7 @@
 			continue
 		}
 		all++
-		if !m.Heard {
+		if !m.DemandKnown {
 			continue
 		}
 		known++
@@ -75,7 +75,7 @@
 			key := flowKey{pool: flow.Pool, account: flow.Account}
 			sum := sums[key]
 			sum.InFlight += flow.InFlight
-			sum.Waiting += flow.Waiting
+			sum.Queued += flow.Queued
 			sums[key] = sum
 		}
 	}
@@ -83,11 +83,11 @@
 }
 
 // enginePools returns the engine pools of the directory without duplicates.
-func (f *FleetDemands) enginePools() []dispatch.Pool {
+func (f *DomainDemands) enginePools() []dispatch.Pool {
 	var pools []dispatch.Pool
 	for _, u := range f.directory.Load() {
-		pool := dispatch.Pool{Kind: platform.KindEngine, Model: u.Model, Adapter: u.Adapter}
-		if u.Kind == platform.KindEngine && !slices.Contains(pools, pool) {
+		pool := dispatch.Pool{Kind: platformapi.KindEngine, Model: u.Model, Adapter: u.Adapter}
+		if u.Kind == platformapi.KindEngine && !slices.Contains(pools, pool) {
 			pools = append(pools, pool)
 		}
 	}
--- a/internal/control/demands_test.go
+++ b/internal/control/demands_test.go
@@ -5,16 +5,16 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/dispatch"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
 func flow(account contract.Account, inFlight, waiting uint32) dispatch.FlowDemand {
-	pool := dispatch.Pool{Kind: platform.KindEngine, Model: "berry-1"}
-	return dispatch.FlowDemand{Pool: pool.ID(), Account: dispatch.AccountID(account), InFlight: inFlight, Waiting: waiting}
+	pool := dispatch.Pool{Kind: platformapi.KindEngine, Model: "berry-1"}
+	return dispatch.FlowDemand{Pool: pool.Hash(), Account: dispatch.AccountHash(account), InFlight: inFlight, Queued: waiting}
 }
 
-func newDemands(t *testing.T, members ...dispatch.Member) *FleetDemands {
+func newDemands(t *testing.T, members ...dispatch.Member) *DomainDemands {
 	t.Helper()
 	view := contract.NewView()
 	c := contract.DefaultContract("berry")
@@ -24,18 +24,18 @@
 	}
 	view.Advance(next)
 	directory := upstream.NewDirectory()
-	directory.Replace([]platform.Upstream{
-		{ID: "e1", Kind: platform.KindEngine, FailureDomain: "a", Model: "berry-1"},
-		{ID: "e2", Kind: platform.KindEngine, FailureDomain: "a", Model: "berry-1"},
+	directory.Replace([]platformapi.Upstream{
+		{ID: "e1", Kind: platformapi.KindEngine, FailureDomain: "a", Model: "berry-1"},
+		{ID: "e2", Kind: platformapi.KindEngine, FailureDomain: "a", Model: "berry-1"},
 	})
-	return NewFleetDemands("a", func() []dispatch.Member { return members }, view, directory)
+	return NewDomainDemands("a", func() []dispatch.Member { return members }, view, directory)
 }
 
 func TestDemandIsSummedPerFailureDomain(t *testing.T) {
 	demands := newDemands(t,
-		dispatch.Member{VM: "vm-1", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 3, 1)}},
-		dispatch.Member{VM: "vm-2", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 2, 4), flow("gone", 9, 9)}},
-		dispatch.Member{VM: "vm-3", FailureDomain: "b", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 50, 50)}},
+		dispatch.Member{VM: "vm-1", FailureDomain: "a", DemandKnown: true, Flows: []dispatch.FlowDemand{flow("berry", 3, 1)}},
+		dispatch.Member{VM: "vm-2", FailureDomain: "a", DemandKnown: true, Flows: []dispatch.FlowDemand{flow("berry", 2, 4), flow("gone", 9, 9)}},
+		dispatch.Member{VM: "vm-3", FailureDomain: "b", DemandKnown: true, Flows: []dispatch.FlowDemand{flow("berry", 50, 50)}},
 	).Demand()
 	if len(demands) != 1 || demands[0].Running != 5 || demands[0].Queued != 5 {
 		t.Errorf("got %+v, want one demand with 5 running and 5 queued", demands)
@@ -47,7 +47,7 @@
 // would stay queued for ever.
 func TestDemandIsScaledToVMsWithUnknownDemand(t *testing.T) {
 	demands := newDemands(t,
-		dispatch.Member{VM: "vm-1", FailureDomain: "a", Heard: true, Flows: []dispatch.FlowDemand{flow("berry", 4, 2)}},
+		dispatch.Member{VM: "vm-1", FailureDomain: "a", DemandKnown: true, Flows: []dispatch.FlowDemand{flow("berry", 4, 2)}},
 		dispatch.Member{VM: "vm-2", FailureDomain: "a"},
 		dispatch.Member{VM: "vm-3", FailureDomain: "a"},
 	).Demand()
--- a/internal/control/observe.go
+++ b/internal/control/observe.go
@@ -5,15 +5,15 @@
 	"sync"
 
 	"dogwoodpond/internal/engine"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/pools"
+	"dogwoodpond/internal/enginepool"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/provision"
-	"dogwoodpond/internal/weights"
+	"dogwoodpond/internal/weightupdate"
 )
 
 // observation is an engine with its load report.
 type observation struct {
-	upstream platform.Upstream
+	upstream platformapi.Upstream
 	load     engine.Load
 }
 
@@ -22,19 +22,19 @@
 
 // observe reads the load reports of all live engines of the failure domain. It
 // omits engines that do not answer.
-func (c *Controller) observe(ctx context.Context, upstreams []platform.Upstream) []observation {
+func (c *Controller) observe(ctx context.Context, upstreams []platformapi.Upstream) []observation {
 	var mu sync.Mutex
 	var observed []observation
 	var reads sync.WaitGroup
 	sem := make(chan struct{}, maxLoadReads)
 	for _, u := range upstreams {
-		if u.Kind != platform.KindEngine || u.FailureDomain != c.FailureDomain || u.State != platform.UpstreamLive {
+		if u.Kind != platformapi.KindEngine || u.FailureDomain != c.FailureDomain || u.State != platformapi.UpstreamLive {
 			continue
 		}
 		sem <- struct{}{}
 		reads.Go(func() {
 			defer func() { <-sem }()
-			load, err := c.Loads.Load(ctx, u.Address)
+			load, err := c.LoadReader.LoadReport(ctx, u.Address)
 			if err != nil {
 				return
 			}
@@ -47,31 +47,31 @@
 	return observed
 }
 
-func weightEngines(observed []observation) []weights.Engine {
-	engines := make([]weights.Engine, 0, len(observed))
+func weightEngines(observed []observation) []weightupdate.Engine {
+	engines := make([]weightupdate.Engine, 0, len(observed))
 	for _, o := range observed {
-		engines = append(engines, weights.Engine{
+		engines = append(engines, weightupdate.Engine{
 			ID:          o.upstream.ID,
 			Address:     o.upstream.Address,
 			Model:       o.load.Model,
 			Incarnation: o.load.Incarnation,
 			Version:     o.load.WeightVersion,
-			Busy:        o.load.Running + o.load.Waiting,
+			Requests:    o.load.Running + o.load.Waiting,
 			Slots:       o.upstream.Slots,
 		})
 	}
 	return engines
 }
 
-func poolEngines(observed []observation) []pools.Engine {
-	engines := make([]pools.Engine, 0, len(observed))
+func poolEngines(observed []observation) []enginepool.Engine {
+	engines := make([]enginepool.Engine, 0, len(observed))
 	for _, o := range observed {
-		engines = append(engines, pools.Engine{
+		engines = append(engines, enginepool.Engine{
 			ID:        o.upstream.ID,
 			Address:   o.upstream.Address,
-			Pool:      pools.Pool{Model: o.load.Model, Adapter: o.load.Adapter},
+			Pool:      enginepool.Pool{Model: o.load.Model, Adapter: o.load.Adapter},
 			Adaptable: o.upstream.Adaptable,
-			Busy:      o.load.Running + o.load.Waiting,
+			Requests:  o.load.Running + o.load.Waiting,
 			Slots:     o.upstream.Slots,
 		})
 	}
@@ -79,7 +79,7 @@
 }
 
 // latestVersions returns the newest published version of each model.
-func latestVersions(versions []platform.WeightVersion) map[string]int64 {
+func latestVersions(versions []platformapi.WeightVersion) map[string]int64 {
 	byModel := make(map[string]int64, len(versions))
 	for _, v := range versions {
 		byModel[v.Model] = max(byModel[v.Model], v.Version)
@@ -88,10 +88,10 @@
 }
 
 // queuedByPool returns the number of queued requests of each pool.
-func queuedByPool(demands []provision.Demand) map[pools.Pool]int {
-	byPool := make(map[pools.Pool]int)
+func queuedByPool(demands []provision.Demand) map[enginepool.Pool]int {
+	byPool := make(map[enginepool.Pool]int)
 	for _, d := range demands {
-		byPool[pools.Pool{Model: d.Model, Adapter: d.Adapter}] += d.Queued
+		byPool[enginepool.Pool{Model: d.Model, Adapter: d.Adapter}] += d.Queued
 	}
 	return byPool
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -24,8 +24,8 @@
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fleetview"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -53,7 +53,7 @@
 // bench is an operators' API over tables in memory.
 type bench struct {
 	address string
-	tables  *memory.Tables
+	tables  *memtables.Tables
 	fleet   *quietFleet
 	// loseAnswers makes that many edits take effect without an answer.
 	loseAnswers atomic.Int32
@@ -62,7 +62,7 @@
 func newBench(t *testing.T) *bench {
 	t.Helper()
 	events := event.NewRecorder("vm-1", 256, event.NewClock(time.Now), zap.NewNop())
-	b := &bench{tables: memory.NewTables(), fleet: &quietFleet{events: events}}
+	b := &bench{tables: memtables.NewTables(), fleet: &quietFleet{events: events}}
 	rows := fleetview.NewReader(b.tables, testWindow)
 	server := operator.NewServer(operator.Config{
 		VM:          "vm-1",
@@ -70,7 +70,7 @@
 		View:        contract.NewView(),
 		Editor:      config.NewEditor(b.tables, time.Now, events),
 		Fleet:       b.fleet,
-		Upstreams:   func() []platform.Upstream { return nil },
+		Upstreams:   func() []platformapi.Upstream { return nil },
 		Leases:      rows,
 		Steps:       rows,
 		Usage:       rows,
@@ -297,7 +297,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		txn := platform.Txn{Nonce: key, Preconditions: []platform.Precondition{{Key: key}}, Writes: []platform.Write{{Key: key, Value: text}}}
+		txn := platformapi.Txn{Nonce: key, Preconditions: []platformapi.Precondition{{Key: key}}, Writes: []platformapi.Write{{Key: key, Value: text}}}
 		if err := b.tables.Commit(context.Background(), txn); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 func (a *App) fleetCommands() {
@@ -90,8 +90,8 @@
 }
 
 // serves names what an upstream serves: a service, or a model with its adapter.
-func serves(u platform.Upstream) string {
-	if u.Kind == platform.KindService {
+func serves(u platformapi.Upstream) string {
+	if u.Kind == platformapi.KindService {
 		return u.Service
 	}
 	if u.Adapter == "" {
@@ -126,7 +126,7 @@
 	if window != 0 {
 		route = fmt.Sprintf("/v1/usage/%d", window)
 	}
-	var reports []platform.UsageReport
+	var reports []platformapi.UsageReport
 	if err := a.client().Call(context.Background(), http.MethodGet, route, nil, &reports); err != nil {
 		return err
 	}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -7,16 +7,16 @@
 	"dogwoodpond/internal/control"
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/engine"
+	"dogwoodpond/internal/enginepool"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/lease"
 	"dogwoodpond/internal/peer"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/pools"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/provision"
 	"dogwoodpond/internal/settings"
 	"dogwoodpond/internal/upstream"
 	"dogwoodpond/internal/usage"
-	"dogwoodpond/internal/weights"
+	"dogwoodpond/internal/weightupdate"
 )
 
 const (
@@ -36,12 +36,12 @@
 	return engine.NewClient().WithOrderTimeout(s.OrderTimeout())
 }
 
-func newRoller(s settings.Daemon, engines *engine.Client, events *event.Recorder) *weights.Roller {
-	return weights.NewRoller(engines, events, s.WeightLoadsPerSecond)
+func newWeightUpdater(s settings.Daemon, engines *engine.Client, events *event.Recorder) *weightupdate.Updater {
+	return weightupdate.NewUpdater(engines, events, s.WeightLoadsPerSecond)
 }
 
-func newMover(engines *engine.Client, events *event.Recorder) *pools.Mover {
-	return pools.NewMover(engines, events)
+func newMover(engines *engine.Client, events *event.Recorder) *enginepool.Mover {
+	return enginepool.NewMover(engines, events)
 }
 
 // newElapsed returns the monotonic time since the start of the process.
@@ -50,11 +50,11 @@
 	return func() time.Duration { return time.Since(started) }
 }
 
-func newProvisioner(s settings.Daemon, client *platform.Client, events *event.Recorder) *provision.Provisioner {
+func newProvisioner(s settings.Daemon, client *platformapi.Client, events *event.Recorder) *provision.Provisioner {
 	return provision.NewProvisioner(s.FailureDomain, client, client, events, newElapsed())
 }
 
-func newCloser(s settings.Daemon, client *platform.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Closer {
+func newCloser(s settings.Daemon, client *platformapi.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Closer {
 	return usage.NewCloser(client, client, events, usage.CloserConfig{
 		Length:    s.UsageWindow(),
 		Now:       time.Now,
@@ -75,7 +75,7 @@
 	return accounts
 }
 
-func listed(vms []platform.VM, id string) bool {
+func listed(vms []platformapi.VM, id string) bool {
 	for _, vm := range vms {
 		if vm.ID == id {
 			return true
@@ -87,31 +87,31 @@
 func newController(
 	s settings.Daemon,
 	leases *lease.Manager,
-	client *platform.Client,
+	client *platformapi.Client,
 	engines *engine.Client,
 	view *contract.View,
 	directory *upstream.Directory,
-	roller *weights.Roller,
-	mover *pools.Mover,
+	roller *weightupdate.Updater,
+	mover *enginepool.Mover,
 	provisioner *provision.Provisioner,
 	closer *usage.Closer,
 	h *hooks,
 ) *control.Controller {
 	members := func() []dispatch.Member { return h.members() }
 	return control.New(control.Config{
-		FailureDomain: s.FailureDomain,
-		Leases:        leases,
-		Platform:      client,
-		Loads:         engines,
-		View:          view,
-		Demands:       control.NewFleetDemands(s.FailureDomain, members, view, directory),
-		Roller:        roller,
-		Mover:         mover,
-		Provisioner:   provisioner,
-		Closer:        closer,
-		Period:        domainPeriod,
-		ClosePeriod:   s.UsageWindow() / closeParts,
-		OrderTimeout:  s.OrderTimeout(),
-		ReportTimeout: platform.CallTimeout,
+		FailureDomain:  s.FailureDomain,
+		Leases:         leases,
+		Platform:       client,
+		LoadReader:     engines,
+		View:           view,
+		Demands:        control.NewDomainDemands(s.FailureDomain, members, view, directory),
+		WeightUpdater:  roller,
+		Mover:          mover,
+		Provisioner:    provisioner,
+		Closer:         closer,
+		DomainInterval: domainPeriod,
+		CloseInterval:  s.UsageWindow() / closeParts,
+		OrderTimeout:   s.OrderTimeout(),
+		ReportTimeout:  platformapi.CallTimeout,
 	})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -22,7 +22,7 @@
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/operator"
 	"dogwoodpond/internal/peer"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/rollout"
 	"dogwoodpond/internal/settings"
 	"dogwoodpond/internal/upstream"
@@ -35,7 +35,7 @@
 	log        *zap.Logger
 	events     *event.Recorder
 	registry   *prometheus.Registry
-	platform   *platform.Client
+	platform   *platformapi.Client
 	directory  *upstream.Directory
 	syncer     *config.Syncer
 	gossip     *peer.Gossip
@@ -48,7 +48,7 @@
 	controller *control.Controller
 	scheduler  *dispatch.Scheduler
 	poller     *upstream.Poller
-	history    *rollout.History
+	history    *rollout.VersionHistory
 }
 
 const (
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -20,7 +20,7 @@
 	"dogwoodpond/internal/metrics"
 	"dogwoodpond/internal/operator"
 	"dogwoodpond/internal/peer"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/request"
 	"dogwoodpond/internal/retry"
 	"dogwoodpond/internal/rollout"
@@ -64,7 +64,7 @@
 
 func newPeerMetrics(registry *prometheus.Registry) *peer.Metrics { return peer.NewMetrics(registry) }
 
-func newPlatform(s settings.Daemon) *platform.Client { return platform.NewClient(s.PlatformURL) }
+func newPlatform(s settings.Daemon) *platformapi.Client { return platformapi.NewClient(s.PlatformURL) }
 
 // newMetrics comes before every part that emits events, so that all are counted.
 func newMetrics(s settings.Daemon, events *event.Recorder, registry *prometheus.Registry, directory *upstream.Directory) *metrics.Metrics {
@@ -107,7 +107,7 @@
 const loadPeriod = time.Second
 
 func newPoller(engines *engine.Client, loads *upstream.Loads, scheduler *dispatch.Scheduler) *upstream.Poller {
-	return upstream.NewPoller(engines, loads, loadPeriod, scheduler.Watched)
+	return upstream.NewPoller(engines, loads, loadPeriod, scheduler.PolledEngines)
 }
 
 func newRunner(view *contract.View, dispatcher *metrics.Dispatcher, engines *engine.Client, retries *retry.Policy, events *event.Recorder) *generate.Local {
@@ -136,17 +136,17 @@
 	return peer.NewServer(events, view, h, runner, gossip)
 }
 
-func newSyncer(s settings.Daemon, tables *platform.Client, gossip *peer.Gossip, view *contract.View, events *event.Recorder, h *hooks) *config.Syncer {
+func newSyncer(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, view *contract.View, events *event.Recorder, h *hooks) *config.Syncer {
 	h.syncer = config.NewSyncer(tables, gossip, view, events, s.RevisionPoll(), h.revoke,
 		config.WithFleet(func() int { return len(gossip.VMs()) }))
 	return h.syncer
 }
 
-func newEditor(tables *platform.Client, events *event.Recorder) *config.Editor {
+func newEditor(tables *platformapi.Client, events *event.Recorder) *config.Editor {
 	return config.NewEditor(tables, time.Now, events)
 }
 
-func newMeter(s settings.Daemon, tables *platform.Client, gossip *peer.Gossip, events *event.Recorder) *usage.Meter {
+func newMeter(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, events *event.Recorder) *usage.Meter {
 	return usage.NewMeter(usage.MeterConfig{
 		Tables:      tables,
 		Events:      events,
@@ -157,19 +157,21 @@
 	})
 }
 
-func newClaims(tables *platform.Client) *request.Claims { return request.NewClaims(tables) }
+func newClaims(tables *platformapi.Client) *request.Claims { return request.NewClaims(tables) }
 
-func newHistory(weights *platform.Client) *rollout.History { return rollout.NewHistory(weights) }
+func newHistory(weights *platformapi.Client) *rollout.VersionHistory {
+	return rollout.NewVersionHistory(weights)
+}
 
 func newRollouts(
 	s settings.Daemon,
-	tables *platform.Client,
+	tables *platformapi.Client,
 	runner *generate.Local,
 	scheduler *dispatch.Scheduler,
 	services *service.Client,
 	gossip *peer.Gossip,
 	client *peer.Client,
-	history *rollout.History,
+	history *rollout.VersionHistory,
 	leases *lease.Manager,
 	meter *usage.Meter,
 	view *contract.View,
@@ -178,27 +180,27 @@
 ) *rollout.Manager {
 	self := rollout.Worker{VM: s.VM, FailureDomain: s.FailureDomain, Runner: runner}
 	return rollout.NewManager(rollout.Config{
-		VM:         s.VM,
-		Tables:     tables,
-		Leases:     stepLeases{leases: leases},
-		Workers:    rollout.NewFleet(self, gossip, client),
-		Versions:   history,
-		Scorer:     rollout.NewServiceScorer(view, scheduler, services),
-		Usage:      meter,
-		View:       view,
-		Events:     events,
-		Registerer: registry,
-		Period:     stepSearchPeriod(gossip),
+		VM:             s.VM,
+		Tables:         tables,
+		Leases:         stepLeases{leases: leases},
+		Workers:        rollout.NewFleet(self, gossip, client),
+		Versions:       history,
+		Scorer:         rollout.NewServiceScorer(view, scheduler, services),
+		Usage:          meter,
+		View:           view,
+		Events:         events,
+		Registerer:     registry,
+		SearchInterval: stepSearchPeriod(gossip),
 	})
 }
 
 // newLeases returns the VM's campaigns. Ranks come from the platform's list of
 // VMs; while it is empty the VM ranks first, which costs the store a few reads.
-func newLeases(s settings.Daemon, tables *platform.Client, gossip *peer.Gossip, events *event.Recorder) *lease.Manager {
+func newLeases(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, events *event.Recorder) *lease.Manager {
 	rank := func(name string) int {
 		var live []string
 		for _, vm := range gossip.VMs() {
-			if vm.State == platform.VMLive {
+			if vm.State == platformapi.VMLive {
 				live = append(live, vm.ID)
 			}
 		}
@@ -264,7 +266,7 @@
 	return h.entry
 }
 
-func newOperator(s settings.Daemon, tables *platform.Client, view *contract.View, editor *config.Editor, fleet *peer.Fleet, directory *upstream.Directory, events *event.Recorder, h *hooks) *operator.Server {
+func newOperator(s settings.Daemon, tables *platformapi.Client, view *contract.View, editor *config.Editor, fleet *peer.Fleet, directory *upstream.Directory, events *event.Recorder, h *hooks) *operator.Server {
 	rows := fleetview.NewReader(tables, s.UsageWindow())
 	return operator.NewServer(operator.Config{
 		VM:          s.VM,
--- a/internal/daemon/wire_gen.go
+++ b/internal/daemon/wire_gen.go
@@ -51,7 +51,7 @@
 	editor := newEditor(client, recorder)
 	fleet := peer.NewFleet(gossip, peerClient, view, recorder)
 	operatorServer := newOperator(s, client, view, editor, fleet, directory, recorder, daemonHooks)
-	roller := newRoller(s, engineClient, recorder)
+	roller := newWeightUpdater(s, engineClient, recorder)
 	mover := newMover(engineClient, recorder)
 	provisioner := newProvisioner(s, client, recorder)
 	closer := newCloser(s, client, recorder, gossip, view)
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -13,7 +13,7 @@
 // Func opens a connection; it fits http.Transport.DialContext.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Resetting returns a Func whose connections are of type *Conn and are reset when they
+// ResetOnClose returns a Func whose connections are of type *Conn and are reset when they
 // are closed.
 //
 // If a peer can't be reached because of a network failure, the kernel holds the data
@@ -22,7 +22,7 @@
 // would run although its step has ended, or an order would arrive after that of the next
 // holder of the lease. A reset discards the data. It loses nothing as long as a
 // connection is closed only when its answer was read completely or is no longer needed.
-func Resetting(timeout time.Duration) Func {
+func ResetOnClose(timeout time.Duration) Func {
 	dialer := &net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, network, address)
--- a/internal/dial/dialtest/dialtest.go
+++ b/internal/dial/dialtest/dialtest.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Silent is an unresponsive peer: it reads one request and never answers it.
-type Silent struct {
+// UnresponsivePeer is an unresponsive peer: it reads one request and never answers it.
+type UnresponsivePeer struct {
 	Address string
 	// Received is closed when the request has been read.
 	Received <-chan struct{}
@@ -19,8 +19,8 @@
 	Ended <-chan error
 }
 
-// NewSilent starts an unresponsive peer on the loopback interface.
-func NewSilent(t *testing.T) Silent {
+// NewUnresponsivePeer starts an unresponsive peer on the loopback interface.
+func NewUnresponsivePeer(t *testing.T) UnresponsivePeer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,7 +29,7 @@
 	t.Cleanup(func() { _ = listener.Close() })
 	received, ended := make(chan struct{}), make(chan error, 1)
 	go func() { ended <- readRequest(listener, received) }()
-	return Silent{Address: listener.Addr().String(), Received: received, Ended: ended}
+	return UnresponsivePeer{Address: listener.Addr().String(), Received: received, Ended: ended}
 }
 
 // readRequest reads one request, closes received, and returns the error with which the
--- a/internal/dispatch/apportion.go
+++ b/internal/dispatch/apportion.go
@@ -19,20 +19,20 @@
 	Share uint32
 	// InFlight and Waiting count requests.
 	InFlight uint32
-	Waiting  uint32
+	Queued   uint32
 }
 
 // slots returns the number of slots that the flow could use now.
-func (d FlowDemand) slots() int { return int(d.InFlight) + int(d.Waiting) }
+func (d FlowDemand) slots() int { return int(d.InFlight) + int(d.Queued) }
 
 // Member is one of the VMs among which the engines' slots are divided.
 type Member struct {
 	VM            string
 	FailureDomain string
-	// Heard is false while the VM's demand is unknown; an average demand is
+	// DemandKnown is false while the VM's demand is unknown; an average demand is
 	// assumed then.
-	Heard bool
-	Flows []FlowDemand
+	DemandKnown bool
+	Flows       []FlowDemand
 	// Unreachable holds the hashed IDs of engines that do not answer the VM.
 	Unreachable []uint32
 }
@@ -222,7 +222,7 @@
 // flowsOf returns a member's demands for a pool. A member whose demand is unknown
 // counts as an account of its own.
 func flowsOf(pool uint32, index int, m Member) []memberFlow {
-	if !m.Heard {
+	if !m.DemandKnown {
 		return []memberFlow{{account: 1<<32 + uint64(index), share: unknownShare, demand: unknownDemand}}
 	}
 	var flows []memberFlow
--- a/internal/dispatch/apportion_test.go
+++ b/internal/dispatch/apportion_test.go
@@ -10,13 +10,13 @@
 	"github.com/leanovate/gopter/gen"
 	"github.com/leanovate/gopter/prop"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 func vmsOf(domain string, n int) []Member {
 	var members []Member
 	for i := range n {
-		members = append(members, Member{VM: fmt.Sprintf("vm-%s%d", domain, i), FailureDomain: domain, Heard: true})
+		members = append(members, Member{VM: fmt.Sprintf("vm-%s%d", domain, i), FailureDomain: domain, DemandKnown: true})
 	}
 	return members
 }
@@ -32,7 +32,7 @@
 const testPool = 7
 
 func demandOf(account string, share, slots uint32) FlowDemand {
-	return FlowDemand{Pool: testPool, Account: hash32(account), Share: share, Waiting: slots}
+	return FlowDemand{Pool: testPool, Account: hash32(account), Share: share, Queued: slots}
 }
 
 // totalAllocations adds up the allocations that the members compute, each from its own view.
@@ -197,14 +197,14 @@
 // VMs: its VMs must get slots elsewhere, and its engines must be used by other VMs.
 func TestFailureDomainsWithoutEnginesOrVMsShareWithOthers(t *testing.T) {
 	members := append(vmsOf("a", 3), vmsOf("b", 3)...)
-	list := func(domains ...string) []platform.Upstream {
-		var all []platform.Upstream
+	list := func(domains ...string) []platformapi.Upstream {
+		var all []platformapi.Upstream
 		for _, domain := range domains {
 			all = append(all, engineOf("e-"+domain, domain, 12))
 		}
 		return all
 	}
-	ownSlots := func(vm, domain string, members []Member, list []platform.Upstream) (n int) {
+	ownSlots := func(vm, domain string, members []Member, list []platformapi.Upstream) (n int) {
 		a := assignment{upstreams: list, limits: make(allocation), borrowed: make(map[string]bool)}
 		a.assignShared(vm, domain, testPool, members)
 		for id, limit := range a.limits {
@@ -230,7 +230,7 @@
 func TestEveryVMHasAtLeastOneSlot(t *testing.T) {
 	members := vmsOf("a", 6)
 	for _, m := range members {
-		a := assignment{upstreams: []platform.Upstream{engineOf("e1", "a", 2)}, limits: make(allocation), borrowed: make(map[string]bool)}
+		a := assignment{upstreams: []platformapi.Upstream{engineOf("e1", "a", 2)}, limits: make(allocation), borrowed: make(map[string]bool)}
 		a.assignShared(m.VM, "a", testPool, members)
 		if a.limits["e1"] < 1 || a.borrowed["e1"] {
 			t.Errorf("%s has no slot", m.VM)
@@ -241,12 +241,12 @@
 // Guards against a VM with quotas on reclaimable engines only: work that may not run
 // there, or not yet by its account's share, would wait forever while engines are idle.
 func TestEveryVMHasASlotThatTakesAllWork(t *testing.T) {
-	reclaimable := func(id string) platform.Upstream {
+	reclaimable := func(id string) platformapi.Upstream {
 		u := engineOf(id, "b", 8)
 		u.Reclaimable = true
 		return u
 	}
-	list := []platform.Upstream{reclaimable("cheap-1"), reclaimable("cheap-2"), engineOf("paid", "b", 8)}
+	list := []platformapi.Upstream{reclaimable("cheap-1"), reclaimable("cheap-2"), engineOf("paid", "b", 8)}
 	members := vmsOf("b", 2)
 	for _, m := range members {
 		a := assignment{upstreams: list, limits: make(allocation), borrowed: make(map[string]bool)}
@@ -276,12 +276,12 @@
 		}
 		go func() { _, _ = vm.Acquire(ctx, engineWork("fields", 10)) }()
 		time.Sleep(idlePollTimeout + time.Second)
-		if len(vm.Watched()) != 1 {
+		if len(vm.PolledEngines()) != 1 {
 			t.Error("the engine is not polled while a request is queued for it")
 		}
 		g.Done(Result{Cost: 1})
 		time.Sleep(idlePollTimeout + time.Second)
-		if len(vm.Watched()) != 0 {
+		if len(vm.PolledEngines()) != 0 {
 			t.Error("engines are still polled without any request")
 		}
 	})
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
@@ -14,13 +14,13 @@
 type assignment struct {
 	computedAt time.Time
 	// source is the list of all upstreams, upstreams the pool's subset of it.
-	source    []platform.Upstream
-	upstreams []platform.Upstream
+	source    []platformapi.Upstream
+	upstreams []platformapi.Upstream
 	// ids are the IDs of upstreams, usable the subset of upstreams with a limit.
 	ids    []string
-	usable []platform.Upstream
+	usable []platformapi.Upstream
 	// polled holds the upstreams whose load reports the VM polls.
-	polled []platform.Upstream
+	polled []platformapi.Upstream
 	// limits is the number of requests that the VM may have at each upstream.
 	limits allocation
 	// borrowed marks upstreams outside the VM's quota where it may borrow slots.
@@ -74,7 +74,7 @@
 	return list
 }
 
-func (p *poolQueue) candidate(u platform.Upstream, limit int, now time.Time) (candidate, bool) {
+func (p *poolQueue) candidate(u platformapi.Upstream, limit int, now time.Time) (candidate, bool) {
 	c := &p.scheduler.config
 	report, reported := c.Loads.Get(u.ID)
 	if reported && p.servesOtherModel(u, report, now) {
@@ -110,15 +110,15 @@
 // servesOtherModel reports whether a fresh report names another model or adapter. The
 // list lags: such an engine was already moved to another pool and would reject the
 // work, which callers would see as failed attempts.
-func (p *poolQueue) servesOtherModel(u platform.Upstream, report upstream.Report, now time.Time) bool {
-	if u.Kind != platform.KindEngine || report.At.IsZero() || now.Sub(report.At) > reportTTL {
+func (p *poolQueue) servesOtherModel(u platformapi.Upstream, report upstream.Report, now time.Time) bool {
+	if u.Kind != platformapi.KindEngine || report.At.IsZero() || now.Sub(report.At) > reportTTL {
 		return false
 	}
 	return report.Model != p.name.Model || report.Adapter != p.name.Adapter
 }
 
 // hasSpareCapacity reports whether an engine's report is fresh and its load low.
-func hasSpareCapacity(u platform.Upstream, report upstream.Report, now time.Time) bool {
+func hasSpareCapacity(u platformapi.Upstream, report upstream.Report, now time.Time) bool {
 	if report.At.IsZero() || now.Sub(report.At) > reportTTL {
 		return false
 	}
@@ -162,7 +162,7 @@
 		}
 	}
 	switch {
-	case p.name.Kind == platform.KindService:
+	case p.name.Kind == platformapi.KindService:
 		a.assignAll(defaultServiceSlots)
 	case p.scheduler.config.Members == nil:
 		a.assignAll(1)
@@ -196,7 +196,7 @@
 func (a *assignment) assignShared(vm, domain string, pool uint32, members []Member) {
 	list := reachable(a.upstreams, members)
 	for _, reclaimable := range []bool{false, true} {
-		a.assignQuotas(vm, pool, slices.DeleteFunc(slices.Clone(list), func(u platform.Upstream) bool {
+		a.assignQuotas(vm, pool, slices.DeleteFunc(slices.Clone(list), func(u platformapi.Upstream) bool {
 			return u.Reclaimable != reclaimable
 		}), members)
 	}
@@ -205,7 +205,7 @@
 }
 
 // assignQuotas sets the VM's quotas on a list of engines.
-func (a *assignment) assignQuotas(vm string, pool uint32, list []platform.Upstream, members []Member) {
+func (a *assignment) assignQuotas(vm string, pool uint32, list []platformapi.Upstream, members []Member) {
 	byDomain := make(map[string][]engineSlots)
 	for _, u := range list {
 		byDomain[u.FailureDomain] = append(byDomain[u.FailureDomain], engineSlots{upstream: u.ID, slots: max(1, u.Slots)})
@@ -227,12 +227,12 @@
 // the only VM there does. One VM with a broken network, a wrong digest, or a network
 // failure between failure domains must not take engines away from VMs that reach them.
 // If no engine of a failure domain seems to answer, all of them stay.
-func reachable(list []platform.Upstream, members []Member) []platform.Upstream {
+func reachable(list []platformapi.Upstream, members []Member) []platformapi.Upstream {
 	votes, domainVMs := countVotes(members)
 	if len(votes) == 0 {
 		return list
 	}
-	isUnreachable := func(u platform.Upstream) bool {
+	isUnreachable := func(u platformapi.Upstream) bool {
 		domain := u.FailureDomain
 		return votes[vote{domain: domain, engine: engineHash(u.ID)}] >= max(1, min(unreachableQuorum, domainVMs[domain]))
 	}
@@ -242,7 +242,7 @@
 			reachableCount[u.FailureDomain]++
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(list), func(u platform.Upstream) bool {
+	return slices.DeleteFunc(slices.Clone(list), func(u platformapi.Upstream) bool {
 		return isUnreachable(u) && reachableCount[u.FailureDomain] > 0
 	})
 }
@@ -258,7 +258,7 @@
 func countVotes(members []Member) (votes map[vote]int, domainVMs map[string]int) {
 	votes, domainVMs = make(map[vote]int), make(map[string]int)
 	for _, m := range members {
-		if !m.Heard {
+		if !m.DemandKnown {
 			continue
 		}
 		domainVMs[m.FailureDomain]++
@@ -304,7 +304,7 @@
 }
 
 // hashNames returns an order-independent hash of the names of engines and VMs.
-func hashNames(list []platform.Upstream, members []Member) uint64 {
+func hashNames(list []platformapi.Upstream, members []Member) uint64 {
 	var sum uint64
 	for _, u := range list {
 		sum += xxhash.Sum64String("engine/" + u.ID)
@@ -317,7 +317,7 @@
 
 // borrowableEngines returns the engines from which a VM may borrow slots. Each engine
 // lets only a few VMs borrow: a fleet that sees one idle engine would overload it.
-func borrowableEngines(vm string, list []platform.Upstream, members []Member) map[string]bool {
+func borrowableEngines(vm string, list []platformapi.Upstream, members []Member) map[string]bool {
 	borrowable := make(map[string]bool)
 	for _, u := range list {
 		if isTopRanked(u.ID, vm, members, max(1, u.Slots/borrowableDivisor)) {
@@ -329,7 +329,7 @@
 
 // monitoredEngines returns the engines of a failure domain that a VM must poll. Each
 // engine is monitored by unreachableQuorum VMs, as many as can declare it unreachable.
-func monitoredEngines(vm, domain string, list []platform.Upstream, members []Member) map[string]bool {
+func monitoredEngines(vm, domain string, list []platformapi.Upstream, members []Member) map[string]bool {
 	domainMembers := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.FailureDomain != domain })
 	monitored := make(map[string]bool)
 	for _, u := range list {
@@ -345,7 +345,7 @@
 // overcommit is at most one request for each VM beyond the number of slots.
 func (a *assignment) ensureOneSlot(vm, domain string) {
 	best := -1
-	hasNonReclaimable := slices.ContainsFunc(a.upstreams, func(u platform.Upstream) bool { return !u.Reclaimable })
+	hasNonReclaimable := slices.ContainsFunc(a.upstreams, func(u platformapi.Upstream) bool { return !u.Reclaimable })
 	for i, u := range a.upstreams {
 		if u.Reclaimable && hasNonReclaimable {
 			continue
@@ -363,7 +363,7 @@
 	}
 }
 
-func isPreferred(vm, domain string, a, b platform.Upstream) bool {
+func isPreferred(vm, domain string, a, b platformapi.Upstream) bool {
 	if sameDomain := a.FailureDomain == domain; sameDomain != (b.FailureDomain == domain) {
 		return sameDomain
 	}
@@ -376,8 +376,8 @@
 
 // polled returns the engines whose load the VM polls: those that it may use or
 // monitors, while it has work for the pool.
-func (p *poolQueue) polled() []platform.Upstream {
-	if p.name.Kind != platform.KindEngine {
+func (p *poolQueue) polled() []platformapi.Upstream {
+	if p.name.Kind != platformapi.KindEngine {
 		return nil
 	}
 	now := time.Now()
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -5,21 +5,21 @@
 	"fmt"
 	"testing"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // targetFleet returns the fleet at the target size: 390 VMs and 720 engines in 7
 // failure domains, where each VM has demands of 8 accounts.
-func targetFleet() ([]Member, []platform.Upstream) {
+func targetFleet() ([]Member, []platformapi.Upstream) {
 	var members []Member
 	for i := range 390 {
-		m := Member{VM: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7), Heard: true}
+		m := Member{VM: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7), DemandKnown: true}
 		for a := range 8 {
 			m.Flows = append(m.Flows, demandOf(fmt.Sprint(a), 100, uint32(a+i%5)))
 		}
 		members = append(members, m)
 	}
-	var list []platform.Upstream
+	var list []platformapi.Upstream
 	for i := range 720 {
 		list = append(list, engineOf(fmt.Sprintf("e%03d", i), fmt.Sprint("d", i%7), 8))
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -8,12 +8,12 @@
 	"context"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Pool names a set of interchangeable upstreams.
 type Pool struct {
-	Kind platform.UpstreamKind
+	Kind platformapi.UpstreamKind
 	// Service is set for plain services.
 	Service string
 	// Model and Adapter are set for engines.
@@ -23,7 +23,7 @@
 
 // String returns a short name for logs and error messages.
 func (p Pool) String() string {
-	if p.Kind == platform.KindService {
+	if p.Kind == platformapi.KindService {
 		return p.Service
 	}
 	if p.Adapter == "" {
@@ -65,7 +65,7 @@
 
 // Grant is the right to use a slot of an upstream. Done must be called exactly once.
 type Grant struct {
-	Upstream platform.Upstream
+	Upstream platformapi.Upstream
 	Done     func(Result)
 }
 
--- a/internal/dispatch/fifo.go
+++ b/internal/dispatch/fifo.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
@@ -25,7 +25,7 @@
 
 // Acquire implements Dispatcher.
 func (f *FIFO) Acquire(_ context.Context, work Work) (Grant, error) {
-	var candidates []platform.Upstream
+	var candidates []platformapi.Upstream
 	for _, u := range f.directory.Load() {
 		if serves(u, work.Pool) && mayUse(u, work) {
 			candidates = append(candidates, u)
@@ -39,18 +39,18 @@
 }
 
 // serves reports whether an upstream is listed as a live member of a pool.
-func serves(u platform.Upstream, pool Pool) bool {
-	if u.State != platform.UpstreamLive || u.Kind != pool.Kind {
+func serves(u platformapi.Upstream, pool Pool) bool {
+	if u.State != platformapi.UpstreamLive || u.Kind != pool.Kind {
 		return false
 	}
-	if pool.Kind == platform.KindService {
+	if pool.Kind == platformapi.KindService {
 		return u.Service == pool.Service
 	}
 	return u.Model == pool.Model && u.Adapter == pool.Adapter
 }
 
 // mayUse reports whether work may run on an upstream of its pool at all.
-func mayUse(u platform.Upstream, work Work) bool {
+func mayUse(u platformapi.Upstream, work Work) bool {
 	if slices.Contains(work.Exclude, u.ID) {
 		return false
 	}
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -7,12 +7,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // candidate is an upstream of a pool with the data that pick needs.
 type candidate struct {
-	upstream platform.Upstream
+	upstream platformapi.Upstream
 	// free is how many more requests this VM may send there now.
 	free int
 	// own marks an upstream where this VM has a quota; slots of others are borrowed.
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
@@ -181,7 +181,7 @@
 }
 
 // finish releases a slot and corrects the cost that its account was charged.
-func (p *poolQueue) finish(req *request, u platform.Upstream, r Result, started time.Time) {
+func (p *poolQueue) finish(req *request, u platformapi.Upstream, r Result, started time.Time) {
 	now := time.Now()
 	p.recordHealth(u, r, now.Sub(started), now)
 	wasAtLimit := p.scheduler.account(req.work.Account).release(req.work, u.Reclaimable, r.Cost)
@@ -200,7 +200,7 @@
 }
 
 // recordHealth reports the result of an attempt to the upstream's health record.
-func (p *poolQueue) recordHealth(u platform.Upstream, r Result, elapsed time.Duration, now time.Time) {
+func (p *poolQueue) recordHealth(u platformapi.Upstream, r Result, elapsed time.Duration, now time.Time) {
 	health := p.scheduler.config.Health
 	peers := p.upstreamIDs()
 	switch {
@@ -223,7 +223,7 @@
 // demand returns each account's demand for the pool. Only engines are shared by
 // demand.
 func (p *poolQueue) demand() []FlowDemand {
-	if p.name.Kind != platform.KindEngine {
+	if p.name.Kind != platformapi.KindEngine {
 		return nil
 	}
 	p.mu.Lock()
@@ -238,7 +238,7 @@
 			Account:  hash32(string(f.account)),
 			Share:    uint32(f.share),
 			InFlight: uint32(f.running),
-			Waiting:  uint32(f.queued()),
+			Queued:   uint32(f.queued()),
 		})
 	}
 	return list
@@ -249,7 +249,7 @@
 
 // expectedLoad returns the expected requests per slot at an upstream: this VM's own,
 // and the other reported ones weighted by the report's age.
-func expectedLoad(u platform.Upstream, inFlight int, report upstream.Report, now time.Time) float64 {
+func expectedLoad(u platformapi.Upstream, inFlight int, report upstream.Report, now time.Time) float64 {
 	others := max(0, report.Running+report.Waiting-inFlight)
 	return (float64(inFlight) + report.Weight(now)*float64(others)) / float64(max(1, u.Slots))
 }
--- a/internal/dispatch/reachable_test.go
+++ b/internal/dispatch/reachable_test.go
@@ -4,11 +4,11 @@
 	"slices"
 	"testing"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // names returns the IDs of engines.
-func names(list []platform.Upstream) []string {
+func names(list []platformapi.Upstream) []string {
 	var ids []string
 	for _, u := range list {
 		ids = append(ids, u.ID)
@@ -17,7 +17,7 @@
 }
 
 func memberReporting(vm, domain string, engines ...string) Member {
-	m := Member{VM: vm, FailureDomain: domain, Heard: true}
+	m := Member{VM: vm, FailureDomain: domain, DemandKnown: true}
 	for _, e := range engines {
 		m.Unreachable = append(m.Unreachable, engineHash(e))
 	}
@@ -28,7 +28,7 @@
 // lists them for a while longer; requests of the VM with quotas there would wait many
 // seconds for engines that never answer, while the third engine is idle.
 func TestUnreachableEnginesAreNotShared(t *testing.T) {
-	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8), engineOf("e3", "b", 8)}
+	list := []platformapi.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8), engineOf("e3", "b", 8)}
 	members := []Member{memberReporting("vm-b1", "b", "e2", "e3"), memberReporting("vm-b2", "b", "e2", "e3")}
 	if got := names(reachable(list, members)); !slices.Equal(got, []string{"e1"}) {
 		t.Errorf("%v are shared, want e1", got)
@@ -49,7 +49,7 @@
 // network fails, a digest is wrong, or two failure domains are cut off from each other.
 // If all engines of a failure domain are reported, all of them must stay.
 func TestSingleVMCannotExcludeEngines(t *testing.T) {
-	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
+	list := []platformapi.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
 	cases := []struct {
 		name    string
 		members []Member
@@ -73,7 +73,7 @@
 // Guards against an engine that is excluded forever: while its slots are not divided,
 // some VMs must still poll its load.
 func TestUnreachableEngineIsStillPolled(t *testing.T) {
-	list := []platform.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
+	list := []platformapi.Upstream{engineOf("e1", "b", 8), engineOf("e2", "b", 8)}
 	var members []Member
 	for _, vm := range []string{"vm-b1", "vm-b2", "vm-b3", "vm-b4"} {
 		members = append(members, memberReporting(vm, "b", "e2"))
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -12,7 +12,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
@@ -126,7 +126,7 @@
 // come from callers. Only listed pools get a queue, so that callers can't make the
 // state grow.
 func (s *Scheduler) servable(work Work) bool {
-	return slices.ContainsFunc(s.config.Directory.Load(), func(u platform.Upstream) bool {
+	return slices.ContainsFunc(s.config.Directory.Load(), func(u platformapi.Upstream) bool {
 		return serves(u, work.Pool) && mayUse(u, work)
 	})
 }
@@ -191,7 +191,7 @@
 // last load polls, for this VM's digest.
 func (s *Scheduler) Unreachable() []uint32 {
 	var list []uint32
-	for _, u := range s.Watched() {
+	for _, u := range s.PolledEngines() {
 		if report, ok := s.config.Loads.Get(u.ID); ok && report.Misses >= missesUntilUnreachable {
 			list = append(list, engineHash(u.ID))
 		}
@@ -199,9 +199,9 @@
 	return list
 }
 
-// Watched returns the engines whose load this VM must poll.
-func (s *Scheduler) Watched() []platform.Upstream {
-	var list []platform.Upstream
+// PolledEngines returns the engines whose load this VM must poll.
+func (s *Scheduler) PolledEngines() []platformapi.Upstream {
+	var list []platformapi.Upstream
 	for _, p := range s.allPools() {
 		list = append(list, p.polled()...)
 	}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -14,15 +14,15 @@
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/upstream"
 )
 
-var berryPool = Pool{Kind: platform.KindEngine, Model: "berry-1"}
+var berryPool = Pool{Kind: platformapi.KindEngine, Model: "berry-1"}
 
-func engineOf(id, domain string, slots int) platform.Upstream {
-	return platform.Upstream{
-		ID: id, Kind: platform.KindEngine, FailureDomain: domain, State: platform.UpstreamLive, Slots: slots, Model: "berry-1",
+func engineOf(id, domain string, slots int) platformapi.Upstream {
+	return platformapi.Upstream{
+		ID: id, Kind: platformapi.KindEngine, FailureDomain: domain, State: platformapi.UpstreamLive, Slots: slots, Model: "berry-1",
 	}
 }
 
@@ -38,7 +38,7 @@
 	events    *event.Recorder
 }
 
-func newTestVM(ctx context.Context, upstreams ...platform.Upstream) testVM {
+func newTestVM(ctx context.Context, upstreams ...platformapi.Upstream) testVM {
 	vm := testVM{directory: upstream.NewDirectory(), loads: upstream.NewLoads(), events: newRecorder()}
 	vm.directory.Replace(upstreams)
 	vm.Scheduler = NewScheduler(Config{
@@ -245,8 +245,8 @@
 		synctest.Wait()
 		time.Sleep(2 * tickInterval)
 		leaving := engineOf("e1", "a", 1)
-		leaving.State = platform.UpstreamLeaving
-		vm.directory.Replace([]platform.Upstream{leaving})
+		leaving.State = platformapi.UpstreamLeaving
+		vm.directory.Replace([]platformapi.Upstream{leaving})
 		started := time.Now()
 		if err := <-waiter; !fault.Is[*fault.NoUpstream](err) {
 			t.Fatalf("got error %v, want NoUpstream", err)
@@ -269,10 +269,10 @@
 	changes := map[string]func(vm testVM){
 		"leaving": func(vm testVM) {
 			e := engineOf("e1", "a", 8)
-			e.State = platform.UpstreamLeaving
-			vm.directory.Replace([]platform.Upstream{e, engineOf("e2", "a", 8)})
+			e.State = platformapi.UpstreamLeaving
+			vm.directory.Replace([]platformapi.Upstream{e, engineOf("e2", "a", 8)})
 		},
-		"vanished": func(vm testVM) { vm.directory.Replace([]platform.Upstream{engineOf("e2", "a", 8)}) },
+		"vanished": func(vm testVM) { vm.directory.Replace([]platformapi.Upstream{engineOf("e2", "a", 8)}) },
 		"unreachable": func(vm testVM) {
 			vm.loads.Set("e1", upstream.Report{Misses: 2})
 			vm.loads.Set("e2", upstream.Report{Load: engine.Load{Model: "berry-1"}, At: time.Now()})
@@ -402,7 +402,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var engines []platform.Upstream
+		var engines []platformapi.Upstream
 		for i := range 5 {
 			engines = append(engines, engineOf(fmt.Sprint("e", i), "a", 8))
 		}
--- a/internal/dispatch/tracker.go
+++ b/internal/dispatch/tracker.go
@@ -2,12 +2,12 @@
 
 import (
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // upstreamTracker detects changes of the list of upstreams.
 type upstreamTracker struct {
-	list []platform.Upstream
+	list []platformapi.Upstream
 	// live holds the upstreams that were live in the last list.
 	live map[string]bool
 }
@@ -23,7 +23,7 @@
 	live := make(map[string]bool, len(list))
 	for _, u := range list {
 		listed[u.ID] = true
-		if u.State == platform.UpstreamLive {
+		if u.State == platformapi.UpstreamLive {
 			live[u.ID] = true
 		}
 	}
@@ -39,7 +39,7 @@
 
 // sameList reports whether two lists are the same slice in memory. A replaced list
 // never is.
-func sameList(a, b []platform.Upstream) bool {
+func sameList(a, b []platformapi.Upstream) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -153,8 +153,8 @@
 	return chunk, nil
 }
 
-// Load returns the engine's load report.
-func (c *Client) Load(ctx context.Context, address string) (Load, error) {
+// LoadReport returns the engine's load report.
+func (c *Client) LoadReport(ctx context.Context, address string) (Load, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathLoad, nil)
--- a/internal/pools/mover.go
+++ b/internal/enginepool/mover.go
@@ -1,4 +1,4 @@
-package pools
+package enginepool
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"dogwoodpond/internal/fence"
 )
 
-// Orders sends orders to engines.
-type Orders interface {
+// OrderSender sends orders to engines.
+type OrderSender interface {
 	// Order sends an order to the engine at an address. A repeated order with the same ID
 	// has no effect.
 	Order(ctx context.Context, address string, order engine.Order) error
@@ -21,13 +21,13 @@
 // safe for concurrent use.
 type Mover struct {
 	planner    *Planner
-	orders     Orders
+	orders     OrderSender
 	events     *event.Recorder
 	orderCount int
 }
 
 // NewMover returns a mover that sends its orders by orders.
-func NewMover(orders Orders, events *event.Recorder) *Mover {
+func NewMover(orders OrderSender, events *event.Recorder) *Mover {
 	return &Mover{planner: NewPlanner(), orders: orders, events: events}
 }
 
@@ -35,7 +35,7 @@
 // queued requests by pool. An order without an answer is not repeated: the engine's next
 // report shows which pool it serves, and the next plan is based on that report.
 func (m *Mover) Tick(ctx context.Context, guard fence.Guard, engines []Engine, queued map[Pool]int) error {
-	move, ok := m.planner.Next(engines, queued)
+	move, ok := m.planner.NextMove(engines, queued)
 	if !ok {
 		return nil
 	}
@@ -52,7 +52,7 @@
 	}
 	subject := event.Subject{Upstream: move.Engine.ID, Epoch: order.Epoch, Detail: move.To.Model + "+" + move.To.Adapter}
 	m.events.Emit(event.OrderGiven, subject)
-	err := m.orders.Order(fence.Context(ctx, guard), move.Engine.Address, order)
+	err := m.orders.Order(fence.WithGuard(ctx, guard), move.Engine.Address, order)
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
 		m.events.Emit(event.OrderFailed, subject)
--- a/internal/pools/pools.go
+++ b/internal/enginepool/pools.go
@@ -1,9 +1,9 @@
-// Package pools moves engines between pools to follow the load. A pool is the set of
+// Package enginepool moves engines between pools to follow the load. A pool is the set of
 // engines that serve the same model and adapter. The holder of a failure domain's lease
 // orders an engine of the domain to change its pool. Which pool an engine serves is known
 // from its own reports only, so that no engine gets requests for another pool after an
 // order that failed or was not answered.
-package pools
+package enginepool
 
 import (
 	"cmp"
@@ -24,8 +24,8 @@
 	// Adaptable reports whether the engine may be moved. Other engines stay in the pool
 	// that the operator configured.
 	Adaptable bool
-	// Busy is the number of requests that run or are queued at the engine.
-	Busy, Slots int
+	// Requests is the number of requests that run or are queued at the engine.
+	Requests, Slots int
 }
 
 // Move is a planned change of an engine's pool.
@@ -54,9 +54,9 @@
 	spareDivisor = 2
 )
 
-// Next is called once per tick and returns at most one move, so that the effect of each
+// NextMove is called once per tick and returns at most one move, so that the effect of each
 // move can be observed before the next. queued is the number of queued requests by pool.
-func (p *Planner) Next(engines []Engine, queued map[Pool]int) (Move, bool) {
+func (p *Planner) NextMove(engines []Engine, queued map[Pool]int) (Move, bool) {
 	p.countTicks(queued)
 	to, ok := p.longestQueued()
 	if !ok {
@@ -118,7 +118,7 @@
 		return Engine{}, false
 	}
 	slices.SortFunc(spare, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(a.Busy, b.Busy), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Requests, b.Requests), cmp.Compare(a.ID, b.ID))
 	})
 	return spare[0], true
 }
@@ -131,7 +131,7 @@
 		if e.Pool != leaving.Pool {
 			continue
 		}
-		busy += e.Busy
+		busy += e.Requests
 		if e.ID != leaving.ID {
 			slots += e.Slots
 		}
--- a/internal/pools/pools_test.go
+++ b/internal/enginepool/pools_test.go
@@ -1,4 +1,4 @@
-package pools
+package enginepool
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 			ID:        fmt.Sprintf("%s-%d", pool.Adapter, i),
 			Pool:      pool,
 			Adaptable: true,
-			Busy:      busy,
+			Requests:  busy,
 			Slots:     8,
 		})
 	}
@@ -36,7 +36,7 @@
 // nextMove calls p.Next with a constant queue until it returns a move, at most ticks times.
 func nextMove(p *Planner, engines []Engine, queued map[Pool]int, ticks int) (Move, bool) {
 	for range ticks {
-		if move, ok := p.Next(engines, queued); ok {
+		if move, ok := p.NextMove(engines, queued); ok {
 			return move, true
 		}
 	}
--- a/internal/entry/execution_test.go
+++ b/internal/entry/execution_test.go
@@ -13,7 +13,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // failingPlace is one place where a request can be refused or fail.
@@ -70,8 +70,8 @@
 
 // closedPort adds upstreams that refuse connections.
 func closedPort(r *rig) {
-	r.places.add(platform.Upstream{ID: "e0", Kind: platform.KindEngine, Model: testModel, Address: closedAddress})
-	r.places.add(platform.Upstream{ID: "s0", Kind: platform.KindService, Service: testService, Address: closedAddress})
+	r.places.add(platformapi.Upstream{ID: "e0", Kind: platformapi.KindEngine, Model: testModel, Address: closedAddress})
+	r.places.add(platformapi.Upstream{ID: "s0", Kind: platformapi.KindService, Service: testService, Address: closedAddress})
 }
 
 func playEngine(play func(*script)) func(*rig) {
--- a/internal/entry/givenup_test.go
+++ b/internal/entry/givenup_test.go
@@ -15,7 +15,7 @@
 
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // answered is what a caller got and when, since its request.
@@ -127,8 +127,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, rigOptions{})
 			// An address that can't be dialled fails without a network.
-			r.places.add(platform.Upstream{ID: "e1", Kind: platform.KindEngine, Model: testModel, Address: "no address"})
-			r.places.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: "no address"})
+			r.places.add(platformapi.Upstream{ID: "e1", Kind: platformapi.KindEngine, Model: testModel, Address: "no address"})
+			r.places.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: "no address"})
 			started := time.Now()
 			var last time.Duration
 			r.places.hook = func(context.Context, dispatch.Work) error {
--- a/internal/entry/once_test.go
+++ b/internal/entry/once_test.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // droppingDesk answers the first request of each connection and drops the
@@ -43,7 +43,7 @@
 			go d.serve(conn)
 		}
 	}()
-	r.places.add(platform.Upstream{ID: "s1", Kind: platform.KindService, Service: testService, Address: listener.Addr().String()})
+	r.places.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: listener.Addr().String()})
 	return d
 }
 
--- a/internal/entry/rig_test.go
+++ b/internal/entry/rig_test.go
@@ -26,8 +26,8 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/generate"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/request"
 	"dogwoodpond/internal/retry"
 	"dogwoodpond/internal/sample"
@@ -82,7 +82,7 @@
 	t.Helper()
 	r := &rig{
 		t: t, view: contract.NewView(), ager: &fixedAge{}, places: &places{}, steps: &fakeSteps{},
-		tables:   &unsteadyTables{Tables: memory.NewTables()},
+		tables:   &unsteadyTables{Tables: memtables.NewTables()},
 		registry: prometheus.NewRegistry(), log: &syncBuffer{},
 	}
 	log := zap.NewNop()
@@ -249,13 +249,13 @@
 // places is a dispatcher that grants upstreams in turn. A hook may refuse.
 type places struct {
 	mu        sync.Mutex
-	upstreams []platform.Upstream
+	upstreams []platformapi.Upstream
 	next      int
 	hook      func(ctx context.Context, work dispatch.Work) error
 	granted   int
 }
 
-func (p *places) add(u platform.Upstream) {
+func (p *places) add(u platformapi.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.upstreams = append(p.upstreams, u)
@@ -293,7 +293,7 @@
 func (r *rig) engine(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.places.add(platform.Upstream{ID: id, Kind: platform.KindEngine, Model: testModel, Address: m.address()})
+	r.places.add(platformapi.Upstream{ID: id, Kind: platformapi.KindEngine, Model: testModel, Address: m.address()})
 	return m
 }
 
@@ -301,7 +301,7 @@
 func (r *rig) service(id string, handler http.HandlerFunc) *metered {
 	m := newMetered(r.t, handler)
 	r.metered = append(r.metered, m)
-	r.places.add(platform.Upstream{ID: id, Kind: platform.KindService, Service: testService, Address: m.address()})
+	r.places.add(platformapi.Upstream{ID: id, Kind: platformapi.KindService, Service: testService, Address: m.address()})
 	return m
 }
 
@@ -350,7 +350,7 @@
 
 // unsteadyTables is a table service that can be made to fail.
 type unsteadyTables struct {
-	platform.Tables
+	platformapi.Tables
 	down atomic.Bool
 }
 
@@ -361,16 +361,16 @@
 	return nil
 }
 
-// Get implements platform.Tables.
-func (u *unsteadyTables) Get(ctx context.Context, key string) (platform.Row, error) {
+// Get implements platformapi.Tables.
+func (u *unsteadyTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	if err := u.err(); err != nil {
-		return platform.Row{}, err
+		return platformapi.Row{}, err
 	}
 	return u.Tables.Get(ctx, key)
 }
 
-// Commit implements platform.Tables.
-func (u *unsteadyTables) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables.
+func (u *unsteadyTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if err := u.err(); err != nil {
 		return err
 	}
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/request"
 	"dogwoodpond/internal/retry"
 	"dogwoodpond/internal/service"
@@ -156,7 +156,7 @@
 func (s *Server) takeClaim(ctx context.Context, c caller, wanted wantedCall) (request.Claim, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	claim, err := s.Claims.Take(ctx, c.contract.Account, wanted.idempotencyKey, request.Fingerprint(wanted.service, wanted.call))
+	claim, err := s.Claims.Acquire(ctx, c.contract.Account, wanted.idempotencyKey, request.Fingerprint(wanted.service, wanted.call))
 	if fault.Is[*fault.ClaimUnknown](err) || fault.Is[*fault.ClaimInProgress](err) {
 		return request.Claim{}, fault.WithExecution(err, fault.Unknown)
 	}
@@ -228,7 +228,7 @@
 	case fault.ExecutionOf(err) == fault.NotRun:
 		_ = s.Claims.Withdraw(ctx, claim)
 	default:
-		s.Claims.Leave(claim)
+		s.Claims.Abandon(claim)
 	}
 }
 
@@ -245,12 +245,12 @@
 // for a place within waiting and for the answer within sending.
 func (s *Server) sendService(waiting, sending context.Context, gate *sendGate, c caller, wanted wantedCall) (service.Answer, error) {
 	execution := fault.NotRun
-	delays := retry.NewDelays()
+	delays := retry.NewBackoff()
 	var exclude []string
 	for attempt := 1; ; attempt++ {
 		answer, upstreamID, err := s.attemptService(waiting, sending, gate, c, wanted, exclude, attempt)
 		if err == nil {
-			s.Retries.Success(wanted.service)
+			s.Retries.NoteSuccess(wanted.service)
 			return answer, nil
 		}
 		execution = execution.Or(fault.ExecutionOf(err))
@@ -294,7 +294,7 @@
 	// A panic must not keep the place: the service would look full for ever.
 	defer func() {
 		if !settled {
-			report(retry.Abandoned)
+			report(retry.Inconclusive)
 			grant.Done(dispatch.Result{})
 		}
 	}()
@@ -320,7 +320,7 @@
 	case failed:
 		return retry.Failed
 	default:
-		return retry.Abandoned
+		return retry.Inconclusive
 	}
 }
 
@@ -331,10 +331,10 @@
 			Request:    c.requestID,
 			Account:    c.contract.Account,
 			Contract:   c.contract,
-			Pool:       dispatch.Pool{Kind: platform.KindService, Service: wanted.service},
+			Pool:       dispatch.Pool{Kind: platformapi.KindService, Service: wanted.service},
 			Cost:       1,
 			Repeatable: wanted.repeatable(),
-			Exclude:    slices.Concat(exclude, s.Retries.Open()),
+			Exclude:    slices.Concat(exclude, s.Retries.OpenUpstreams()),
 			Retry:      attempt > 1,
 		})
 		if err != nil {
@@ -344,7 +344,7 @@
 		// The key may have been withdrawn, or the caller have left, while the
 		// call waited for its place.
 		if allowed && (ctx.Err() != nil || !gate.send()) {
-			report(retry.Abandoned)
+			report(retry.Inconclusive)
 			grant.Done(dispatch.Result{})
 			return dispatch.Grant{}, nil, endedFailure(ctx)
 		}
--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -345,7 +345,7 @@
 type StoreUnavailable struct {
 	Operation     string
 	EffectUnknown bool
-	Back          bool
+	Recovered     bool
 }
 
 // Error implements error.
--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -27,10 +27,10 @@
 	Deadline() time.Time
 }
 
-// Context returns a context whose HTTP requests are written only while the guard's
+// WithGuard returns a context whose HTTP requests are written only while the guard's
 // lease is held. Use it with a client of NewClient: on a reused connection the write
 // deadline would outlast the request.
-func Context(ctx context.Context, guard Guard) context.Context {
+func WithGuard(ctx context.Context, guard Guard) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) { limitWrites(info.Conn, guard) },
 	})
@@ -55,7 +55,7 @@
 	return &http.Client{
 		Timeout: callTimeout,
 		Transport: &http.Transport{
-			DialContext:       dial.Resetting(dialTimeout),
+			DialContext:       dial.ResetOnClose(dialTimeout),
 			DisableKeepAlives: true,
 		},
 	}
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -56,7 +56,7 @@
 func TestOrderIsSentWhileTheLeaseIsHeld(t *testing.T) {
 	target, count := startCountingServer(t)
 	guard := &fakeGuard{deadline: time.Now().Add(time.Hour)}
-	if err := sendOrder(t, Context(t.Context(), guard), target); err != nil {
+	if err := sendOrder(t, WithGuard(t.Context(), guard), target); err != nil {
 		t.Fatalf("send: %v", err)
 	}
 	if count.Load() != 1 {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	guard.lost.Store(true)
-	if err := sendOrder(t, Context(t.Context(), guard), target); err == nil {
+	if err := sendOrder(t, WithGuard(t.Context(), guard), target); err == nil {
 		t.Error("the order was sent without the lease")
 	}
 	if count.Load() != 0 {
@@ -86,14 +86,14 @@
 // request. If its kernel still had the bytes, the receiver would get the order after
 // the failure: later than the orders of the next holder, and with a lower epoch.
 func TestCanceledOrderIsNotDeliveredLater(t *testing.T) {
-	peer := dialtest.NewSilent(t)
+	peer := dialtest.NewUnresponsivePeer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-peer.Received
 		cancel()
 	}()
 	guard := &fakeGuard{deadline: time.Now().Add(time.Hour)}
-	if err := sendOrder(t, Context(ctx, guard), "http://"+peer.Address); err == nil {
+	if err := sendOrder(t, WithGuard(ctx, guard), "http://"+peer.Address); err == nil {
 		t.Fatal("the order was answered")
 	}
 	if err := <-peer.Ended; !errors.Is(err, syscall.ECONNRESET) {
@@ -107,7 +107,7 @@
 func TestOrderIsNotWrittenAfterTheTerm(t *testing.T) {
 	target, count := startCountingServer(t)
 	guard := &fakeGuard{deadline: time.Now().Add(-time.Millisecond)}
-	if err := sendOrder(t, Context(t.Context(), guard), target); err == nil {
+	if err := sendOrder(t, WithGuard(t.Context(), guard), target); err == nil {
 		t.Error("the order was written after the end of the term")
 	}
 	if count.Load() != 0 {
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -26,20 +26,20 @@
 
 // Reader implements operator.Leases, operator.Steps and operator.Usage.
 type Reader struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	window time.Duration
 }
 
 // NewReader returns a reader of the tables. window is the length of a usage window
 // and must be a multiple of a second.
-func NewReader(tables platform.Tables, window time.Duration) *Reader {
+func NewReader(tables platformapi.Tables, window time.Duration) *Reader {
 	return &Reader{tables: tables, window: window}
 }
 
 // Leases implements operator.Leases.
 func (r *Reader) Leases(ctx context.Context) ([]operator.Lease, error) {
 	leases := []operator.Lease{}
-	err := r.forEachRow(ctx, leasePrefix, "", func(row platform.Row) error {
+	err := r.forEachRow(ctx, leasePrefix, "", func(row platformapi.Row) error {
 		var lease operator.Lease
 		if err := row.Decode(&lease); err != nil {
 			return err
@@ -58,7 +58,7 @@
 		prefix += url.PathEscape(account) + "/"
 	}
 	steps := []operator.Step{}
-	err := r.forEachRow(ctx, prefix, "", func(row platform.Row) error {
+	err := r.forEachRow(ctx, prefix, "", func(row platformapi.Row) error {
 		var progress sample.Progress
 		if err := row.Decode(&progress); err != nil {
 			return err
@@ -88,12 +88,12 @@
 }
 
 // Reports implements operator.Usage.
-func (r *Reader) Reports(ctx context.Context, window int64) ([]platform.UsageReport, error) {
+func (r *Reader) Reports(ctx context.Context, window int64) ([]platformapi.UsageReport, error) {
 	return r.reports(ctx, r.windowKey(window)+"/", "")
 }
 
 // ReportsSince implements operator.Usage.
-func (r *Reader) ReportsSince(ctx context.Context, from int64) ([]platform.UsageReport, error) {
+func (r *Reader) ReportsSince(ctx context.Context, from int64) ([]platformapi.UsageReport, error) {
 	return r.reports(ctx, usage.ReportPrefix, r.windowKey(from))
 }
 
@@ -103,14 +103,14 @@
 	return fmt.Sprintf("%s%012d", usage.ReportPrefix, seconds/int64(r.window/time.Second))
 }
 
-func (r *Reader) reports(ctx context.Context, prefix, after string) ([]platform.UsageReport, error) {
-	reports := []platform.UsageReport{}
-	err := r.forEachRow(ctx, prefix, after, func(row platform.Row) error {
+func (r *Reader) reports(ctx context.Context, prefix, after string) ([]platformapi.UsageReport, error) {
+	reports := []platformapi.UsageReport{}
+	err := r.forEachRow(ctx, prefix, after, func(row platformapi.Row) error {
 		var report usage.Report
 		if err := row.Decode(&report); err != nil {
 			return err
 		}
-		reports = append(reports, platform.UsageReport{
+		reports = append(reports, platformapi.UsageReport{
 			Window:             int64(report.Window) * int64(r.window/time.Second),
 			Account:            string(report.Account),
 			Requests:           report.Figures.Requests,
@@ -126,7 +126,7 @@
 
 // forEachRow calls visit for every row whose key starts with prefix and is greater
 // than after, in key order. It stops at the first error and returns it.
-func (r *Reader) forEachRow(ctx context.Context, prefix, after string, visit func(platform.Row) error) error {
+func (r *Reader) forEachRow(ctx context.Context, prefix, after string, visit func(platformapi.Row) error) error {
 	for {
 		rows, err := r.tables.Scan(ctx, prefix, after, scanPageSize)
 		if err != nil {
--- a/internal/fleetview/fleetview_test.go
+++ b/internal/fleetview/fleetview_test.go
@@ -14,21 +14,21 @@
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/lease"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/sample"
 )
 
-func putRow(t *testing.T, tables platform.Tables, key string, value any) {
+func putRow(t *testing.T, tables platformapi.Tables, key string, value any) {
 	t.Helper()
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	err = tables.Commit(t.Context(), platform.Txn{
+	err = tables.Commit(t.Context(), platformapi.Txn{
 		Nonce:         key,
-		Preconditions: []platform.Precondition{{Key: key}},
-		Writes:        []platform.Write{{Key: key, Value: encoded}},
+		Preconditions: []platformapi.Precondition{{Key: key}},
+		Writes:        []platformapi.Write{{Key: key, Value: encoded}},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 // that fleetview does not follow: operators would see leases without holders.
 func TestLeasesReadsRowsOfLeaseManager(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		events := event.NewRecorder("vm-1", 64, event.NewClock(time.Now), zap.NewNop())
 		manager := lease.NewManager(tables, "vm-1", time.Second, events)
 		err := manager.Campaign(t.Context(), "domain/a", func(ctx context.Context, g lease.Guard) (bool, error) {
@@ -59,7 +59,7 @@
 }
 
 func TestStepsSelectsAccount(t *testing.T) {
-	tables := memory.NewTables()
+	tables := memtables.NewTables()
 	progress := sample.NewProgress(sample.Definition{Model: "berry-1", Groups: []sample.Group{{ID: "g", Samples: 3}}})
 	putRow(t, tables, "progress/strathallan/round%2F1", progress)
 	putRow(t, tables, "progress/strathallan2/other", progress)
@@ -78,7 +78,7 @@
 // Guards against a scan that ends after the first page: steps would be missing from
 // the list of a busy fleet without an error.
 func TestStepsReadsAllPages(t *testing.T) {
-	tables := memory.NewTables()
+	tables := memtables.NewTables()
 	const steps = 2*scanPageSize + 1
 	for i := range steps {
 		putRow(t, tables, "progress/a/"+string(rune('a'+i%26))+time.Duration(i).String(), sample.Progress{})
@@ -92,7 +92,7 @@
 // Guards against a list that leaves out a row that can't be decoded, without an
 // error.
 func TestStepsFailsOnMalformedRow(t *testing.T) {
-	tables := memory.NewTables()
+	tables := memtables.NewTables()
 	putRow(t, tables, "progress/a/s", "text")
 	if _, err := NewReader(tables, time.Minute).Steps(t.Context(), ""); fault.CodeOf(err) != fault.CodeInternal || err == nil {
 		t.Errorf("Steps of a malformed row: %v, want an internal error", err)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,6 +1,6 @@
 // Package forward sends requests of callers to the upstreams of a route. It decides
 // how many attempts a request gets, which upstreams they go to, and which answer or
-// error the caller gets. All I/O goes through target.Caller, so the package is tested
+// error the caller gets. All I/O goes through target.Transport, so the package is tested
 // without a network.
 package forward
 
@@ -60,9 +60,9 @@
 	Body    []byte
 	// Residency limits the failure domains to which the request may be sent.
 	Residency route.Residency
-	// Resume is the ID of the last event that the caller received, if it resumes a
+	// LastEventID is the ID of the last event that the caller received, if it resumes a
 	// stream.
-	Resume string
+	LastEventID string
 }
 
 // Answer is an upstream's answer for the caller. Body holds its first bytes. Rest, if
@@ -80,31 +80,31 @@
 
 // Meter counts the runs of requests at upstreams for each client account.
 type Meter interface {
-	// Began counts a run of a request of the account. at is the start of the run, which
+	// CountRun counts a run of a request of the account. at is the start of the run, which
 	// determines its usage window.
-	Began(account string, at time.Time)
-	// Refused subtracts a run that Began counted with the same at, because the upstream
+	CountRun(account string, at time.Time)
+	// UncountRun subtracts a run that Began counted with the same at, because the upstream
 	// did not run the request.
-	Refused(account string, at time.Time)
+	UncountRun(account string, at time.Time)
 }
 
 // Unmetered is a Meter that counts nothing. It is used for requests that do not come
 // from a caller and are not part of any usage.
 type Unmetered struct{}
 
-// Began implements Meter.
-func (Unmetered) Began(string, time.Time) {}
+// CountRun implements Meter.
+func (Unmetered) CountRun(string, time.Time) {}
 
-// Refused implements Meter.
-func (Unmetered) Refused(string, time.Time) {}
+// UncountRun implements Meter.
+func (Unmetered) UncountRun(string, time.Time) {}
 
 // Forwarder forwards requests to upstreams. It is safe for concurrent use.
 type Forwarder struct {
-	Roster *target.Roster
-	Caller target.Caller
-	Meter  Meter
-	Events *event.Recorder
-	Budget *retry.Budget
+	Roster      *target.Roster
+	Transport   target.Transport
+	Meter       Meter
+	Events      *event.Recorder
+	RetryBudget *retry.Budget
 	// Domain is the failure domain of this VM.
 	Domain string
 }
@@ -201,7 +201,7 @@
 // so, it has taken a retry from the budget.
 func (r *inflightRequest) allowHedge() bool {
 	return r.call.Route.Kind == route.Idempotent && r.pendingCount == 1 &&
-		r.ranAttempts+r.pendingCount < r.call.Route.Attempts && r.Budget.Take()
+		r.ranAttempts+r.pendingCount < r.call.Route.Attempts && r.RetryBudget.Take()
 }
 
 // allowRetry reports whether the request may be sent again after a failed attempt. An
@@ -215,13 +215,13 @@
 	if !r.call.Route.Repeatable() || r.ranAttempts+r.pendingCount >= r.call.Route.Attempts {
 		return false
 	}
-	return r.Budget.Take()
+	return r.RetryBudget.Take()
 }
 
 // startAttempt starts an attempt at the next upstream. It returns false if there is none
 // left.
 func (r *inflightRequest) startAttempt(ctx context.Context) bool {
-	entry := r.Roster.Reserve(target.Want{Service: r.service, Domain: r.Domain, Residency: r.call.Residency, Skip: r.tried})
+	entry := r.Roster.Reserve(target.Criteria{Service: r.service, Domain: r.Domain, Residency: r.call.Residency, Skip: r.tried})
 	if entry == nil {
 		return false
 	}
@@ -243,11 +243,11 @@
 	started := time.Now()
 	// The run is counted when the request is sent, because its usage window may be
 	// closed before a slow upstream answers.
-	r.Meter.Began(r.call.Account, started)
+	r.Meter.CountRun(r.call.Account, started)
 	response, err := r.send(ctx, entry, r.request(ctx))
 	if err != nil {
 		if fault.ExecutionOf(err) == fault.NotRun {
-			r.Meter.Refused(r.call.Account, started)
+			r.Meter.UncountRun(r.call.Account, started)
 		}
 		return r.failedAttempt(entry, err, fault.ExecutionOf(err))
 	}
@@ -255,8 +255,8 @@
 	if err != nil {
 		return r.failedAttempt(entry, err, fault.Ran)
 	}
-	entry.NoteSpeed(time.Since(started), time.Now())
-	entry.RunsOn(started)
+	entry.NoteUnitTime(time.Since(started), time.Now())
+	entry.NoteRunningSince(started)
 	if answer.Status >= http.StatusInternalServerError && r.call.Route.Repeatable() {
 		closeRest(answer)
 		return attemptResult{entry: entry, answer: nil, err: errors.WithStack(&serverError{answer: answer}), execution: fault.Ran}
@@ -268,10 +268,10 @@
 // run the request. An upstream that does not answer becomes uncertain, since it may be
 // restarting.
 func (f *Forwarder) send(ctx context.Context, entry *target.Entry, request *target.Request) (*target.Response, error) {
-	response, err := f.Caller.Call(ctx, entry, request)
+	response, err := f.Transport.Call(ctx, entry, request)
 	if err != nil {
 		if ctx.Err() == nil {
-			entry.NoAnswer()
+			entry.NoteUnanswered()
 		}
 		return nil, err
 	}
@@ -297,10 +297,10 @@
 		Header:      r.call.Header,
 		Body:        r.call.Body,
 		Account:     r.call.Account,
-		ResumeAfter: r.call.Resume,
+		LastEventID: r.call.LastEventID,
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		request.Left = max(time.Until(deadline)-returnMargin, time.Millisecond)
+		request.Remaining = max(time.Until(deadline)-returnMargin, time.Millisecond)
 	}
 	return request
 }
@@ -335,13 +335,13 @@
 	if a.execution != fault.NotRun {
 		r.ranAttempts++
 	}
-	if answer, ok := AnswerOf(a.err); ok && answer.Status == http.StatusInternalServerError {
+	if answer, ok := ServerErrorAnswer(a.err); ok && answer.Status == http.StatusInternalServerError {
 		r.failedAnswers++
 	}
 	detail := string(fault.CodeOf(a.err))
 	var backoff time.Duration
 	if !fault.Is[*fault.CallerGone](a.err) {
-		backoff = a.entry.Failed(time.Now())
+		backoff = a.entry.NoteFailure(time.Now())
 	}
 	r.Events.Emit(event.AttemptFailed, event.Subject{
 		Request: r.call.ID, Account: r.call.Account, Upstream: a.entry.Info().ID, Attempt: len(r.tried),
@@ -354,12 +354,12 @@
 // without failing would otherwise keep its low average and be the first choice for every
 // new request.
 func (r *inflightRequest) recordSuccess(winner *target.Entry) {
-	winner.Succeeded()
-	r.Budget.Success()
+	winner.NoteSuccess()
+	r.RetryBudget.NoteSuccess()
 	now := time.Now()
 	for entry, other := range r.pending {
 		if entry != winner {
-			entry.NoteSpeed(now.Sub(other.startedAt), now)
+			entry.NoteUnitTime(now.Sub(other.startedAt), now)
 			other.cancel()
 		}
 	}
@@ -409,9 +409,9 @@
 // Code implements fault.Failure.
 func (*serverError) Code() fault.Code { return fault.CodeUpstreamFailed }
 
-// AnswerOf returns the answer with a status of 500 or above that caused err, if there is
+// ServerErrorAnswer returns the answer with a status of 500 or above that caused err, if there is
 // one.
-func AnswerOf(err error) (*Answer, bool) {
+func ServerErrorAnswer(err error) (*Answer, bool) {
 	var s *serverError
 	if errors.As(err, &s) {
 		return s.answer, true
@@ -439,9 +439,9 @@
 	return &callError{cause: err, answers: r.failedAnswers}
 }
 
-// FailedAnswers returns the number of upstreams that answered a failed call with status
+// FailedAnswerCount returns the number of upstreams that answered a failed call with status
 // 500: the request itself failed, as opposed to an upstream that could not run it.
-func FailedAnswers(err error) int {
+func FailedAnswerCount(err error) int {
 	var e *callError
 	if errors.As(err, &e) {
 		return e.answers
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -31,7 +31,7 @@
 	execution fault.Execution
 }
 
-// fakeUpstreams is a fake target.Caller. byID gives the answer of each upstream;
+// fakeUpstreams is a fake target.Transport. byID gives the answer of each upstream;
 // fallback is the answer of the others.
 type fakeUpstreams struct {
 	mu sync.Mutex
@@ -47,7 +47,7 @@
 	id := e.Info().ID
 	u.mu.Lock()
 	u.attempted = append(u.attempted, id)
-	u.resumeAfter = append(u.resumeAfter, request.ResumeAfter)
+	u.resumeAfter = append(u.resumeAfter, request.LastEventID)
 	a, ok := u.byID[id]
 	u.mu.Unlock()
 	if !ok {
@@ -83,13 +83,13 @@
 	runs int
 }
 
-func (m *fakeMeter) Began(string, time.Time) {
+func (m *fakeMeter) CountRun(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs++
 }
 
-func (m *fakeMeter) Refused(string, time.Time) {
+func (m *fakeMeter) UncountRun(string, time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.runs--
@@ -103,7 +103,7 @@
 		list = append(list, target.Instance{ID: id, Service: "desk", Address: id, FailureDomain: "x", Slots: 4})
 	}
 	roster.Replace(list)
-	return &Forwarder{Roster: roster, Caller: u, Meter: &fakeMeter{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}
+	return &Forwarder{Roster: roster, Transport: u, Meter: &fakeMeter{}, Events: events, RetryBudget: retry.NewBudget(), Domain: "x"}
 }
 
 // An upstream accepts requests on open connections but never answers. Hedges still get
@@ -307,7 +307,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &fakeUpstreams{fallback: fakeAnswer{status: 500}}
 		_, err := do(t, u, newCall(route.Idempotent, 2))
-		got, found := AnswerOf(err)
+		got, found := ServerErrorAnswer(err)
 		if !found || got.Status != 500 || !strings.HasPrefix(string(got.Body), "answer of") {
 			t.Errorf("Do = %v", err)
 		}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -32,9 +32,9 @@
 // resumed at another upstream after its last event. err is nil if the stream is complete.
 // started reports whether sink.Start was called, even if err is not nil.
 func (f *Forwarder) Stream(ctx context.Context, call Call, sink Sink) (started bool, err error) {
-	s := &inflightStream{Forwarder: f, call: call, sink: sink, service: call.Route.Service(call.ID), lastEventID: call.Resume, execution: fault.NotRun}
+	s := &inflightStream{Forwarder: f, call: call, sink: sink, service: call.Route.Service(call.ID), lastEventID: call.LastEventID, execution: fault.NotRun}
 	for {
-		entry := f.Roster.Reserve(target.Want{Service: s.service, Domain: f.Domain, Residency: call.Residency, Skip: s.tried})
+		entry := f.Roster.Reserve(target.Criteria{Service: s.service, Domain: f.Domain, Residency: call.Residency, Skip: s.tried})
 		if entry == nil {
 			return s.started, s.exhaustedError()
 		}
@@ -73,17 +73,17 @@
 	s.Events.Emit(event.RequestDispatched, event.Subject{Request: s.call.ID, Account: s.call.Account, Upstream: entry.Info().ID, Attempt: len(s.tried)})
 	r := &inflightRequest{Forwarder: s.Forwarder, call: s.call}
 	request := r.request(ctx)
-	request.ResumeAfter = s.lastEventID
+	request.LastEventID = s.lastEventID
 	response, err := s.send(ctx, entry, request)
 	if err != nil {
-		entry.Failed(time.Now())
+		entry.NoteFailure(time.Now())
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	err = s.copyEvents(ctx, cancel, response)
 	if err == nil {
-		entry.Succeeded()
-		s.Budget.Success()
+		entry.NoteSuccess()
+		s.RetryBudget.NoteSuccess()
 		return nil
 	}
 	return fault.WithExecution(err, fault.Ran)
@@ -112,7 +112,7 @@
 			return errors.WithStack(&fault.AnswerTruncated{})
 		}
 		if first {
-			s.Meter.Began(s.call.Account, time.Now())
+			s.Meter.CountRun(s.call.Account, time.Now())
 		}
 		if e.HasID && !s.isNext(e.ID) {
 			return errors.WithStack(&fault.AnswerTruncated{})
@@ -158,7 +158,7 @@
 		return s.notRunAttempts <= maxNotRunRetries
 	}
 	s.ranAttempts++
-	if !s.call.Route.Resumable || s.ranAttempts >= s.call.Route.Attempts || !s.Budget.Take() {
+	if !s.call.Route.Resumable || s.ranAttempts >= s.call.Route.Attempts || !s.RetryBudget.Take() {
 		return false
 	}
 	if s.started {
--- a/internal/generate/attempts_test.go
+++ b/internal/generate/attempts_test.go
@@ -22,7 +22,7 @@
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/retry"
 )
 
@@ -35,7 +35,7 @@
 
 // faultyPool is a pool of engines of which some fail every attempt.
 type faultyPool struct {
-	upstreams []platform.Upstream
+	upstreams []platformapi.Upstream
 	attempts  atomic.Int64
 	next      atomic.Int64
 	// anonymous gives every grant a new upstream ID, so that no circuit opens.
@@ -53,7 +53,7 @@
 			serveOneToken(w, r)
 		}))
 		t.Cleanup(server.Close)
-		p.upstreams = append(p.upstreams, platform.Upstream{
+		p.upstreams = append(p.upstreams, platformapi.Upstream{
 			ID: fmt.Sprintf("e%d", n), Address: strings.TrimPrefix(server.URL, "http://"),
 		})
 	}
--- a/internal/generate/local.go
+++ b/internal/generate/local.go
@@ -13,7 +13,7 @@
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/retry"
 )
 
@@ -53,7 +53,7 @@
 		sink:      sink,
 		result:    Result{ID: request.ID},
 		execution: fault.NotRun,
-		backoff:   retry.NewDelays(),
+		backoff:   retry.NewBackoff(),
 	}
 	return g.run(ctx)
 }
@@ -71,7 +71,7 @@
 	emptyAttempts int
 	// execution reports whether any attempt so far ran or may have run.
 	execution fault.Execution
-	backoff   *retry.Delays
+	backoff   *retry.Backoff
 }
 
 // run makes attempts until one completes the answer or no other attempt is
@@ -80,7 +80,7 @@
 	for {
 		err := g.attempt(ctx)
 		if err == nil {
-			g.local.retries.Success(g.pool().String())
+			g.local.retries.NoteSuccess(g.pool().String())
 			return g.result, nil
 		}
 		g.execution = g.execution.Or(fault.ExecutionOf(err))
@@ -146,7 +146,7 @@
 	// ever.
 	defer func() {
 		if !reported {
-			report(retry.Abandoned)
+			report(retry.Inconclusive)
 			grant.Done(dispatch.Result{})
 		}
 	}()
@@ -174,7 +174,7 @@
 	case failed:
 		return retry.Failed
 	default:
-		return retry.Abandoned
+		return retry.Inconclusive
 	}
 }
 
@@ -184,7 +184,7 @@
 	var refused []string
 	for {
 		work := g.work()
-		work.Exclude = slices.Concat(g.exclude, g.local.retries.Open(), refused)
+		work.Exclude = slices.Concat(g.exclude, g.local.retries.OpenUpstreams(), refused)
 		grant, err := g.local.dispatcher.Acquire(ctx, work)
 		if err != nil {
 			return dispatch.Grant{}, nil, err
@@ -217,7 +217,7 @@
 }
 
 func (g *generation) pool() dispatch.Pool {
-	return dispatch.Pool{Kind: platform.KindEngine, Model: g.request.Model, Adapter: g.request.Adapter}
+	return dispatch.Pool{Kind: platformapi.KindEngine, Model: g.request.Model, Adapter: g.request.Adapter}
 }
 
 func (g *generation) work() dispatch.Work {
--- a/internal/generate/local_test.go
+++ b/internal/generate/local_test.go
@@ -15,12 +15,12 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/engine"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // fakeDispatcher always grants the same upstream and counts the grants held.
 type fakeDispatcher struct {
-	upstream platform.Upstream
+	upstream platformapi.Upstream
 	held     int
 }
 
@@ -36,7 +36,7 @@
 func TestPanicReleasesGrant(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(serveOneToken))
 	defer server.Close()
-	dispatcher := &fakeDispatcher{upstream: platform.Upstream{ID: "e1", Address: strings.TrimPrefix(server.URL, "http://")}}
+	dispatcher := &fakeDispatcher{upstream: platformapi.Upstream{ID: "e1", Address: strings.TrimPrefix(server.URL, "http://")}}
 	view := contract.NewView()
 	account := contract.DefaultContract("strathallan")
 	view.Advance(&contract.Snapshot{Revision: 1, Contracts: map[contract.Account]contract.Contract{account.Account: account}})
--- a/internal/lease/domain.go
+++ b/internal/lease/domain.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// InDomain returns the name of the lease for a duty in one failure domain.
-func InDomain(duty, domain string) string { return duty + "/" + domain }
+// NameInDomain returns the name of the lease for a duty in one failure domain.
+func NameInDomain(duty, domain string) string { return duty + "/" + domain }
 
 // DomainOf returns the failure domain in the name of a lease, or "" when the name has
 // none.
--- a/internal/lease/guard.go
+++ b/internal/lease/guard.go
@@ -20,20 +20,20 @@
 // Check implements Guard.
 func (h *Hold) Check() error { return h.CheckAt(time.Now()) }
 
-// SettleTime returns how long a new holder waits before its first order to receivers
+// OrderGracePeriod returns how long a new holder waits before its first order to receivers
 // that ignore fencing tokens. An earlier holder may have sent an order just before its
 // term ended; orderTimeout is the longest time after which that order can still take
 // effect. A margin is added for clocks that run at different rates, because after a
 // release the new holder has not waited for the margin of a term.
-func SettleTime(orderTimeout time.Duration) time.Duration {
+func OrderGracePeriod(orderTimeout time.Duration) time.Duration {
 	return orderTimeout + orderTimeout/marginDivisor
 }
 
-// Settle waits for the duration that SettleTime returns. It then fails with
+// WaitOrderGracePeriod waits for the duration that OrderGracePeriod returns. It then fails with
 // *fault.LeaseLost if the lease was lost in the meantime. It fails with the cause of ctx
 // when ctx ends first.
-func Settle(ctx context.Context, g Guard, orderTimeout time.Duration) error {
-	timer := time.NewTimer(SettleTime(orderTimeout))
+func WaitOrderGracePeriod(ctx context.Context, g Guard, orderTimeout time.Duration) error {
+	timer := time.NewTimer(OrderGracePeriod(orderTimeout))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -80,21 +80,21 @@
 	c.unchangedSince = now
 }
 
-// Silence returns how long the row has stayed at the same version.
-func (c *Contender) Silence(now time.Time) time.Duration {
+// UnchangedFor returns how long the row has stayed at the same version.
+func (c *Contender) UnchangedFor(now time.Time) time.Duration {
 	if !c.observed {
 		return 0
 	}
 	return now.Sub(c.unchangedSince)
 }
 
-// Wait returns how much longer the row must stay unchanged before the contender may
+// RemainingWait returns how much longer the row must stay unchanged before the contender may
 // take the lease; 0 or less means that it may take it now. extra is added to the wait,
 // also for a free lease: candidates pass 0, standby VMs (see maxCandidates) more.
 //
 // A record with the contender's own identity was written by a commit whose reply was
 // lost. No order was sent under that record, so there is no holder to wait for.
-func (c *Contender) Wait(record Record, now time.Time, extra time.Duration) time.Duration {
+func (c *Contender) RemainingWait(record Record, now time.Time, extra time.Duration) time.Duration {
 	if record.Holder == c.identity || c.isHeldByPredecessor(record) {
 		return 0
 	}
@@ -102,7 +102,7 @@
 	if record.Holder != "" {
 		required += c.timing.Term + c.timing.Margin
 	}
-	return required - c.Silence(now)
+	return required - c.UnchangedFor(now)
 }
 
 // isHeldByPredecessor reports whether the holder is an earlier process of this VM. That
@@ -112,9 +112,9 @@
 	return c.predecessorPrefix != "" && strings.HasPrefix(record.Holder, c.predecessorPrefix)
 }
 
-// Take returns the record that makes the contender the holder. The epoch rises even
+// AcquireRecord returns the record that makes the contender the holder. The epoch rises even
 // over the contender's own record, so that no epoch is used twice.
-func (c *Contender) Take(record Record) Record {
+func (c *Contender) AcquireRecord(record Record) Record {
 	return Record{Holder: c.identity, Epoch: record.Epoch + 1}
 }
 
@@ -167,9 +167,9 @@
 	return nil
 }
 
-// Renewal returns the record of the next renewal and the version of the row that it
+// RenewalRecord returns the record of the next renewal and the version of the row that it
 // replaces.
-func (h *Hold) Renewal() (next Record, version uint64) {
+func (h *Hold) RenewalRecord() (next Record, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	next = h.record
@@ -177,8 +177,8 @@
 	return next, h.version
 }
 
-// Renewed records a committed renewal that was sent at sentAt.
-func (h *Hold) Renewed(record Record, version uint64, sentAt time.Time) {
+// NoteRenewal records a committed renewal that was sent at sentAt.
+func (h *Hold) NoteRenewal(record Record, version uint64, sentAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.record = record
@@ -188,11 +188,11 @@
 	}
 }
 
-// Seen records the row as it was read after a renewal failed, and reports whether this
+// Reconcile records the row as it was read after a renewal failed, and reports whether this
 // hold still has the lease. A row of the same holder and epoch shows a renewal whose
 // reply was lost. That renewal does not extend the term, because it is not known which
 // attempt wrote the row.
-func (h *Hold) Seen(record Record, version uint64) bool {
+func (h *Hold) Reconcile(record Record, version uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ended || record.Holder != h.record.Holder || record.Epoch != h.record.Epoch {
@@ -211,9 +211,9 @@
 	h.ended = true
 }
 
-// Release returns the record that frees the lease and the version of the row that it
+// ReleaseRecord returns the record that frees the lease and the version of the row that it
 // replaces. The epoch stays, so that the next holder's epoch is larger.
-func (h *Hold) Release() (next Record, version uint64) {
+func (h *Hold) ReleaseRecord() (next Record, version uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Record{Epoch: h.record.Epoch}, h.version
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -15,9 +15,9 @@
 func TestTermCountsFromBeforeTheRenewalWasSent(t *testing.T) {
 	start := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, start)
-	next, version := hold.Renewal()
+	next, version := hold.RenewalRecord()
 	sentAt := start.Add(3 * time.Second)
-	hold.Renewed(next, version+1, sentAt)
+	hold.NoteRenewal(next, version+1, sentAt)
 	if err := hold.CheckAt(sentAt.Add(testTiming.Term - 1)); err != nil {
 		t.Errorf("just before the end of the term: %v", err)
 	}
@@ -31,8 +31,8 @@
 func TestHoldKeepsTheNewestTerm(t *testing.T) {
 	start := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, start)
-	hold.Renewed(Record{Holder: "x", Epoch: 1, Renewals: 2}, 3, start.Add(4*time.Second))
-	hold.Renewed(Record{Holder: "x", Epoch: 1, Renewals: 1}, 2, start.Add(2*time.Second))
+	hold.NoteRenewal(Record{Holder: "x", Epoch: 1, Renewals: 2}, 3, start.Add(4*time.Second))
+	hold.NoteRenewal(Record{Holder: "x", Epoch: 1, Renewals: 1}, 2, start.Add(2*time.Second))
 	if got, want := hold.Deadline(), start.Add(14*time.Second); !got.Equal(want) {
 		t.Errorf("deadline %v, want %v", got.Sub(start), want.Sub(start))
 	}
@@ -48,13 +48,13 @@
 	renewed := start.Add(9 * time.Second)
 	c.Observe(6, renewed)
 	full := testTiming.Term + testTiming.Margin
-	if wait := c.Wait(held, renewed.Add(full-1), 0); wait != 1 {
+	if wait := c.RemainingWait(held, renewed.Add(full-1), 0); wait != 1 {
 		t.Errorf("wait just before the end is %v, want 1ns", wait)
 	}
-	if wait := c.Wait(held, renewed.Add(full), 0); wait > 0 {
+	if wait := c.RemainingWait(held, renewed.Add(full), 0); wait > 0 {
 		t.Errorf("wait at the end is %v, want none", wait)
 	}
-	if got := c.Take(held); got.Epoch != 8 || got.Holder != "y" {
+	if got := c.AcquireRecord(held); got.Epoch != 8 || got.Holder != "y" {
 		t.Errorf("Take = %+v", got)
 	}
 }
@@ -63,11 +63,11 @@
 // would take an order of the old holder for one of the new holder.
 func TestEpochRisesAfterARelease(t *testing.T) {
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 7}, 9, time.Now())
-	free, version := hold.Release()
+	free, version := hold.ReleaseRecord()
 	if free.Holder != "" || free.Epoch != 7 || version != 9 {
 		t.Fatalf("Release = %+v at %d", free, version)
 	}
-	if got := NewContender("y", testTiming).Take(free).Epoch; got != 8 {
+	if got := NewContender("y", testTiming).AcquireRecord(free).Epoch; got != 8 {
 		t.Errorf("next epoch %d, want 8", got)
 	}
 }
@@ -77,13 +77,13 @@
 func TestHoldEndsWhenTheRowShowsAnotherEpoch(t *testing.T) {
 	now := time.Now()
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 1}, 1, now)
-	if !hold.Seen(Record{Holder: "x", Epoch: 1, Renewals: 1}, 2) {
+	if !hold.Reconcile(Record{Holder: "x", Epoch: 1, Renewals: 1}, 2) {
 		t.Fatal("a renewal whose reply was lost ended the hold")
 	}
-	if hold.Seen(Record{Holder: "y", Epoch: 2}, 3) || hold.CheckAt(now) == nil {
+	if hold.Reconcile(Record{Holder: "y", Epoch: 2}, 3) || hold.CheckAt(now) == nil {
 		t.Error("the hold is still valid after another VM took the lease")
 	}
-	if hold.Seen(Record{Holder: "x", Epoch: 1}, 2) {
+	if hold.Reconcile(Record{Holder: "x", Epoch: 1}, 2) {
 		t.Error("an old row made the hold valid again")
 	}
 }
@@ -126,10 +126,10 @@
 		contender := NewContender("me/new", timing)
 		contender.predecessorPrefix = c.predecessorPrefix
 		contender.Observe(4, now)
-		if got := contender.Wait(record, now, 0) > 0; got != c.wait {
+		if got := contender.RemainingWait(record, now, 0) > 0; got != c.wait {
 			t.Errorf("%s waits: %v", c.name, got)
 		}
-		if next := contender.Take(record); next.Epoch != 8 {
+		if next := contender.AcquireRecord(record); next.Epoch != 8 {
 			t.Errorf("%s: epoch %d", c.name, next.Epoch)
 		}
 	}
--- a/internal/lease/machine_test.go
+++ b/internal/lease/machine_test.go
@@ -63,12 +63,12 @@
 	record, version := m.row, m.version
 	m.now = m.now.Add(delay)
 	n.contender.Observe(version, m.now)
-	if n.contender.Wait(record, m.now, 0) > 0 {
+	if n.contender.RemainingWait(record, m.now, 0) > 0 {
 		return
 	}
 	sentAt := m.now
 	m.now = m.now.Add(delay)
-	next := n.contender.Take(record)
+	next := n.contender.AcquireRecord(record)
 	acquired := m.compareAndSwap(version, next)
 	m.now = m.now.Add(delay)
 	if acquired && !lost {
@@ -77,16 +77,16 @@
 }
 
 func (m *machine) renew(n *node, lost bool, delay time.Duration) {
-	next, version := n.hold.Renewal()
+	next, version := n.hold.RenewalRecord()
 	sentAt := m.now
 	m.now = m.now.Add(delay)
 	renewed := m.compareAndSwap(version, next)
 	m.now = m.now.Add(delay)
 	if renewed && !lost {
-		n.hold.Renewed(next, version+1, sentAt)
+		n.hold.NoteRenewal(next, version+1, sentAt)
 		return
 	}
-	if !n.hold.Seen(m.row, m.version) {
+	if !n.hold.Reconcile(m.row, m.version) {
 		n.hold = nil
 	}
 }
@@ -108,7 +108,7 @@
 }
 
 func (m *machine) release(n *node) {
-	next, version := n.hold.Release()
+	next, version := n.hold.ReleaseRecord()
 	n.hold.End()
 	n.hold = nil
 	m.compareAndSwap(version, next)
--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -10,7 +10,7 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/wait"
 )
 
@@ -32,7 +32,7 @@
 
 // Manager campaigns for leases on behalf of one VM. It is safe for concurrent use.
 type Manager struct {
-	tables platform.Tables
+	tables platformapi.Tables
 	vm     string
 	timing Timing
 	events *event.Recorder
@@ -66,7 +66,7 @@
 }
 
 // NewManager returns a manager for the VM named vm. All VMs must use the same term.
-func NewManager(tables platform.Tables, vm string, term time.Duration, events *event.Recorder, options ...Option) *Manager {
+func NewManager(tables platformapi.Tables, vm string, term time.Duration, events *event.Recorder, options ...Option) *Manager {
 	timing := NewTiming(term)
 	m := &Manager{
 		tables: timedTables{tables: tables, timeout: timing.Term / callTimeoutDivisor},
@@ -92,7 +92,7 @@
 	c := &campaign{
 		manager:  m,
 		name:     name,
-		identity: m.vm + "/" + platform.NewNonce(),
+		identity: m.vm + "/" + platformapi.NewNonce(),
 	}
 	c.contender = NewContender(c.identity, m.timing)
 	if m.soleProcess {
@@ -162,10 +162,10 @@
 	}
 	now := time.Now()
 	c.contender.Observe(version, now)
-	if remaining := c.contender.Wait(record, now, c.standbyDelay()); remaining > 0 {
+	if remaining := c.contender.RemainingWait(record, now, c.standbyDelay()); remaining > 0 {
 		return nil, min(remaining, c.pollInterval())
 	}
-	next := c.contender.Take(record)
+	next := c.contender.AcquireRecord(record)
 	sentAt := time.Now()
 	if err := c.write(ctx, next, version); err != nil {
 		return nil, c.retryBackoff()
@@ -254,16 +254,16 @@
 	// detection of the loss.
 	ctx, cancel := context.WithDeadline(ctx, hold.Deadline())
 	defer cancel()
-	next, version := hold.Renewal()
+	next, version := hold.RenewalRecord()
 	sentAt := time.Now()
 	err := c.write(ctx, next, version)
 	if err == nil {
-		hold.Renewed(next, version+1, sentAt)
+		hold.NoteRenewal(next, version+1, sentAt)
 		return true
 	}
 	record, version, err := c.read(ctx)
 	if err == nil {
-		hold.Seen(record, version)
+		hold.Reconcile(record, version)
 	}
 	return false
 }
@@ -272,7 +272,7 @@
 // term. If the release fails, the next holder waits for it.
 func (c *campaign) release(ctx context.Context, hold *Hold) {
 	hold.End()
-	next, version := hold.Release()
+	next, version := hold.ReleaseRecord()
 	if err := c.write(context.WithoutCancel(ctx), next, version); err == nil {
 		c.emit(event.LeaseReleased, next.Epoch)
 	}
@@ -294,10 +294,10 @@
 	if err != nil {
 		return errors.WithStack(&fault.Internal{Where: "row " + c.key()})
 	}
-	return platform.CommitSurely(ctx, c.manager.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: c.key(), Version: version}},
-		Writes:        []platform.Write{{Key: c.key(), Value: value}},
+	return platformapi.CommitConfirmed(ctx, c.manager.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: c.key(), Version: version}},
+		Writes:        []platformapi.Write{{Key: c.key(), Value: value}},
 	})
 }
 
--- a/internal/lease/manager_test.go
+++ b/internal/lease/manager_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const testTerm = 6 * time.Second
@@ -73,7 +73,7 @@
 const orderInterval = 200 * time.Millisecond
 
 // sendOrders sends an order at each interval while the lease is held.
-func sendOrders(p *platformtest.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
+func sendOrders(p *faultinject.Process, u *fakeUpstream) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
 		for sleep(ctx, orderInterval) == nil {
 			if g.Check() != nil {
@@ -90,14 +90,14 @@
 	}
 }
 
-func newTestManager(p *platformtest.Process, options ...Option) *Manager {
+func newTestManager(p *faultinject.Process, options ...Option) *Manager {
 	events := event.NewRecorder(p.Name, 64, event.NewClock(time.Now), zap.NewNop())
 	return NewManager(p, p.Name, testTerm, events, options...)
 }
 
 // startCampaigns starts the processes, which all campaign for one lease.
-func startCampaigns(cluster *platformtest.World, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*platformtest.Process {
-	var processes []*platformtest.Process
+func startCampaigns(cluster *faultinject.Cluster, u *fakeUpstream, group *sync.WaitGroup, names ...string) []*faultinject.Process {
+	var processes []*faultinject.Process
 	for _, name := range names {
 		p := cluster.Start(context.Background(), name)
 		processes = append(processes, p)
@@ -113,7 +113,7 @@
 // any more; if another VM takes it too early, two VMs do.
 func TestOtherVMTakesTheLeaseAfterAKill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
 		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
@@ -133,7 +133,7 @@
 // takes the lease. When the first one resumes it must not send orders.
 func TestPausedHolderSendsNoOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
 		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
@@ -156,7 +156,7 @@
 // term.
 func TestDrainReleasesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
 		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2")
@@ -177,11 +177,11 @@
 // another VM's.
 func TestLostRepliesDontEndTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+		cluster := faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 			if s.Call == "commit" && s.Index%2 == 1 {
-				return platformtest.Fault{Kind: platformtest.LoseReply}
+				return faultinject.Fault{Kind: faultinject.LoseReply}
 			}
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		})
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
@@ -204,12 +204,12 @@
 // the outage one VM holds the lease again, under a new epoch.
 func TestStoreOutageEndsTheTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
 		processes := startCampaigns(cluster, u, &group, "vm-1", "vm-2", "vm-3")
 		time.Sleep(2 * testTerm)
-		cluster.TakeDown(5 * testTerm)
+		cluster.TakeStoreDown(5 * testTerm)
 		time.Sleep(8 * testTerm)
 		for _, p := range processes {
 			p.Stop()
@@ -228,7 +228,7 @@
 // all three are dead.
 func TestOnlyCandidatesContendUntilTheyAreDead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		u := &fakeUpstream{start: time.Now()}
 		var group sync.WaitGroup
 		standby := cluster.Start(context.Background(), "vm-9")
@@ -255,7 +255,7 @@
 // run returns true the second time, so the campaign ends and the lease is free.
 func TestCampaignEndsWhenDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		p := cluster.Start(context.Background(), "vm-1")
 		defer p.Stop()
 		calls := 0
@@ -274,12 +274,12 @@
 // cause. The guard refuses from then on, even if the holder ignores the context.
 func TestLostLeaseEndsTheContextWithTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
 		p := cluster.Start(context.Background(), "vm-1")
 		var cause string
 		_ = newTestManager(p).Campaign(p.Context, "a", func(ctx context.Context, g Guard) (bool, error) {
 			deadline := g.Deadline()
-			cluster.TakeDown(2 * testTerm)
+			cluster.TakeStoreDown(2 * testTerm)
 			<-ctx.Done()
 			cause = fmt.Sprint(context.Cause(ctx), " late by ", time.Since(deadline), " guard refuses ", g.Check() != nil)
 			return true, nil
--- a/internal/lease/matrix_test.go
+++ b/internal/lease/matrix_test.go
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const (
@@ -22,7 +22,7 @@
 
 // upstreamPair is an upstream that checks fencing tokens and one that ignores them.
 type upstreamPair struct {
-	rows                         platform.Tables
+	rows                         platformapi.Tables
 	mu                           sync.Mutex
 	checkingEpoch, ignoringEpoch uint64
 	senders                      map[uint64]string
@@ -73,12 +73,12 @@
 }
 
 // sendOrders sends orders to both upstreams while the lease is held.
-func (u *upstreamPair) sendOrders(p *platformtest.Process, sender string) func(context.Context, Guard) (bool, error) {
+func (u *upstreamPair) sendOrders(p *faultinject.Process, sender string) func(context.Context, Guard) (bool, error) {
 	return func(ctx context.Context, g Guard) (bool, error) {
 		started := time.Now()
 		for sleep(ctx, time.Second) == nil {
 			u.sendOrder(ctx, p, g, sender, true)
-			if time.Since(started) >= SettleTime(orderTimeout) {
+			if time.Since(started) >= OrderGracePeriod(orderTimeout) {
 				u.sendOrder(ctx, p, g, sender, false)
 			}
 		}
@@ -88,7 +88,7 @@
 
 // sendOrder checks the guard and then sends an order. Nothing is written after the end of
 // the term, but what was written before can take effect until orderTimeout has passed.
-func (u *upstreamPair) sendOrder(ctx context.Context, p *platformtest.Process, g Guard, sender string, checksEpoch bool) {
+func (u *upstreamPair) sendOrder(ctx context.Context, p *faultinject.Process, g Guard, sender string, checksEpoch bool) {
 	subject := "ignoring"
 	if checksEpoch {
 		subject = "checking"
@@ -110,21 +110,21 @@
 // that ignores them. With any fault, no order may follow one with a newer epoch, and
 // after the fault one VM must hold the lease.
 func TestMatrixLease(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
+	faultinject.RunMatrix(t, faultinject.Protocol{
 		Name: "lease",
-		Lasts: map[platformtest.Kind]time.Duration{
-			platformtest.Late:        10 * time.Second,
-			platformtest.PauseBefore: 3 * testTerm,
-			platformtest.PauseAfter:  3 * testTerm,
-			platformtest.StoreDown:   2 * testTerm,
-			platformtest.CutOff:      2 * testTerm,
+		Durations: map[faultinject.Kind]time.Duration{
+			faultinject.DelayEffect: 10 * time.Second,
+			faultinject.PauseBefore: 3 * testTerm,
+			faultinject.PauseAfter:  3 * testTerm,
+			faultinject.StoreDown:   2 * testTerm,
+			faultinject.CutOff:      2 * testTerm,
 		},
-		Run: func(cluster *platformtest.World) error {
+		Run: func(cluster *faultinject.Cluster) error {
 			ctx, stop := context.WithCancel(context.Background())
 			u := &upstreamPair{rows: cluster.Rows, senders: map[uint64]string{}}
 			var group sync.WaitGroup
 			for _, name := range []string{"vm-1", "vm-2"} {
-				cluster.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+				cluster.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 					m := newTestManager(p)
 					_ = m.Campaign(p.Context, "upstreams/a", u.sendOrders(p, name))
 				})
--- a/internal/lease/timed.go
+++ b/internal/lease/timed.go
@@ -4,32 +4,32 @@
 	"context"
 	"time"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // timedTables limits each call by a timeout. A call that hangs must leave enough of the
 // term to find out its outcome; otherwise a single lost reply would end the lease.
 type timedTables struct {
-	tables  platform.Tables
+	tables  platformapi.Tables
 	timeout time.Duration
 }
 
-// Get implements platform.Tables.
-func (t timedTables) Get(ctx context.Context, key string) (platform.Row, error) {
+// Get implements platformapi.Tables.
+func (t timedTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Get(ctx, key)
 }
 
-// Scan implements platform.Tables.
-func (t timedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+// Scan implements platformapi.Tables.
+func (t timedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Scan(ctx, prefix, after, limit)
 }
 
-// Commit implements platform.Tables.
-func (t timedTables) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables.
+func (t timedTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Commit(ctx, txn)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -20,9 +20,9 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
 	"dogwoodpond/internal/lease"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/wait"
 )
 
@@ -62,13 +62,13 @@
 type VM struct {
 	ID            string `json:"vm"`
 	FailureDomain string `json:"failureDomain"`
-	// Life identifies the incarnation: each process on the VM has its own.
-	Life string `json:"life"`
+	// Incarnation identifies the incarnation: each process on the VM has its own.
+	Incarnation string `json:"life"`
 	// PeerAddress is the address at which the VM serves its peers.
 	PeerAddress string `json:"peerAddress"`
-	// Processor is the number of cores of the VM, which may be fractional; 0 when
+	// Cores is the number of cores of the VM, which may be fractional; 0 when
 	// unknown.
-	Processor float64 `json:"processor,omitempty"`
+	Cores float64 `json:"processor,omitempty"`
 	// Leaving is true when the VM takes no new work.
 	Leaving bool `json:"leaving"`
 	// ViaPeers is true while the VM reaches the store only through its peers.
@@ -92,7 +92,7 @@
 type List struct {
 	self    VM
 	domains []string
-	store   kept.Store
+	store   rowstore.Store
 	budget  *budget.Budget
 	events  *event.Recorder
 
@@ -118,7 +118,7 @@
 
 // New returns a list for the VM self in a fleet with the failure domains. viaPeers
 // reports whether this VM reaches the store only through its peers.
-func New(self VM, domains []string, store kept.Store, viaPeers func() bool, calls *budget.Budget, events *event.Recorder) *List {
+func New(self VM, domains []string, store rowstore.Store, viaPeers func() bool, calls *budget.Budget, events *event.Recorder) *List {
 	return &List{
 		self: self, viaPeers: viaPeers, domains: domains, store: store, budget: calls, events: events,
 		rows: make(map[string]*statusRow),
@@ -161,7 +161,7 @@
 			wait.For(ctx, l.pollInterval())
 			after, err = l.readChanges(ctx, after)
 		}
-		if err != nil && !fault.Is[*kept.HistoryGone](err) {
+		if err != nil && !fault.Is[*rowstore.HistoryTruncated](err) {
 			l.markUnavailable()
 			wait.For(ctx, l.pollInterval())
 		}
@@ -170,12 +170,12 @@
 
 // heartbeatInterval returns the interval between two heartbeats of one VM.
 func (l *List) heartbeatInterval() time.Duration {
-	return l.budget.Period(budget.Beats, minHeartbeatInterval)
+	return l.budget.Interval(budget.Heartbeats, minHeartbeatInterval)
 }
 
 // pollInterval returns the interval between two reads of the heartbeats.
 func (l *List) pollInterval() time.Duration {
-	return l.budget.Period(budget.Members, minHeartbeatInterval)
+	return l.budget.Interval(budget.Members, minHeartbeatInterval)
 }
 
 // Leave announces to the other VMs that this VM takes no new work.
@@ -195,8 +195,8 @@
 		l.events.Emit(event.BeatFailed, event.Subject{Detail: err.Error()})
 		return
 	}
-	key := kept.Key{Table: table, Part: vm.FailureDomain, Name: vm.ID}
-	_, err = l.store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: value}}})
+	key := rowstore.Key{Table: table, Part: vm.FailureDomain, Name: vm.ID}
+	_, err = l.store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: value}}})
 	if failed := err != nil; failed != l.heartbeatFailing.Swap(failed) && failed {
 		l.events.Emit(event.BeatFailed, event.Subject{Detail: err.Error()})
 	}
@@ -206,15 +206,15 @@
 // read changes. That is the lowest version of the pages, because the partitions are
 // read at different times.
 func (l *List) readAll(ctx context.Context) (after int64, err error) {
-	store := kept.Patient{
-		Store:  l.store,
-		Pause:  func() time.Duration { return l.budget.Retry(budget.Members, readBackoff) },
-		Failed: func(error) { l.markUnavailable() },
+	store := rowstore.RetryingStore{
+		Store:     l.store,
+		Backoff:   func() time.Duration { return l.budget.RetryBackoff(budget.Members, readBackoff) },
+		OnFailure: func(error) { l.markUnavailable() },
 	}
-	var rows []kept.Row
+	var rows []rowstore.Row
 	after = math.MaxInt64
 	for _, domain := range l.domains {
-		page, err := kept.ReadPartition(ctx, store, table, domain)
+		page, err := rowstore.ReadPartition(ctx, store, table, domain)
 		if err != nil {
 			return 0, err
 		}
@@ -230,7 +230,7 @@
 func (l *List) readChanges(ctx context.Context, after int64) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var rows []kept.Row
+	var rows []rowstore.Row
 	for more := true; more; {
 		page, err := l.store.Changes(ctx, table, after, 0)
 		if err != nil {
@@ -254,7 +254,7 @@
 // applyRows records the rows of a successful read: all rows if full, otherwise those
 // that changed since the previous read. The time since the previous read counts toward
 // unchangedFor only if that read succeeded too.
-func (l *List) applyRows(rows []kept.Row, full bool, now time.Time) {
+func (l *List) applyRows(rows []rowstore.Row, full bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var elapsed time.Duration
@@ -282,12 +282,12 @@
 		}
 		l.updateLiveness(status, updated[name], elapsed)
 	}
-	l.budget.SetFleet(len(l.rows))
+	l.budget.SetFleetSize(len(l.rows))
 }
 
 // applyRow records a row, and reports whether its version is newer and its value
 // readable.
-func (l *List) applyRow(row kept.Row) bool {
+func (l *List) applyRow(row rowstore.Row) bool {
 	status, ok := l.rows[row.Name]
 	if ok && status.version >= row.Version {
 		return false
@@ -327,7 +327,7 @@
 		number = event.PeerReturned
 		status.returnedAt = l.polledAt
 	}
-	l.events.Emit(number, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Life})
+	l.events.Emit(number, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Incarnation})
 }
 
 func (l *List) isAlive(status *statusRow) bool {
@@ -341,8 +341,8 @@
 	return l.ready
 }
 
-// Current reports whether the last read of the list succeeded.
-func (l *List) Current() bool {
+// IsCurrent reports whether the last read of the list succeeded.
+func (l *List) IsCurrent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ready && !l.polledAt.IsZero()
@@ -352,12 +352,12 @@
 // heartbeats and is still in the same incarnation.
 func (l *List) Alive(id, incarnation string) bool {
 	if id == l.self.ID {
-		return incarnation == l.self.Life
+		return incarnation == l.self.Incarnation
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	status, ok := l.rows[id]
-	return ok && status.vm.Life == incarnation && l.isAlive(status)
+	return ok && status.vm.Incarnation == incarnation && l.isAlive(status)
 }
 
 // Live returns the VMs that are alive and not leaving, sorted by ID. This VM is
@@ -380,8 +380,8 @@
 	return live
 }
 
-// Others returns the other VMs that are alive, including those that are leaving.
-func (l *List) Others() []VM {
+// Peers returns the other VMs that are alive, including those that are leaving.
+func (l *List) Peers() []VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var others []VM
@@ -393,11 +393,11 @@
 	return others
 }
 
-// AllHeard reports whether the last read succeeded and no other VM has to be awaited. A
+// NoneAwaited reports whether the last read succeeded and no other VM has to be awaited. A
 // VM is awaited while it is unresponsive, for at most awaitTimeout, and for
 // returnGracePeriod after it returned. After an outage of the store all VMs are awaited
 // for returnGracePeriod.
-func (l *List) AllHeard() bool {
+func (l *List) NoneAwaited() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.ready || l.polledAt.IsZero() || l.polledAt.Sub(l.availableSince) < returnGracePeriod {
@@ -415,10 +415,10 @@
 // Rank returns this VM's rank among the live VMs for a duty, from 0. The VMs that
 // preferredVMs selects rank before the others. Ranks only avoid lost races; correctness
 // does not depend on them.
-func (l *List) Rank(duty string) int { return l.RankWithin(duty, route.Residency{}) }
+func (l *List) Rank(duty string) int { return l.RankWithinResidency(duty, route.Residency{}) }
 
-// RankWithin is Rank among the VMs in the failure domains that a residency allows.
-func (l *List) RankWithin(duty string, residency route.Residency) int {
+// RankWithinResidency is Rank among the VMs in the failure domains that a residency allows.
+func (l *List) RankWithinResidency(duty string, residency route.Residency) int {
 	live := allowed(l.Live(), residency)
 	preferred := preferredVMs(live)
 	if slices.ContainsFunc(preferred, func(vm VM) bool { return vm.ID == l.self.ID }) {
@@ -464,18 +464,18 @@
 	}
 	maxCores := 0.0
 	for _, vm := range vms {
-		maxCores = max(maxCores, vm.Processor)
+		maxCores = max(maxCores, vm.Cores)
 	}
-	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.Processor < minCoresShare*maxCores })
+	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.Cores < minCoresShare*maxCores })
 }
 
 func inDomain(vms []VM, domain string) []VM {
 	return slices.DeleteFunc(slices.Clone(vms), func(vm VM) bool { return vm.FailureDomain != domain })
 }
 
-// RankIn returns this VM's rank for a duty, from 0, with the VMs of a failure domain
+// RankDomainFirst returns this VM's rank for a duty, from 0, with the VMs of a failure domain
 // ranked before all others. Unlike Rank it does not call preferredVMs.
-func (l *List) RankIn(duty, domain string) int {
+func (l *List) RankDomainFirst(duty, domain string) int {
 	live := l.Live()
 	inside := inDomain(live, domain)
 	if l.self.FailureDomain == domain {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -12,15 +12,15 @@
 
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 func neverViaPeers() bool { return false }
 
 func startVM(t *testing.T, store *memory.Store, id, domain, incarnation string) (*List, context.CancelFunc) {
 	events := event.NewRecorder(id, 16, event.NewClock(time.Now), zap.NewNop())
-	l := New(VM{ID: id, FailureDomain: domain, Life: incarnation, PeerAddress: id + ":1"}, []string{"x", "y"}, store, neverViaPeers, budget.New(budget.Rates{}), events)
+	l := New(VM{ID: id, FailureDomain: domain, Incarnation: incarnation, PeerAddress: id + ":1"}, []string{"x", "y"}, store, neverViaPeers, budget.New(budget.Rates{}), events)
 	ctx, cancel := context.WithCancel(t.Context())
 	go l.Run(ctx)
 	t.Cleanup(cancel)
@@ -58,11 +58,11 @@
 		time.Sleep(2 * time.Second)
 		killB()
 		time.Sleep(5500 * time.Millisecond)
-		if a.AllHeard() {
+		if a.NoneAwaited() {
 			t.Error("a VM that has been unresponsive for 5.5 s is not awaited")
 		}
 		time.Sleep(4 * time.Second)
-		if !a.AllHeard() {
+		if !a.NoneAwaited() {
 			t.Error("a VM that has been unresponsive for 9.5 s is still awaited")
 		}
 	})
@@ -79,11 +79,11 @@
 		time.Sleep(2 * time.Second)
 		killB()
 		time.Sleep(statusRowTTL / 2)
-		if rows, err := kept.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 1 {
+		if rows, err := rowstore.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 1 {
 			t.Errorf("%d rows, %v; the row of a VM that may return was removed", len(rows), err)
 		}
 		time.Sleep(statusRowTTL/2 + 2*fullReadInterval)
-		if rows, err := kept.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 0 {
+		if rows, err := rowstore.ReadAll(t.Context(), store, table, "y"); err != nil || len(rows) != 0 {
 			t.Errorf("%d rows of a dead VM, %v", len(rows), err)
 		}
 		if n := c.budget.FleetSize(); n != 2 {
@@ -111,11 +111,11 @@
 		time.Sleep(3 * time.Second)
 		startVM(t, store, "b", "y", "1")
 		time.Sleep(800 * time.Millisecond)
-		if a.AllHeard() {
+		if a.NoneAwaited() {
 			t.Error("a VM that has just returned is not awaited")
 		}
 		time.Sleep(2 * time.Second)
-		if !a.AllHeard() {
+		if !a.NoneAwaited() {
 			t.Error("a VM that returned 2.8 s ago is still awaited")
 		}
 	})
@@ -167,7 +167,7 @@
 		a, _ := startVM(t, store, "a", "x", "1")
 		startVM(t, store, "b", "y", "1")
 		time.Sleep(4 * time.Second)
-		if !a.AllHeard() {
+		if !a.NoneAwaited() {
 			t.Fatal("a VM is awaited without an outage")
 		}
 		store.SetDown(true)
@@ -175,12 +175,12 @@
 		store.SetDown(false)
 		for range 15 {
 			time.Sleep(100 * time.Millisecond)
-			if a.AllHeard() {
+			if a.NoneAwaited() {
 				t.Fatal("no VM is awaited within 1.5 s after the outage")
 			}
 		}
 		time.Sleep(2 * time.Second)
-		if !a.AllHeard() {
+		if !a.NoneAwaited() {
 			t.Error("a VM is still awaited 3.5 s after the outage")
 		}
 	})
@@ -216,7 +216,7 @@
 		for _, duty := range []string{"s1", "s2", "s3"} {
 			firsts := 0
 			for _, l := range lists {
-				if l.RankIn(duty, "y") == 0 {
+				if l.RankDomainFirst(duty, "y") == 0 {
 					firsts++
 					if l.Self().FailureDomain != "y" {
 						t.Errorf("%s ranks first in y", l.Self().ID)
@@ -234,10 +234,10 @@
 // by a VM too weak to start hundreds of items at once, or by one that can't reach the
 // store directly.
 func TestStrongVMsOfTheDomainRankFirst(t *testing.T) {
-	l := New(VM{ID: "self", FailureDomain: "x", Processor: 0.2}, []string{"x", "y"}, memory.New(), neverViaPeers, budget.New(budget.Rates{}),
+	l := New(VM{ID: "self", FailureDomain: "x", Cores: 0.2}, []string{"x", "y"}, memory.New(), neverViaPeers, budget.New(budget.Rates{}),
 		event.NewRecorder("self", 16, event.NewClock(time.Now), zap.NewNop()))
 	add := func(id, domain string, processor float64) {
-		l.rows[id] = &statusRow{vm: VM{ID: id, FailureDomain: domain, Processor: processor}}
+		l.rows[id] = &statusRow{vm: VM{ID: id, FailureDomain: domain, Cores: processor}}
 	}
 	add("weak", "x", 0.2)
 	add("strong", "x", 0.8)
--- a/internal/member/removal.go
+++ b/internal/member/removal.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -26,14 +26,14 @@
 		return
 	}
 	for _, status := range l.expiredRows() {
-		key := kept.Key{Table: table, Part: status.vm.FailureDomain, Name: status.vm.ID}
+		key := rowstore.Key{Table: table, Part: status.vm.FailureDomain, Name: status.vm.ID}
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
-		_, err := l.store.Commit(callCtx, kept.Txn{
-			Expected: []kept.Expectation{{Key: key, Version: status.version}},
-			Removes:  []kept.Key{key},
+		_, err := l.store.Commit(callCtx, rowstore.Txn{
+			Expected: []rowstore.Expectation{{Key: key, Version: status.version}},
+			Deletes:  []rowstore.Key{key},
 		})
 		cancel()
-		var conflict *kept.Conflict
+		var conflict *rowstore.Conflict
 		switch {
 		case errors.As(err, &conflict):
 		case err != nil:
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,20 +13,20 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/entry"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 )
 
-var twoUpstreams = []platform.Upstream{
-	{ID: "a", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 300, Account: "strathallan"},
-	{ID: "b", Kind: platform.KindEngine, State: platform.UpstreamLive, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
-	{ID: "c", Kind: platform.KindEngine, State: platform.UpstreamLeaving, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
+var twoUpstreams = []platformapi.Upstream{
+	{ID: "a", Kind: platformapi.KindEngine, State: platformapi.UpstreamLive, CentsPerHour: 300, Account: "strathallan"},
+	{ID: "b", Kind: platformapi.KindEngine, State: platformapi.UpstreamLive, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
+	{ID: "c", Kind: platformapi.KindEngine, State: platformapi.UpstreamLeaving, CentsPerHour: 90, Account: "strathallan", Reclaimable: true},
 }
 
 func newTestMetrics() (*Metrics, *prometheus.Registry) {
 	registry := prometheus.NewPedanticRegistry()
 	m := New(registry, 300*time.Second)
-	RegisterUpstreams(registry, func() []platform.Upstream { return twoUpstreams })
+	RegisterUpstreams(registry, func() []platformapi.Upstream { return twoUpstreams })
 	return m, registry
 }
 
@@ -95,10 +95,10 @@
 	})
 }
 
-type grantOf platform.Upstream
+type grantOf platformapi.Upstream
 
 func (g grantOf) Acquire(context.Context, dispatch.Work) (dispatch.Grant, error) {
-	return dispatch.Grant{Upstream: platform.Upstream(g), Done: func(dispatch.Result) {}}, nil
+	return dispatch.Grant{Upstream: platformapi.Upstream(g), Done: func(dispatch.Result) {}}, nil
 }
 
 func TestDispatcherCountsWorkByKindOfUpstream(t *testing.T) {
--- a/internal/metrics/upstreams.go
+++ b/internal/metrics/upstreams.go
@@ -5,19 +5,19 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Upstreams exposes the platform's list of upstreams as this VM sees it. All VMs
 // expose the same, so a fleet takes the maximum, not the sum.
 type Upstreams struct {
-	list     func() []platform.Upstream
+	list     func() []platformapi.Upstream
 	count    *prometheus.Desc
 	spending *prometheus.Desc
 }
 
 // RegisterUpstreams registers the metrics of a list of upstreams.
-func RegisterUpstreams(registerer prometheus.Registerer, list func() []platform.Upstream) *Upstreams {
+func RegisterUpstreams(registerer prometheus.Registerer, list func() []platformapi.Upstream) *Upstreams {
 	u := &Upstreams{
 		list: list,
 		count: prometheus.NewDesc(namespace+"_upstreams", "Upstreams in the platform's list.",
@@ -46,7 +46,7 @@
 	for _, up := range u.list() {
 		reclaimable := strconv.FormatBool(up.Reclaimable)
 		counts[countKey{string(up.Kind), string(up.State), reclaimable}]++
-		if up.State == platform.UpstreamLive {
+		if up.State == platformapi.UpstreamLive {
 			cents[spendingKey{up.Account, reclaimable}] += float64(up.CentsPerHour)
 		}
 	}
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -5,11 +5,11 @@
 	"sort"
 	"sync"
 
-	"dogwoodpond/internal/loading"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/scaling"
 	"dogwoodpond/internal/step"
-	"dogwoodpond/internal/supply"
 	"dogwoodpond/internal/target"
+	"dogwoodpond/internal/weightload"
 )
 
 // Named holds the versions that trainers have named. It is safe for concurrent
@@ -42,7 +42,7 @@
 }
 
 // Demands tells the loaders what is asked of the models. It implements
-// loading.Demands and supply.Wants.
+// weightload.Demands and scaling.DesiredCounts.
 type Demands struct {
 	named *Named
 	view  *route.View
@@ -56,7 +56,7 @@
 	return &Demands{named: named, view: view, steps: steps, roster: roster}
 }
 
-// EngineServices implements loading.Demands.
+// EngineServices implements weightload.Demands.
 func (d *Demands) EngineServices() []string {
 	snapshot := d.view.Load()
 	if snapshot == nil {
@@ -72,21 +72,21 @@
 	return names
 }
 
-// Models implements loading.Demands.
-func (d *Demands) Models(service string) []loading.Demand {
+// Models implements weightload.Demands.
+func (d *Demands) Models(service string) []weightload.Demand {
 	snapshot := d.view.Load()
 	if snapshot == nil || snapshot.Services[service] == nil || snapshot.Services[service].Engine == nil {
 		return nil
 	}
-	uses := d.steps.Uses()
-	var out []loading.Demand
+	uses := d.steps.ModelDemands()
+	var out []weightload.Demand
 	for _, model := range snapshot.Services[service].Engine.Models {
 		version, ok := d.named.Version(model)
 		if !ok {
 			continue
 		}
 		use := uses[model]
-		out = append(out, loading.Demand{Model: model, Named: version, Slack: slack(version, use), Work: use.Work})
+		out = append(out, weightload.Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: slack(version, use), ExpectedTokens: use.ExpectedTokens})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Model < out[j].Model })
 	return out
@@ -99,23 +99,23 @@
 // slack returns how many versions behind the named one the next step may use. The
 // latest step may have been asked for under the version before, so the smaller
 // distance counts.
-func slack(named int64, use step.Use) int64 {
+func slack(named int64, use step.ModelDemand) int64 {
 	if use.Steps == 0 {
 		return usualSlack
 	}
-	return min(max(use.Behind, 0), named)
+	return min(max(use.VersionLag, 0), named)
 }
 
-// KeepRunning implements loading.Demands.
-func (d *Demands) KeepRunning(model string) bool { return !d.steps.Uses()[model].SingleVersion }
+// KeepRunning implements weightload.Demands.
+func (d *Demands) KeepRunning(model string) bool { return !d.steps.ModelDemands()[model].SingleVersion }
 
-// Upstreams implements supply.Wants.
-func (d *Demands) Upstreams(domain string) map[string]supply.Set {
+// Upstreams implements scaling.DesiredCounts.
+func (d *Demands) Upstreams(domain string) map[string]scaling.KindCounts {
 	snapshot := d.view.Load()
 	if snapshot == nil {
 		return nil
 	}
-	out := make(map[string]supply.Set)
+	out := make(map[string]scaling.KindCounts)
 	for name, service := range snapshot.Services {
 		if service.Engine == nil || service.Scale == nil {
 			continue
@@ -124,7 +124,7 @@
 		if !slices.Contains(domains, domain) {
 			continue
 		}
-		if counts, ok := supply.Counts(d.needOf(service.Engine), len(domains), service.Scale); ok {
+		if counts, ok := scaling.Counts(d.needOf(service.Engine), len(domains), service.Scale); ok {
 			out[name] = counts
 		}
 	}
@@ -132,11 +132,11 @@
 }
 
 // needOf adds up what the steps of an engine's models ask for.
-func (d *Demands) needOf(engine *route.Engine) supply.Need {
-	uses := d.steps.Uses()
-	need := supply.Need{Slots: engine.Slots}
+func (d *Demands) needOf(engine *route.Engine) scaling.Need {
+	uses := d.steps.ModelDemands()
+	need := scaling.Need{Slots: engine.Slots}
 	for _, model := range engine.Models {
-		if items := uses[model].Items; items > 0 {
+		if items := uses[model].MaxItems; items > 0 {
 			need.Models++
 			need.Items += items
 		}
@@ -150,7 +150,7 @@
 	for domain := range scale.Prices {
 		domains = append(domains, domain)
 	}
-	for _, e := range d.roster.Service(service) {
+	for _, e := range d.roster.Upstreams(service) {
 		domains = append(domains, e.Info().FailureDomain)
 	}
 	slices.Sort(domains)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,16 +11,16 @@
 	"github.com/cockroachdb/errors"
 	"go.uber.org/zap"
 
-	"dogwoodpond/internal/carry"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/loading"
 	"dogwoodpond/internal/member"
+	"dogwoodpond/internal/relay"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/scaling"
 	"dogwoodpond/internal/step"
-	"dogwoodpond/internal/supply"
 	"dogwoodpond/internal/target"
-	"dogwoodpond/internal/window"
+	"dogwoodpond/internal/usagewindow"
+	"dogwoodpond/internal/weightload"
 )
 
 const (
@@ -66,13 +66,13 @@
 	Roster   *target.Roster
 	Members  *member.List
 	Steps    *step.Manager
-	Meter    *window.Meter
-	Closer   *window.Closer
-	Loaders  []*loading.Loader
-	Orderers []*supply.Orderer
+	Meter    *usagewindow.Meter
+	Closer   *usagewindow.Reporter
+	Loaders  []*weightload.Loader
+	Orderers []*scaling.Orderer
 	Callers  http.Handler
 	Metrics  http.Handler
-	Carry    carry.Direct
+	Carry    relay.CallFunc
 	// Follow holds the loops that follow the platform's lists.
 	Follow Loops
 	// Clock agrees with the fleet on the time.
@@ -188,7 +188,7 @@
 
 // Ready reports whether the VM should get new connections.
 func (n *Node) Ready() bool {
-	return !n.Life.Leaving() && n.View.Load() != nil && n.Roster.Known()
+	return !n.Life.Leaving() && n.View.Load() != nil && n.Roster.HasUpstreams()
 }
 
 // servers are the open listeners.
@@ -230,7 +230,7 @@
 	}
 	go func() { _ = s.callers.Serve(callers) }()
 	go func() { _ = s.ready.Serve(ready) }()
-	go func() { _ = carry.Serve(ctx, peers, n.Carry) }()
+	go func() { _ = relay.Serve(ctx, peers, n.Carry) }()
 	return s, n.listenMetrics(s)
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -10,7 +10,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Lease tells who holds a lease.
@@ -47,19 +47,19 @@
 // methods fail with *fault.StoreUnavailable.
 type Usage interface {
 	// Reports lists the reports of the window that holds a time.
-	Reports(ctx context.Context, at int64) ([]platform.UsageReport, error)
+	Reports(ctx context.Context, at int64) ([]platformapi.UsageReport, error)
 	// ReportsSince lists the reports of that window and all later ones.
-	ReportsSince(ctx context.Context, from int64) ([]platform.UsageReport, error)
+	ReportsSince(ctx context.Context, from int64) ([]platformapi.UsageReport, error)
 }
 
 // Status is what an operator sees at a glance.
 type Status struct {
-	VM        string              `json:"vm"`
-	Revision  contract.Revision   `json:"revision"`
-	VMs       []VMRevision        `json:"vms"`
-	Domains   []Domain            `json:"failureDomains"`
-	Leases    []Lease             `json:"leases"`
-	Upstreams []platform.Upstream `json:"upstreams"`
+	VM        string                 `json:"vm"`
+	Revision  contract.Revision      `json:"revision"`
+	VMs       []VMRevision           `json:"vms"`
+	Domains   []Domain               `json:"failureDomains"`
+	Leases    []Lease                `json:"leases"`
+	Upstreams []platformapi.Upstream `json:"upstreams"`
 	// LeasesUnknown is true when the store did not answer, so that Leases is
 	// empty for want of knowledge.
 	LeasesUnknown bool `json:"leasesUnknown"`
@@ -161,7 +161,7 @@
 	return answer, nil
 }
 
-func domainsOf(vms []VMRevision, upstreams []platform.Upstream) []Domain {
+func domainsOf(vms []VMRevision, upstreams []platformapi.Upstream) []Domain {
 	domains := []Domain{}
 	at := map[string]int{}
 	find := func(name string) *Domain {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -19,7 +19,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Editor commits edits.
@@ -75,7 +75,7 @@
 	View        *contract.View
 	Editor      Editor
 	Fleet       Fleet
-	Upstreams   func() []platform.Upstream
+	Upstreams   func() []platformapi.Upstream
 	Leases      Leases
 	Steps       Steps
 	Usage       Usage
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"dogwoodpond/internal/doccheck"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 
 	"go.uber.org/zap"
 )
@@ -93,11 +93,11 @@
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (noRows) ReportsSince(context.Context, int64) ([]platform.UsageReport, error) {
+func (noRows) ReportsSince(context.Context, int64) ([]platformapi.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
-func (noRows) Reports(context.Context, int64) ([]platform.UsageReport, error) {
+func (noRows) Reports(context.Context, int64) ([]platformapi.UsageReport, error) {
 	return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "scan"})
 }
 
@@ -118,7 +118,7 @@
 		View:        contract.NewView(),
 		Editor:      f.editor,
 		Fleet:       f.fleet,
-		Upstreams:   func() []platform.Upstream { return nil },
+		Upstreams:   func() []platformapi.Upstream { return nil },
 		Leases:      noRows{},
 		Steps:       noRows{},
 		Usage:       noRows{},
--- a/internal/outage/outage.go
+++ b/internal/outage/outage.go
@@ -22,9 +22,9 @@
 	graceFactor = 3
 )
 
-// Watch tracks the outages of one dependency. In the zero value, the dependency is
+// Monitor tracks the outages of one dependency. In the zero value, the dependency is
 // available. A Watch is safe for concurrent use.
-type Watch struct {
+type Monitor struct {
 	mu sync.Mutex
 	// startedAt is the start of the current or last outage.
 	startedAt time.Time
@@ -36,9 +36,9 @@
 	began chan struct{}
 }
 
-// Lost records that the dependency did not answer a call, and reports whether this is
+// NoteUnanswered records that the dependency did not answer a call, and reports whether this is
 // the start of an outage.
-func (w *Watch) Lost(now time.Time) (started bool) {
+func (w *Monitor) NoteUnanswered(now time.Time) (started bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended != nil {
@@ -52,9 +52,9 @@
 	return true
 }
 
-// Answers records that the dependency answered a call, which took callDuration. If that
+// NoteAnswered records that the dependency answered a call, which took callDuration. If that
 // ends an outage, it returns the outage's duration and true.
-func (w *Watch) Answers(now time.Time, callDuration time.Duration) (outageDuration time.Duration, ok bool) {
+func (w *Monitor) NoteAnswered(now time.Time, callDuration time.Duration) (outageDuration time.Duration, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.ended == nil {
@@ -66,19 +66,19 @@
 	return now.Sub(w.startedAt), true
 }
 
-// Well reports whether the dependency is available, that is, whether there is no outage.
-func (w *Watch) Well() bool { return w.Over() == nil }
+// IsAvailable reports whether the dependency is available, that is, whether there is no outage.
+func (w *Monitor) IsAvailable() bool { return w.OutageEnded() == nil }
 
-// Over returns a channel that is closed when the current outage ends, or nil if there is
+// OutageEnded returns a channel that is closed when the current outage ends, or nil if there is
 // no outage.
-func (w *Watch) Over() <-chan struct{} {
+func (w *Monitor) OutageEnded() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.ended
 }
 
 // beganSignal returns the channel began and creates it if necessary. w.mu must be held.
-func (w *Watch) beganSignal() chan struct{} {
+func (w *Monitor) beganSignal() chan struct{} {
 	if w.began == nil {
 		w.began = make(chan struct{}, 1)
 	}
@@ -88,7 +88,7 @@
 // Probe calls probe at an interval during each outage, until ctx ends. Probes don't run
 // concurrently. probe must use a new connection, limit its duration, and call Answers if
 // it gets an answer.
-func (w *Watch) Probe(ctx context.Context, interval func() time.Duration, probe func(context.Context)) {
+func (w *Monitor) Probe(ctx context.Context, interval func() time.Duration, probe func(context.Context)) {
 	w.mu.Lock()
 	began := w.beganSignal()
 	w.mu.Unlock()
@@ -98,18 +98,18 @@
 			return
 		case <-began:
 		}
-		for probedAt := time.Now(); !w.Well() && wait.For(ctx, interval()-time.Since(probedAt)); {
+		for probedAt := time.Now(); !w.IsAvailable() && wait.For(ctx, interval()-time.Since(probedAt)); {
 			probedAt = time.Now()
 			probe(ctx)
 		}
 	}
 }
 
-// Bound returns a context for a call that is sent now. If there is an outage, the context
+// CallContext returns a context for a call that is sent now. If there is an outage, the context
 // ends a grace period after the outage: the call is probably lost and should be retried
 // without waiting for its timeout.
-func (w *Watch) Bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	ended := w.Over()
+func (w *Monitor) CallContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	ended := w.OutageEnded()
 	ctx, cancel := context.WithCancel(ctx)
 	if ended == nil {
 		return ctx, cancel
@@ -126,7 +126,7 @@
 	return ctx, cancel
 }
 
-func (w *Watch) lastGrace() time.Duration {
+func (w *Monitor) lastGrace() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.grace
--- a/internal/outage/outage_test.go
+++ b/internal/outage/outage_test.go
@@ -12,19 +12,19 @@
 // again.
 func TestCallsSentDuringOutageEndAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var w Watch
-		before, cancel := w.Bound(t.Context())
+		var w Monitor
+		before, cancel := w.CallContext(t.Context())
 		defer cancel()
-		if !w.Lost(time.Now()) || w.Lost(time.Now()) {
+		if !w.NoteUnanswered(time.Now()) || w.NoteUnanswered(time.Now()) {
 			t.Fatal("only the first failed call starts an outage")
 		}
-		during, cancel := w.Bound(t.Context())
+		during, cancel := w.CallContext(t.Context())
 		defer cancel()
 		time.Sleep(3 * time.Second)
 		if during.Err() != nil {
 			t.Error("a call sent during the outage was canceled before the outage ended")
 		}
-		if took, ok := w.Answers(time.Now(), 10*time.Millisecond); !ok || took != 3*time.Second {
+		if took, ok := w.NoteAnswered(time.Now(), 10*time.Millisecond); !ok || took != 3*time.Second {
 			t.Errorf("the outage took %s, want 3s", took)
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -44,7 +44,7 @@
 // Guards against an outage whose end is not noticed because every call hangs.
 func TestProbesDetectEndOfOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var w Watch
+		var w Monitor
 		ctx, stop := context.WithCancel(t.Context())
 		availableAt := time.Now().Add(5 * time.Second)
 		var probes atomic.Int32
@@ -57,15 +57,15 @@
 				<-call.Done()
 				return
 			}
-			w.Answers(time.Now(), 0)
+			w.NoteAnswered(time.Now(), 0)
 		})
 		time.Sleep(time.Second)
 		if probes.Load() > 0 {
 			t.Error("an available dependency is probed")
 		}
-		w.Lost(time.Now())
+		w.NoteUnanswered(time.Now())
 		time.Sleep(4*time.Second + 2*interval)
-		if !w.Well() {
+		if !w.IsAvailable() {
 			t.Error("the end of the outage was not detected")
 		}
 		probesDuringOutage := probes.Load()
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -12,7 +12,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Fleet answers operators' questions about all VMs. It implements
@@ -86,7 +86,7 @@
 // askPause is the least time between two rounds of asks.
 const askPause = 100 * time.Millisecond
 
-func revisionOf(vm platform.VM, heard map[string]Known) operator.VMRevision {
+func revisionOf(vm platformapi.VM, heard map[string]Known) operator.VMRevision {
 	r := operator.VMRevision{VM: vm.ID, FailureDomain: vm.FailureDomain}
 	k, ok := heard[vm.ID]
 	if !ok {
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -16,7 +16,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/peer/peerpb"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Identity names a VM to its peers.
@@ -112,7 +112,7 @@
 func (g *Gossip) Incarnation() string { return g.incarnation }
 
 // SetVMs puts the platform's latest list in force.
-func (g *Gossip) SetVMs(vms []platform.VM) {
+func (g *Gossip) SetVMs(vms []platformapi.VM) {
 	ids := make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		ids[vm.ID] = true
@@ -121,11 +121,11 @@
 }
 
 // VMs returns the platform's latest list.
-func (g *Gossip) VMs() []platform.VM { return g.vms.Load().vms }
+func (g *Gossip) VMs() []platformapi.VM { return g.vms.Load().vms }
 
 // vmList is the platform's list with its names.
 type vmList struct {
-	vms []platform.VM
+	vms []platformapi.VM
 	ids map[string]bool
 }
 
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/peer/peerpb"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 const testPeriod = time.Second
@@ -48,10 +48,10 @@
 	return n
 }
 
-func list(vms ...string) []platform.VM {
-	var all []platform.VM
+func list(vms ...string) []platformapi.VM {
+	var all []platformapi.VM
 	for _, vm := range vms {
-		all = append(all, platform.VM{ID: vm, FailureDomain: "a", State: platform.VMLive})
+		all = append(all, platformapi.VM{ID: vm, FailureDomain: "a", State: platformapi.VMLive})
 	}
 	return all
 }
@@ -67,7 +67,7 @@
 		if m.VM == vm {
 			sum := 0
 			for _, f := range m.Flows {
-				sum += int(f.Waiting)
+				sum += int(f.Queued)
 			}
 			return sum
 		}
@@ -126,7 +126,7 @@
 			t.Errorf("%d demands were believed", len(m.Flows))
 		}
 		for _, f := range m.Flows {
-			if f.Share > maxShare || f.Waiting > maxSlots || f.InFlight > maxSlots {
+			if f.Share > maxShare || f.Queued > maxSlots || f.InFlight > maxSlots {
 				t.Errorf("believed %+v", f)
 			}
 		}
@@ -174,7 +174,7 @@
 // exchanges tell so before the bound of silence.
 func TestPeerThatRefusesExchangesIsSilentAtOnce(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
-	n.SetVMs([]platform.VM{{ID: "vm-a2", FailureDomain: "a", PeerAddress: closedAddress(t)}})
+	n.SetVMs([]platformapi.VM{{ID: "vm-a2", FailureDomain: "a", PeerAddress: closedAddress(t)}})
 	n.review(time.Now())
 	for range failuresUntilSilent {
 		_ = n.exchange(t.Context(), target{vm: "vm-a2", address: n.VMs()[0].PeerAddress})
@@ -213,7 +213,7 @@
 func TestDigestStaysSmall(t *testing.T) {
 	n := newTestNode("vm-tayside-a-017", "tayside-north-a", testPeriod)
 	for i := range 300 {
-		n.flows = append(n.flows, dispatch.FlowDemand{Pool: uint32(i) << 20, Account: uint32(i) << 20, Share: 10000, InFlight: 4000, Waiting: 4000})
+		n.flows = append(n.flows, dispatch.FlowDemand{Pool: uint32(i) << 20, Account: uint32(i) << 20, Share: 10000, InFlight: 4000, Queued: 4000})
 	}
 	d := n.Digest()
 	if size := proto.Size(d); size > 400 {
@@ -226,9 +226,9 @@
 func TestPartnersAreFewInALargeFleet(t *testing.T) {
 	for _, size := range []int{30, 390} {
 		n := newTestNode("vm-000", "d0", testPeriod)
-		var vms []platform.VM
+		var vms []platformapi.VM
 		for i := range size {
-			vms = append(vms, platform.VM{ID: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7), PeerAddress: fmt.Sprint(i)})
+			vms = append(vms, platformapi.VM{ID: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7), PeerAddress: fmt.Sprint(i)})
 		}
 		n.SetVMs(vms)
 		asked := map[string]int{}
@@ -271,14 +271,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	n := newTestNode("vm-000", "a", time.Hour)
-	var vms []platform.VM
+	var vms []platformapi.VM
 	const size = 40
 	for i := 1; i < size; i++ {
 		peer := newTestNode(fmt.Sprintf("vm-%03d", i), "a", time.Hour)
 		peer.view.Advance(&contract.Snapshot{Revision: 5})
-		vms = append(vms, platform.VM{ID: peer.self.VM, FailureDomain: "a", PeerAddress: serveNode(ctx, t, peer)})
+		vms = append(vms, platformapi.VM{ID: peer.self.VM, FailureDomain: "a", PeerAddress: serveNode(ctx, t, peer)})
 	}
-	vms = append(vms, platform.VM{ID: "vm-dead", FailureDomain: "a", PeerAddress: closedAddress(t)})
+	vms = append(vms, platformapi.VM{ID: "vm-dead", FailureDomain: "a", PeerAddress: closedAddress(t)})
 	n.SetVMs(vms)
 	n.view.Advance(&contract.Snapshot{Revision: 5})
 	fleet := NewFleet(n.Gossip, n.client, n.view, n.events)
@@ -301,13 +301,13 @@
 // fullNode is a node that has heard all of 390 VMs.
 func fullNode() *testNode {
 	n := newTestNode("vm-000", "d0", testPeriod)
-	var vms []platform.VM
+	var vms []platformapi.VM
 	for i := range 390 {
-		vm := platform.VM{ID: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7)}
+		vm := platformapi.VM{ID: fmt.Sprintf("vm-%03d", i), FailureDomain: fmt.Sprint("d", i%7)}
 		vms = append(vms, vm)
 		peer := newTestNode(vm.ID, vm.FailureDomain, testPeriod)
 		for a := range uint32(8) {
-			peer.flows = append(peer.flows, dispatch.FlowDemand{Pool: 1, Account: a, Share: 100, Waiting: a})
+			peer.flows = append(peer.flows, dispatch.FlowDemand{Pool: 1, Account: a, Share: 100, Queued: a})
 		}
 		n.Receive(peer.Digest())
 	}
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -7,7 +7,7 @@
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/peer/peerpb"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Known is what a VM knows of a peer from its latest digest.
@@ -48,8 +48,8 @@
 }
 
 // cellMates returns the listed peers of the own failure domain and cell.
-func (g *Gossip) cellMates() []platform.VM {
-	var home []platform.VM
+func (g *Gossip) cellMates() []platformapi.VM {
+	var home []platformapi.VM
 	for _, vm := range g.VMs() {
 		if vm.FailureDomain == g.self.FailureDomain {
 			home = append(home, vm)
@@ -57,7 +57,7 @@
 	}
 	cells := dispatch.CellCount(len(home))
 	own := dispatch.CellOf(g.self.VM, cells)
-	return slices.DeleteFunc(home, func(vm platform.VM) bool {
+	return slices.DeleteFunc(home, func(vm platformapi.VM) bool {
 		return vm.ID == g.self.VM || dispatch.CellOf(vm.ID, cells) != own
 	})
 }
@@ -75,7 +75,7 @@
 	members := []dispatch.Member{{
 		VM:            g.self.VM,
 		FailureDomain: g.self.FailureDomain,
-		Heard:         true,
+		DemandKnown:   true,
 		Flows:         g.sentFlows,
 		Unreachable:   g.sentUnreachable,
 	}}
@@ -99,7 +99,7 @@
 	if state == nil || state.digest == nil {
 		return m
 	}
-	m.Heard = true
+	m.DemandKnown = true
 	m.Flows = readFlows(state.digest)
 	m.Unreachable = firstOf(state.digest.GetUnreachable(), maxUnreachable)
 	return m
@@ -172,7 +172,7 @@
 			Account:  f.GetAccount(),
 			Share:    min(maxShare, f.GetShare()),
 			InFlight: min(maxSlots, f.GetInFlight()),
-			Waiting:  min(maxSlots, f.GetWaiting()),
+			Queued:   min(maxSlots, f.GetWaiting()),
 		})
 	}
 	return flows
@@ -186,7 +186,7 @@
 			Account:  f.Account,
 			Share:    f.Share,
 			InFlight: f.InFlight,
-			Waiting:  f.Waiting,
+			Waiting:  f.Queued,
 		})
 	}
 	return wire
--- a/internal/platform/commit.go
+++ b/internal/platformapi/commit.go
@@ -1,4 +1,4 @@
-package platform
+package platformapi
 
 import (
 	"context"
@@ -24,16 +24,16 @@
 	confirmBackoff = 20 * time.Millisecond
 )
 
-// CommitSurely runs a transaction, and tries to confirm it if its outcome is
+// CommitConfirmed runs a transaction, and tries to confirm it if its outcome is
 // unknown. A commit without an answer may have taken effect, may do so later, or
 // never does. A plain retry would fail the preconditions of the transaction if the
-// first copy took effect, as if another writer had won. Therefore CommitSurely
+// first copy took effect, as if another writer had won. Therefore CommitConfirmed
 // reads the row of the first write, which must not be a deletion. If the row has
 // the nonce of this transaction, the commit took effect. If the row still meets
 // its precondition, the same transaction is sent again. Versions never repeat, so
 // at most one of the copies takes effect.
 //
-// CommitSurely fails with *fault.PreconditionFailed only if no copy has taken
+// CommitConfirmed fails with *fault.PreconditionFailed only if no copy has taken
 // effect or ever will. It fails with *fault.StoreUnavailable, whose EffectUnknown
 // is true, if the store did not answer or the row has been overwritten since.
 //
@@ -41,7 +41,7 @@
 // transaction may delete it later. After a deletion by another writer, a
 // transaction that took effect would look like one that never ran, and would run
 // again.
-func CommitSurely(ctx context.Context, tables Tables, txn Txn) error {
+func CommitConfirmed(ctx context.Context, tables Tables, txn Txn) error {
 	firstErr := tables.Commit(ctx, txn)
 	if !isEffectUnknown(firstErr) {
 		return firstErr
--- a/internal/platform/platformtest/cluster.go
+++ b/internal/platformapi/faultinject/cluster.go
@@ -1,18 +1,18 @@
-// Package platformtest injects faults into calls to the platform. A World is a fake
+// Package faultinject injects faults into calls to the platform. A World is a fake
 // platform with the processes that call it. Each call of a process is a Step, and a
 // Script chooses the Fault that is injected at it. RunMatrix records the steps of a
 // run without faults and injects every fault at each of them, so that no step is
 // left out.
 //
 // Runs are deterministic inside a bubble of testing/synctest.
-package platformtest
+package faultinject
 
 import (
 	"fmt"
 	"sync"
 	"time"
 
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 // Step is one call that a process makes through a port.
@@ -42,9 +42,9 @@
 	LoseRequest
 	// LoseReply drops the reply after the effect.
 	LoseReply
-	// Late lets the caller time out, and delays the effect by For. A call that
+	// DelayEffect lets the caller time out, and delays the effect by For. A call that
 	// changes nothing has no effect at all.
-	Late
+	DelayEffect
 	// KillBefore and KillAfter kill the process.
 	KillBefore
 	KillAfter
@@ -67,17 +67,17 @@
 func (k Kind) String() string { return kindNames[k] }
 
 // Kinds are all kinds of faults but None.
-var Kinds = []Kind{LoseRequest, LoseReply, Late, KillBefore, KillAfter, PauseBefore, PauseAfter, StoreDown, CutOff}
+var Kinds = []Kind{LoseRequest, LoseReply, DelayEffect, KillBefore, KillAfter, PauseBefore, PauseAfter, StoreDown, CutOff}
 
-// EveryLast returns the duration d for every kind of fault that has a duration.
-func EveryLast(d time.Duration) map[Kind]time.Duration {
-	return map[Kind]time.Duration{Late: d, PauseBefore: d, PauseAfter: d, StoreDown: d, CutOff: d}
+// UniformDurations returns the duration d for every kind of fault that has a duration.
+func UniformDurations(d time.Duration) map[Kind]time.Duration {
+	return map[Kind]time.Duration{DelayEffect: d, PauseBefore: d, PauseAfter: d, StoreDown: d, CutOff: d}
 }
 
 // Fault is a fault with its duration, if its kind has one.
 type Fault struct {
-	Kind Kind
-	For  time.Duration
+	Kind     Kind
+	Duration time.Duration
 }
 
 // Script chooses the fault that is injected at a step.
@@ -86,10 +86,10 @@
 // NoFaults is the script of a run without faults.
 func NoFaults(Step) Fault { return Fault{} }
 
-// World is a fake platform and the processes that call it.
-type World struct {
+// Cluster is a fake platform and the processes that call it.
+type Cluster struct {
 	// Rows are the rows of the table service. Direct access to them is not a step.
-	Rows *memory.Tables
+	Rows *memtables.Tables
 
 	mu         sync.Mutex
 	script     Script
@@ -98,47 +98,47 @@
 	downUntil  time.Time
 }
 
-// NewWorld returns a cluster with empty tables.
-func NewWorld(script Script) *World {
-	return &World{Rows: memory.NewTables(), script: script}
+// NewCluster returns a cluster with empty tables.
+func NewCluster(script Script) *Cluster {
+	return &Cluster{Rows: memtables.NewTables(), script: script}
 }
 
 // SetScript replaces the script, for example after the setup of a test.
-func (c *World) SetScript(script Script) {
+func (c *Cluster) SetScript(script Script) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.script = script
 }
 
 // Steps returns the steps of all processes so far.
-func (c *World) Steps() []Step {
+func (c *Cluster) Steps() []Step {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Step(nil), c.steps...)
 }
 
-// Struck returns the number of steps so far at which a fault was injected.
-func (c *World) Struck() int {
+// FaultCount returns the number of steps so far at which a fault was injected.
+func (c *Cluster) FaultCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.faultCount
 }
 
-// TakeDown makes the store unreachable for all processes for d.
-func (c *World) TakeDown(d time.Duration) {
+// TakeStoreDown makes the store unreachable for all processes for d.
+func (c *Cluster) TakeStoreDown(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.downUntil = time.Now().Add(d)
 }
 
-func (c *World) isDown() bool {
+func (c *Cluster) isDown() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Now().Before(c.downUntil)
 }
 
 // record records a step and returns the fault that is injected at it.
-func (c *World) record(step Step) Fault {
+func (c *Cluster) record(step Step) Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.steps = append(c.steps, step)
--- a/internal/platform/platformtest/matrix.go
+++ b/internal/platformapi/faultinject/matrix.go
@@ -1,4 +1,4 @@
-package platformtest
+package faultinject
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 // Protocol is a protocol that RunMatrix tests under faults.
 type Protocol struct {
 	Name string
-	// Lasts gives the duration of each kind of fault that has one: pauses,
+	// Durations gives the duration of each kind of fault that has one: pauses,
 	// outages, network failures and delayed effects.
-	Lasts map[Kind]time.Duration
+	Durations map[Kind]time.Duration
 	// Run runs the protocol on the cluster, and returns an error if the protocol
 	// broke a guarantee. It is called once for each case, in a bubble of
 	// testing/synctest.
-	Run func(cluster *World) error
-	// Pairs limits the pairs of faults for protocols whose runs take long; 0
+	Run func(cluster *Cluster) error
+	// MaxPairs limits the pairs of faults for protocols whose runs take long; 0
 	// means defaultMaxPairs.
-	Pairs int
+	MaxPairs int
 }
 
 const (
@@ -48,7 +48,7 @@
 			singles = append(singles, []injection{{step: step, kind: kind}})
 		}
 	}
-	limit := p.Pairs
+	limit := p.MaxPairs
 	if limit == 0 {
 		limit = defaultMaxPairs
 	}
@@ -69,7 +69,7 @@
 func (p Protocol) steps(t *testing.T) []Step {
 	var steps []Step
 	synctest.Test(t, func(t *testing.T) {
-		cluster := NewWorld(NoFaults)
+		cluster := NewCluster(NoFaults)
 		if err := p.Run(cluster); err != nil {
 			t.Fatalf("%s without faults: %v", p.Name, err)
 		}
@@ -110,7 +110,7 @@
 
 func (p Protocol) runCase(t *testing.T, injections []injection) (err error) {
 	synctest.Test(t, func(*testing.T) {
-		err = p.Run(NewWorld(p.script(injections)))
+		err = p.Run(NewCluster(p.script(injections)))
 	})
 	return err
 }
@@ -123,7 +123,7 @@
 		for i, inj := range injections {
 			if !injected[i] && step.Process == inj.step.Process && step.Index == inj.step.Index {
 				injected[i] = true
-				return Fault{Kind: inj.kind, For: p.Lasts[inj.kind]}
+				return Fault{Kind: inj.kind, Duration: p.Durations[inj.kind]}
 			}
 		}
 		return Fault{}
@@ -147,12 +147,12 @@
 // Supervise runs a process in the background until ctx ends, and restarts it after
 // it was killed. run must return when the context of the process ends; if it returns
 // without a kill, the process is not restarted. group waits for the process.
-func (c *World) Supervise(ctx context.Context, group *sync.WaitGroup, name string, run func(p *Process)) {
+func (c *Cluster) Supervise(ctx context.Context, group *sync.WaitGroup, name string, run func(p *Process)) {
 	group.Go(func() {
 		for {
 			p := c.Start(ctx, name)
 			run(p)
-			killed := p.Dead()
+			killed := p.Killed()
 			p.Stop()
 			if ctx.Err() != nil || !killed {
 				return
