--- a/internal/platform/platformtest/process.go
+++ b/internal/platformapi/faultinject/process.go
@@ -1,4 +1,4 @@
-package platformtest
+package faultinject
 
 import (
 	"context"
@@ -9,17 +9,17 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // CallTimeout is the time after which a call without an answer fails.
 const CallTimeout = 3 * time.Second
 
 // Process is a process of the system under test that makes calls to the platform. It
-// implements platform.Tables; tests make the calls of other ports through Call.
+// implements platformapi.Tables; tests make the calls of other ports through Call.
 type Process struct {
 	Name    string
-	cluster *World
+	cluster *Cluster
 	// cancel ends Context.
 	cancel context.CancelFunc
 	// Context ends when the process is killed or stopped.
@@ -33,7 +33,7 @@
 }
 
 // Start returns a new process of the cluster. Its context is derived from ctx.
-func (c *World) Start(ctx context.Context, name string) *Process {
+func (c *Cluster) Start(ctx context.Context, name string) *Process {
 	ctx, cancel := context.WithCancel(ctx)
 	return &Process{Name: name, cluster: c, cancel: cancel, Context: ctx}
 }
@@ -47,8 +47,8 @@
 	p.cancel()
 }
 
-// Dead reports whether the process was killed.
-func (p *Process) Dead() bool {
+// Killed reports whether the process was killed.
+func (p *Process) Killed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killed
@@ -109,23 +109,23 @@
 func (p *Process) Call(ctx context.Context, call, subject string, mutates bool, effect func() error) error {
 	p.awaitResume()
 	noAnswer := errors.WithStack(&fault.StoreUnavailable{Operation: call, EffectUnknown: mutates})
-	if p.Dead() || ctx.Err() != nil {
+	if p.Killed() || ctx.Err() != nil {
 		return noAnswer
 	}
 	f := p.cluster.record(p.nextStep(call, subject))
 	p.injectBefore(f)
-	if p.Dead() {
+	if p.Killed() {
 		return noAnswer
 	}
-	if f.Kind == Late && mutates {
+	if f.Kind == DelayEffect && mutates {
 		go func() {
-			time.Sleep(f.For)
+			time.Sleep(f.Duration)
 			_ = effect()
 		}()
 		awaitTimeout(ctx)
 		return noAnswer
 	}
-	if f.Kind == LoseRequest || f.Kind == Late || p.unreachable(call) {
+	if f.Kind == LoseRequest || f.Kind == DelayEffect || p.unreachable(call) {
 		awaitTimeout(ctx)
 		return noAnswer
 	}
@@ -134,7 +134,7 @@
 	if f.Kind == LoseReply {
 		awaitTimeout(ctx)
 	}
-	if f.Kind == LoseReply || p.Dead() {
+	if f.Kind == LoseReply || p.Killed() {
 		return noAnswer
 	}
 	return err
@@ -153,12 +153,12 @@
 	case KillBefore:
 		p.Kill()
 	case PauseBefore:
-		p.Pause(f.For)
+		p.Pause(f.Duration)
 		p.awaitResume()
 	case StoreDown:
-		p.cluster.TakeDown(f.For)
+		p.cluster.TakeStoreDown(f.Duration)
 	case CutOff:
-		p.CutOff(f.For)
+		p.CutOff(f.Duration)
 	default:
 	}
 }
@@ -168,7 +168,7 @@
 	case KillAfter:
 		p.Kill()
 	case PauseAfter:
-		p.Pause(f.For)
+		p.Pause(f.Duration)
 		p.awaitResume()
 	default:
 	}
@@ -183,22 +183,22 @@
 	}
 }
 
-// Get implements platform.Tables.
-func (p *Process) Get(ctx context.Context, key string) (platform.Row, error) {
-	var row platform.Row
+// Get implements platformapi.Tables.
+func (p *Process) Get(ctx context.Context, key string) (platformapi.Row, error) {
+	var row platformapi.Row
 	err := p.Call(ctx, "get", key, false, func() (err error) {
 		row, err = p.cluster.Rows.Get(ctx, key)
 		return err
 	})
 	if err != nil {
-		return platform.Row{}, err
+		return platformapi.Row{}, err
 	}
 	return row, nil
 }
 
-// Scan implements platform.Tables.
-func (p *Process) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
-	var rows []platform.Row
+// Scan implements platformapi.Tables.
+func (p *Process) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
+	var rows []platformapi.Row
 	err := p.Call(ctx, "scan", prefix, false, func() (err error) {
 		rows, err = p.cluster.Rows.Scan(ctx, prefix, after, limit)
 		return err
@@ -209,8 +209,8 @@
 	return rows, nil
 }
 
-// Commit implements platform.Tables.
-func (p *Process) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables.
+func (p *Process) Commit(ctx context.Context, txn platformapi.Txn) error {
 	return p.Call(ctx, "commit", txn.Writes[0].Key, true, func() error {
 		return p.cluster.Rows.Commit(ctx, txn)
 	})
--- a/internal/platform/platformtest/store_test.go
+++ b/internal/platformapi/faultinject/store_test.go
@@ -1,11 +1,11 @@
-package platformtest
+package faultinject
 
 import (
 	"testing"
 	"testing/synctest"
 
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 // Guards against a data race between a delayed effect and the result of its caller.
@@ -13,10 +13,10 @@
 func TestDelayedCommitDoesNotRaceWithCaller(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			cluster := NewWorld(func(Step) Fault { return Fault{Kind: Late, For: CallTimeout} })
+			cluster := NewCluster(func(Step) Fault { return Fault{Kind: DelayEffect, Duration: CallTimeout} })
 			p := cluster.Start(t.Context(), "vm")
-			key := kept.Key{Table: "t", Name: "row"}
-			version, err := p.Kept(memory.New()).Commit(t.Context(), kept.Txn{Puts: []kept.Put{{Key: key}}})
+			key := rowstore.Key{Table: "t", Name: "row"}
+			version, err := p.OpenStore(memory.New()).Commit(t.Context(), rowstore.Txn{Puts: []rowstore.Put{{Key: key}}})
 			if err == nil || version != 0 {
 				t.Errorf("Commit = %d, %v", version, err)
 			}
--- a/internal/platform/http.go
+++ b/internal/platformapi/http.go
@@ -1,4 +1,4 @@
-package platform
+package platformapi
 
 import (
 	"bytes"
@@ -52,8 +52,8 @@
 	Key string `json:"key"`
 }
 
-// Problem is the body of a response in which the platform refuses a request.
-type Problem struct {
+// Refusal is the body of a response in which the platform refuses a request.
+type Refusal struct {
 	// Row, Want and Have are set if a precondition failed: the row, the version
 	// that was required, and the version that the row has.
 	Row  string `json:"row,omitempty"`
@@ -181,7 +181,7 @@
 	return c.versions.fetch(ctx, c, PathWeights)
 }
 
-func fencedStatusError(status int, problem Problem, id, operation string) error {
+func fencedStatusError(status int, problem Refusal, id, operation string) error {
 	if status == http.StatusPreconditionFailed {
 		return errors.WithStack(&fault.OrderFenced{Order: id, Epoch: problem.Epoch})
 	}
@@ -224,16 +224,16 @@
 	return nil
 }
 
-func (c *Client) send(ctx context.Context, client *http.Client, path string, request any) (int, Problem, error) {
+func (c *Client) send(ctx context.Context, client *http.Client, path string, request any) (int, Refusal, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return 0, Problem{}, errors.WithStack(&fault.Internal{Where: path})
+		return 0, Refusal{}, errors.WithStack(&fault.Internal{Where: path})
 	}
 	status, answer, err := c.callWith(ctx, client, http.MethodPost, path, body)
 	if err != nil {
-		return 0, Problem{}, err
+		return 0, Refusal{}, err
 	}
-	var problem Problem
+	var problem Refusal
 	if status >= http.StatusBadRequest {
 		// The status alone decides if the body can't be decoded.
 		_ = json.Unmarshal(answer, &problem)
--- a/internal/platform/memory/tables.go
+++ b/internal/platformapi/memtables/tables.go
@@ -1,6 +1,6 @@
-// Package memory implements the table service in memory, for the stand-in platform
+// Package memtables implements the table service in memory, for the stand-in platform
 // and for unit tests.
-package memory
+package memtables
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
-// Tables implements platform.Tables in memory. Its only error is
+// Tables implements platformapi.Tables in memory. Its only error is
 // *fault.PreconditionFailed.
 type Tables struct {
 	mu   sync.Mutex
-	rows map[string]platform.Row
+	rows map[string]platformapi.Row
 	// lastVersion holds the last version of each key, also of deleted rows, so
 	// that versions never repeat.
 	lastVersion map[string]uint64
@@ -30,28 +30,28 @@
 
 // NewTables returns empty tables.
 func NewTables() *Tables {
-	return &Tables{rows: make(map[string]platform.Row), lastVersion: make(map[string]uint64)}
+	return &Tables{rows: make(map[string]platformapi.Row), lastVersion: make(map[string]uint64)}
 }
 
-// Get implements platform.Tables.
-func (t *Tables) Get(_ context.Context, key string) (platform.Row, error) {
+// Get implements platformapi.Tables.
+func (t *Tables) Get(_ context.Context, key string) (platformapi.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
 	row, ok := t.rows[key]
 	if !ok {
-		return platform.Row{Key: key}, nil
+		return platformapi.Row{Key: key}, nil
 	}
 	return row, nil
 }
 
-// Scan implements platform.Tables.
-func (t *Tables) Scan(_ context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+// Scan implements platformapi.Tables.
+func (t *Tables) Scan(_ context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
 	start, _ := slices.BinarySearch(t.keys, max(prefix, after))
-	var rows []platform.Row
+	var rows []platformapi.Row
 	for _, key := range t.keys[start:] {
 		if len(rows) == limit || !strings.HasPrefix(key, prefix) {
 			break
@@ -64,8 +64,8 @@
 	return rows, nil
 }
 
-// Commit implements platform.Tables.
-func (t *Tables) Commit(_ context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables.
+func (t *Tables) Commit(_ context.Context, txn platformapi.Txn) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, p := range txn.Preconditions {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (t *Tables) apply(nonce string, w platform.Write) {
+func (t *Tables) apply(nonce string, w platformapi.Write) {
 	i, found := slices.BinarySearch(t.keys, w.Key)
 	if w.Delete {
 		if found {
@@ -93,7 +93,7 @@
 		t.keys = slices.Insert(t.keys, i, w.Key)
 	}
 	t.lastVersion[w.Key]++
-	t.rows[w.Key] = platform.Row{
+	t.rows[w.Key] = platformapi.Row{
 		Key:     w.Key,
 		Version: t.lastVersion[w.Key],
 		Nonce:   nonce,
--- a/internal/platform/platform.go
+++ b/internal/platformapi/platform.go
@@ -1,8 +1,8 @@
-// Package platform defines the ports to the services of the users' platform, and
+// Package platformapi defines the ports to the services of the users' platform, and
 // implements them by a client of its HTTP/JSON interfaces. The wire formats of the
 // real platform are not known yet. A change of them affects only http.go, lists.go
 // and the JSON tags in this package.
-package platform
+package platformapi
 
 import (
 	"context"
--- a/internal/platform/value.go
+++ b/internal/platformapi/value.go
@@ -1,4 +1,4 @@
-package platform
+package platformapi
 
 import (
 	"encoding/json"
--- a/internal/processtest/control_test.go
+++ b/internal/processtest/control_test.go
@@ -10,14 +10,14 @@
 
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/standin"
 )
 
 // publish publishes the next weight version and returns its number.
 func (f *fleet) publish() int64 {
 	f.t.Helper()
-	var published platform.WeightVersion
+	var published platformapi.WeightVersion
 	_, answer := f.call(http.MethodPost, f.platformURL+standin.PathPublish, fmt.Appendf(nil, `{"model":%q}`, model), nil)
 	if err := json.Unmarshal(answer, &published); err != nil {
 		f.t.Fatal(err)
@@ -134,9 +134,9 @@
 }
 
 // reports returns the usage reports that billing accepted.
-func (f *fleet) reports() []platform.UsageReport {
+func (f *fleet) reports() []platformapi.UsageReport {
 	f.t.Helper()
-	var accepted []platform.UsageReport
+	var accepted []platformapi.UsageReport
 	_, answer := f.call(http.MethodGet, f.platformURL+standin.PathReportLog, nil, nil)
 	if err := json.Unmarshal(answer, &accepted); err != nil {
 		f.t.Fatal(err)
@@ -171,7 +171,7 @@
 func TestUsageIsReportedAfterVMIsKilled(t *testing.T) {
 	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 2})
 	key := f.grant(testContract("strathallan"))
-	f.addFault(f.platformURL, standin.Fault{Path: platform.PathReports, Mode: standin.FaultLoseReply, Count: 2})
+	f.addFault(f.platformURL, standin.Fault{Path: platformapi.PathReports, Mode: standin.FaultLoseReply, Count: 2})
 	const calls = 10
 	served := int64(0)
 	for _, v := range f.vms {
@@ -214,13 +214,13 @@
 	c.Spending.CentsPerHour = 250
 	key := f.grant(c)
 	for n := range 3 {
-		u := platform.Upstream{
-			ID: fmt.Sprintf("spare-%d", n), Kind: platform.KindEngine, FailureDomain: "a",
+		u := platformapi.Upstream{
+			ID: fmt.Sprintf("spare-%d", n), Kind: platformapi.KindEngine, FailureDomain: "a",
 			State: "spare", Model: model, Slots: 8, CentsPerHour: 100,
 		}
 		f.startUpstream(u, []string{"engine"})
 	}
-	f.addFault(f.platformURL, standin.Fault{Path: platform.PathOrders, Mode: standin.FaultLoseReply, Count: 1})
+	f.addFault(f.platformURL, standin.Fault{Path: platformapi.PathOrders, Mode: standin.FaultLoseReply, Count: 1})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	for range 24 {
@@ -237,8 +237,8 @@
 		}()
 	}
 	running := func() int {
-		var listed []platform.Upstream
-		_, answer := f.call(http.MethodGet, f.platformURL+platform.PathUpstreams, nil, nil)
+		var listed []platformapi.Upstream
+		_, answer := f.call(http.MethodGet, f.platformURL+platformapi.PathUpstreams, nil, nil)
 		if err := json.Unmarshal(answer, &listed); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/processtest/eviction_test.go
+++ b/internal/processtest/eviction_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/standin"
 )
 
@@ -21,9 +21,9 @@
 	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 1, engineArgs: slow})
 	var reclaimable []upstreamProcess
 	for n := range 2 {
-		u := platform.Upstream{
-			ID: fmt.Sprintf("cheap-b%d", n+1), Kind: platform.KindEngine, FailureDomain: "b",
-			State: platform.UpstreamLive, Model: model, Slots: 8, Reclaimable: true,
+		u := platformapi.Upstream{
+			ID: fmt.Sprintf("cheap-b%d", n+1), Kind: platformapi.KindEngine, FailureDomain: "b",
+			State: platformapi.UpstreamLive, Model: model, Slots: 8, Reclaimable: true,
 		}
 		reclaimable = append(reclaimable, f.startUpstream(u, append([]string{"engine"}, slow...)))
 	}
@@ -121,7 +121,7 @@
 	f.t.Helper()
 	if notice > 0 {
 		for _, e := range engines {
-			e.State = platform.UpstreamLeaving
+			e.State = platformapi.UpstreamLeaving
 			f.setUpstream(e.Upstream)
 		}
 		time.Sleep(notice)
--- a/internal/processtest/fleet_test.go
+++ b/internal/processtest/fleet_test.go
@@ -13,7 +13,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/operator"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/standin"
 )
 
@@ -44,7 +44,7 @@
 // upstreamProcess is a stand-in engine or service.
 type upstreamProcess struct {
 	*process
-	platform.Upstream
+	platformapi.Upstream
 }
 
 // fleet is a platform with upstreams and VMs, each a process of its own. The
@@ -103,22 +103,22 @@
 
 func (f *fleet) startUpstreams(domain string) {
 	for n := range f.topology.engines {
-		u := platform.Upstream{
-			ID: fmt.Sprintf("engine-%s%d", domain, n+1), Kind: platform.KindEngine, FailureDomain: domain,
-			State: platform.UpstreamLive, Model: model, Slots: 8,
+		u := platformapi.Upstream{
+			ID: fmt.Sprintf("engine-%s%d", domain, n+1), Kind: platformapi.KindEngine, FailureDomain: domain,
+			State: platformapi.UpstreamLive, Model: model, Slots: 8,
 		}
 		f.engines = append(f.engines, f.startUpstream(u, append([]string{"engine"}, f.topology.engineArgs...)))
 	}
 	for n := range f.topology.services {
-		u := platform.Upstream{
-			ID: fmt.Sprintf("desk-%s%d", domain, n+1), Kind: platform.KindService, FailureDomain: domain,
-			State: platform.UpstreamLive, Service: "desk", Slots: 64,
+		u := platformapi.Upstream{
+			ID: fmt.Sprintf("desk-%s%d", domain, n+1), Kind: platformapi.KindService, FailureDomain: domain,
+			State: platformapi.UpstreamLive, Service: "desk", Slots: 64,
 		}
 		f.services = append(f.services, f.startUpstream(u, []string{"service"}))
 	}
 }
 
-func (f *fleet) startUpstream(u platform.Upstream, args []string) upstreamProcess {
+func (f *fleet) startUpstream(u platformapi.Upstream, args []string) upstreamProcess {
 	f.t.Helper()
 	p := start(f.t, u.ID, "dogwoodpond-standin", args...)
 	u.Address = p.find(f.t, `listening (\S+)`)[1]
@@ -128,7 +128,7 @@
 
 // setUpstream adds or replaces an entry in the platform's list of upstreams, for
 // example to list it as leaving.
-func (f *fleet) setUpstream(u platform.Upstream) {
+func (f *fleet) setUpstream(u platformapi.Upstream) {
 	f.t.Helper()
 	f.post(f.platformURL+standin.PathAddUpstream, u)
 }
@@ -163,7 +163,7 @@
 
 func (f *fleet) register(v *vm) {
 	f.t.Helper()
-	f.post(f.platformURL+standin.PathAddVM, platform.VM{
+	f.post(f.platformURL+standin.PathAddVM, platformapi.VM{
 		ID: v.id, FailureDomain: v.domain, Region: region, CallerAddress: v.callerAddress, PeerAddress: v.peerAddress,
 	})
 }
--- a/internal/processtest/leaving_test.go
+++ b/internal/processtest/leaving_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/standin"
 )
 
@@ -27,8 +27,8 @@
 	l.run("unkeyed", 4, l.unkeyed)
 	engine, service := f.engines[0], f.services[0]
 	await(t, "work at the engine and the service", func() bool { return f.counts(engine).Started > 10 && f.counts(service).Started > 10 })
-	for _, u := range []platform.Upstream{engine.Upstream, service.Upstream} {
-		u.State = platform.UpstreamLeaving
+	for _, u := range []platformapi.Upstream{engine.Upstream, service.Upstream} {
+		u.State = platformapi.UpstreamLeaving
 		f.setUpstream(u)
 	}
 	time.Sleep(leavingGracePeriod)
--- a/internal/processtest/network_test.go
+++ b/internal/processtest/network_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // network relays all traffic between failure domains and to the platform, so that
@@ -133,8 +133,8 @@
 func (n *network) rewrite(domain, path string, answer []byte) []byte {
 	var changed any
 	switch path {
-	case platform.PathVMs:
-		var vms []platform.VM
+	case platformapi.PathVMs:
+		var vms []platformapi.VM
 		if json.Unmarshal(answer, &vms) != nil {
 			return answer
 		}
@@ -142,8 +142,8 @@
 			vms[i].PeerAddress = n.relay(link{domain, v.FailureDomain}, v.PeerAddress)
 		}
 		changed = vms
-	case platform.PathUpstreams:
-		var upstreams []platform.Upstream
+	case platformapi.PathUpstreams:
+		var upstreams []platformapi.Upstream
 		if json.Unmarshal(answer, &upstreams) != nil {
 			return answer
 		}
--- a/internal/provision/ledger.go
+++ b/internal/provision/ledger.go
@@ -12,7 +12,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // State is how far a reservation is.
@@ -89,7 +89,7 @@
 
 // Reconcile moves the reservations of one failure domain to what the platform's
 // list shows.
-func (l Ledger) Reconcile(domain string, listed []platform.Upstream) Ledger {
+func (l Ledger) Reconcile(domain string, listed []platformapi.Upstream) Ledger {
 	next := l
 	next.Reservations = slices.Clone(l.Reservations)
 	for i, r := range next.Reservations {
@@ -105,15 +105,15 @@
 	return next
 }
 
-func find(r Reservation, listed []platform.Upstream) int {
-	return slices.IndexFunc(listed, func(u platform.Upstream) bool { return u.OrderID == r.Order })
+func find(r Reservation, listed []platformapi.Upstream) int {
+	return slices.IndexFunc(listed, func(u platformapi.Upstream) bool { return u.OrderID == r.Order })
 }
 
 // Orphans returns the listed upstreams of the account in a failure domain that
 // no reservation pays for: a start order that was under way for longer than its
 // reservation was held.
-func (l Ledger) Orphans(domain string, listed []platform.Upstream) []platform.Upstream {
-	var orphans []platform.Upstream
+func (l Ledger) Orphans(domain string, listed []platformapi.Upstream) []platformapi.Upstream {
+	var orphans []platformapi.Upstream
 	for _, u := range listed {
 		if u.FailureDomain != domain || u.Account != string(l.Account) || u.OrderID == "" {
 			continue
--- a/internal/provision/plan.go
+++ b/internal/provision/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Demand is the work of one account for one pool in a failure domain.
@@ -54,7 +54,7 @@
 
 // Plan returns at most one action for a demand, so that the effect of each is
 // seen before the next.
-func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platform.Offer) (Action, bool) {
+func (p *Planner) Plan(d Demand, c contract.Contract, l Ledger, offers []platformapi.Offer) (Action, bool) {
 	key := d.key()
 	own := p.own(d, l)
 	if over := overSpending(own, l, c); over != nil {
@@ -120,15 +120,15 @@
 }
 
 // start picks the cheapest offer that the contract allows.
-func (p *Planner) start(d Demand, c contract.Contract, l Ledger, own []Reservation, offers []platform.Offer) (Action, bool) {
-	var fit []platform.Offer
+func (p *Planner) start(d Demand, c contract.Contract, l Ledger, own []Reservation, offers []platformapi.Offer) (Action, bool) {
+	var fit []platformapi.Offer
 	for _, o := range offers {
 		matches := o.FailureDomain == p.domain && o.Model == d.Model && o.Available > 0
 		if matches && (!o.Reclaimable || reclaimableFits(c, own)) {
 			fit = append(fit, o)
 		}
 	}
-	slices.SortFunc(fit, func(a, b platform.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
+	slices.SortFunc(fit, func(a, b platformapi.Offer) int { return cmp.Compare(a.CentsPerHour, b.CentsPerHour) })
 	for _, o := range fit {
 		r := Reservation{
 			FailureDomain: p.domain,
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -14,8 +14,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 const (
@@ -36,15 +36,15 @@
 	spare    map[string]int
 	epochs   map[string]uint64
 	done     map[string]bool
-	running  []platform.Upstream
+	running  []platformapi.Upstream
 	late     []lateOrder
-	listed   []platform.Upstream
+	listed   []platformapi.Upstream
 	starts   int
 	overruns int
 }
 
 type lateOrder struct {
-	order platform.Order
+	order platformapi.Order
 	at    time.Time
 }
 
@@ -63,7 +63,7 @@
 	return m
 }
 
-func (m *market) Order(_ context.Context, o platform.Order) error {
+func (m *market) Order(_ context.Context, o platformapi.Order) error {
 	m.land()
 	if m.random.IntN(100) >= m.percent {
 		return m.carryOut(o)
@@ -95,7 +95,7 @@
 	m.late = waiting
 }
 
-func (m *market) carryOut(o platform.Order) error {
+func (m *market) carryOut(o platformapi.Order) error {
 	if m.fences && o.Epoch < m.epochs[o.FailureDomain] {
 		return errors.WithStack(&fault.OrderFenced{Order: o.ID, Epoch: o.Epoch})
 	}
@@ -103,7 +103,7 @@
 	if m.done[o.ID] {
 		return nil
 	}
-	if o.Kind == platform.OrderStop {
+	if o.Kind == platformapi.OrderStop {
 		m.stop(o.Upstream)
 		m.done[o.ID] = true
 		return nil
@@ -114,11 +114,11 @@
 	m.done[o.ID] = true
 	m.spare[o.FailureDomain]--
 	m.starts++
-	m.running = append(m.running, platform.Upstream{
+	m.running = append(m.running, platformapi.Upstream{
 		ID:            fmt.Sprintf("u%d", m.starts),
-		Kind:          platform.KindEngine,
+		Kind:          platformapi.KindEngine,
 		FailureDomain: o.FailureDomain,
-		State:         platform.UpstreamLive,
+		State:         platformapi.UpstreamLive,
 		Model:         o.Model,
 		Account:       o.Account,
 		OrderID:       o.ID,
@@ -143,15 +143,15 @@
 // refresh lets the list catch up with what runs.
 func (m *market) refresh() {
 	m.land()
-	m.listed = append([]platform.Upstream(nil), m.running...)
+	m.listed = append([]platformapi.Upstream(nil), m.running...)
 }
 
-func (m *market) Upstreams(context.Context) ([]platform.Upstream, error) { return m.listed, nil }
+func (m *market) Upstreams(context.Context) ([]platformapi.Upstream, error) { return m.listed, nil }
 
-func (m *market) Offers(context.Context) ([]platform.Offer, error) {
-	var offers []platform.Offer
+func (m *market) Offers(context.Context) ([]platformapi.Offer, error) {
+	var offers []platformapi.Offer
 	for d, n := range m.spare {
-		offers = append(offers, platform.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
+		offers = append(offers, platformapi.Offer{FailureDomain: d, Model: model, CentsPerHour: price, Available: max(n, 1)})
 	}
 	return offers, nil
 }
@@ -163,7 +163,7 @@
 func (h held) Epoch() uint64     { return uint64(h) }
 func (held) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newProvisioner(domain string, tables platform.Tables, m *market) *Provisioner {
+func newProvisioner(domain string, tables platformapi.Tables, m *market) *Provisioner {
 	started := time.Now()
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 	return NewProvisioner(domain, tables, m, events, func() time.Duration { return time.Since(started) })
@@ -172,12 +172,12 @@
 // interleaved runs another holder now and then between a holder's read and its
 // next call.
 type interleaved struct {
-	platform.Tables
+	platformapi.Tables
 	random    *rand.Rand
 	meanwhile func()
 }
 
-func (i *interleaved) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
+func (i *interleaved) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
 	rows, err := i.Tables.Scan(ctx, prefix, after, limit)
 	if other := i.meanwhile; other != nil && i.random.IntN(6) == 0 {
 		i.meanwhile = nil
@@ -208,7 +208,7 @@
 func TestWorkIsServedUpToTheContractsSpending(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
 		for range 60 {
 			for _, p := range []*Provisioner{a, b} {
@@ -250,7 +250,7 @@
 	random := rand.New(rand.NewPCG(seed, 2))
 	m := newMarket(random, 30, "a", "b")
 	m.fences = seed%2 == 0
-	tables := &interleaved{Tables: memory.NewTables(), random: random}
+	tables := &interleaved{Tables: memtables.NewTables(), random: random}
 	holders := []*Provisioner{
 		newProvisioner("a", tables, m), newProvisioner("a", tables, m),
 		newProvisioner("b", tables, m), newProvisioner("b", tables, m),
@@ -288,7 +288,7 @@
 func TestSuccessorDoesNotRepeatAnOrderThatTookEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a")
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		first := newProvisioner("a", tables, m)
 		for range startAfter {
 			if err := tick(t, first, 1, m, 5, 0); err != nil {
@@ -318,7 +318,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newMarket(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
 		m.spare["b"] = 10
-		tables := memory.NewTables()
+		tables := memtables.NewTables()
 		a, b := newProvisioner("a", tables, m), newProvisioner("b", tables, m)
 		m.onlyLate = true
 		for range 100 {
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // LedgerPrefix starts the keys of the spending rows.
@@ -24,8 +24,8 @@
 // under the failure domain's lease.
 type Provisioner struct {
 	domain  string
-	tables  platform.Tables
-	orders  platform.Upstreams
+	tables  platformapi.Tables
+	orders  platformapi.Upstreams
 	events  *event.Recorder
 	planner *Planner
 	elapsed func() time.Duration
@@ -37,7 +37,7 @@
 }
 
 // NewProvisioner returns a provisioner; elapsed returns a monotonic time.
-func NewProvisioner(domain string, tables platform.Tables, orders platform.Upstreams, events *event.Recorder, elapsed func() time.Duration) *Provisioner {
+func NewProvisioner(domain string, tables platformapi.Tables, orders platformapi.Upstreams, events *event.Recorder, elapsed func() time.Duration) *Provisioner {
 	return &Provisioner{
 		domain:    domain,
 		tables:    tables,
@@ -53,8 +53,8 @@
 // Round is what a round of orders is decided on.
 type Round struct {
 	// Listed must have been read after the lease was taken.
-	Listed    []platform.Upstream
-	Offers    []platform.Offer
+	Listed    []platformapi.Upstream
+	Offers    []platformapi.Offer
 	Demands   []Demand
 	Contracts map[contract.Account]contract.Contract
 }
@@ -70,7 +70,7 @@
 	for _, d := range p.complete(round, accounts) {
 		kept, ok := accounts[d.Account]
 		if !ok {
-			kept = keptLedger{ledger: Ledger{Account: d.Account}, row: platform.Row{Key: LedgerPrefix + string(d.Account)}}
+			kept = keptLedger{ledger: Ledger{Account: d.Account}, row: platformapi.Row{Key: LedgerPrefix + string(d.Account)}}
 		}
 		kept, err := p.step(ctx, guard, round, d, kept)
 		if err != nil {
@@ -84,7 +84,7 @@
 // keptLedger is a ledger with the row that it was read from.
 type keptLedger struct {
 	ledger Ledger
-	row    platform.Row
+	row    platformapi.Row
 }
 
 // maxLedgers bounds the accounts of one scan; a fleet has fewer.
@@ -159,10 +159,10 @@
 	if err != nil {
 		return kept, errors.WithStack(&fault.Internal{Where: "ledger"})
 	}
-	err = platform.CommitSurely(ctx, p.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: kept.row.Key, Version: kept.row.Version}},
-		Writes:        []platform.Write{{Key: kept.row.Key, Value: value}},
+	err = platformapi.CommitConfirmed(ctx, p.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: kept.row.Key, Version: kept.row.Version}},
+		Writes:        []platformapi.Write{{Key: kept.row.Key, Value: value}},
 	})
 	if err != nil {
 		return kept, err
@@ -179,7 +179,7 @@
 
 // reconcile writes what the platform's list shows, and releases reservations
 // that had nothing to pay for during the hold.
-func (p *Provisioner) reconcile(ctx context.Context, kept keptLedger, listed []platform.Upstream) (keptLedger, error) {
+func (p *Provisioner) reconcile(ctx context.Context, kept keptLedger, listed []platformapi.Upstream) (keptLedger, error) {
 	next := kept.ledger.Reconcile(p.domain, listed)
 	for _, r := range next.Reservations {
 		if r.FailureDomain == p.domain && p.expired(r, find(r, listed) >= 0) {
@@ -210,7 +210,7 @@
 // repeatOrders sends the orders again whose effect has not been seen, and stops
 // upstreams that nobody pays for. Orders keep their IDs, so one that took effect
 // is not carried out twice.
-func (p *Provisioner) repeatOrders(ctx context.Context, guard fence.Guard, kept keptLedger, listed []platform.Upstream) (keptLedger, error) {
+func (p *Provisioner) repeatOrders(ctx context.Context, guard fence.Guard, kept keptLedger, listed []platformapi.Upstream) (keptLedger, error) {
 	for _, u := range kept.ledger.Orphans(p.domain, listed) {
 		if err := p.send(ctx, guard, stopOrder(p.domain, u.OrderID, u.ID)); final(err) {
 			return kept, err
@@ -257,10 +257,10 @@
 
 // sendStart sends a start order. A refusal is noted in the ledger.
 func (p *Provisioner) sendStart(ctx context.Context, guard fence.Guard, kept keptLedger, r Reservation) (keptLedger, error) {
-	err := p.send(ctx, guard, platform.Order{
+	err := p.send(ctx, guard, platformapi.Order{
 		ID:            r.Order,
 		FailureDomain: r.FailureDomain,
-		Kind:          platform.OrderStart,
+		Kind:          platformapi.OrderStart,
 		Account:       string(kept.ledger.Account),
 		Model:         r.Model,
 		Adapter:       r.Adapter,
@@ -287,23 +287,23 @@
 	return kept, p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
 }
 
-func stopOrder(domain, startOrder, upstream string) platform.Order {
-	return platform.Order{
+func stopOrder(domain, startOrder, upstream string) platformapi.Order {
+	return platformapi.Order{
 		ID:            startOrder + "/stop",
 		FailureDomain: domain,
-		Kind:          platform.OrderStop,
+		Kind:          platformapi.OrderStop,
 		Upstream:      upstream,
 	}
 }
 
-func (p *Provisioner) send(ctx context.Context, guard fence.Guard, order platform.Order) error {
+func (p *Provisioner) send(ctx context.Context, guard fence.Guard, order platformapi.Order) error {
 	if err := guard.Check(); err != nil {
 		return err
 	}
 	order.Epoch = guard.Epoch()
 	subject := event.Subject{Upstream: order.Upstream, Account: order.Account, Epoch: order.Epoch, Detail: string(order.Kind)}
 	p.events.Emit(event.OrderGiven, subject)
-	err := p.orders.Order(fence.Context(ctx, guard), order)
+	err := p.orders.Order(fence.WithGuard(ctx, guard), order)
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
 		p.events.Emit(event.OrderFailed, subject)
--- a/internal/carry/carry.go
+++ b/internal/relay/carry.go
@@ -1,9 +1,9 @@
-// Package carry relays calls to the platform's store through another VM for a VM that can't
+// Package relay relays calls to the platform's store through another VM for a VM that can't
 // reach the store itself. The store may refuse some VMs while it serves others, and a network
 // partition may cut some VMs off; without relays a third of the fleet would be unusable for
 // minutes. The VMs of a fleet trust each other. A relayed commit is as safe as a direct one,
 // because its expectations protect it on either path.
-package carry
+package relay
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"storj.io/drpc/drpcpool"
 	"storj.io/drpc/drpcserver"
 
-	"dogwoodpond/internal/carry/carrypb"
 	"dogwoodpond/internal/fault"
+	"dogwoodpond/internal/relay/carrypb"
 )
 
 const (
@@ -47,12 +47,12 @@
 	Body   []byte
 }
 
-// Direct is a function that makes a call to the store itself, not through a peer. If it fails,
+// CallFunc is a function that makes a call to the store itself, not through a peer. If it fails,
 // sent is true if the call may have reached the store.
-type Direct func(ctx context.Context, call Call) (answer Answer, sent bool, err error)
+type CallFunc func(ctx context.Context, call Call) (answer Answer, sent bool, err error)
 
 // Serve relays the calls that peers make on a listener, by callStore, until ctx ends.
-func Serve(ctx context.Context, listener net.Listener, callStore Direct) error {
+func Serve(ctx context.Context, listener net.Listener, callStore CallFunc) error {
 	mux := drpcmux.New()
 	if err := carrypb.DRPCRegisterCarrier(mux, &server{callStore: callStore}); err != nil {
 		return errors.WithStack(&fault.Internal{Where: "registration of the relay service"})
@@ -60,7 +60,7 @@
 	return drpcserver.New(mux).Serve(ctx, listener)
 }
 
-type server struct{ callStore Direct }
+type server struct{ callStore CallFunc }
 
 // Carry implements carrypb.DRPCCarrierServer.
 func (s *server) Carry(ctx context.Context, in *carrypb.Call) (*carrypb.Answer, error) {
@@ -88,9 +88,9 @@
 // Close closes the pooled connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// Carry makes a call to the store through the peer at an address. If it fails, sent is true if
+// Relay makes a call to the store through the peer at an address. If it fails, sent is true if
 // the call may have reached the store.
-func (c *Client) Carry(ctx context.Context, address string, call Call) (answer Answer, sent bool, err error) {
+func (c *Client) Relay(ctx context.Context, address string, call Call) (answer Answer, sent bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout+peerMargin)
 	defer cancel()
 	dialed := false
--- a/internal/carry/selector.go
+++ b/internal/relay/selector.go
@@ -1,4 +1,4 @@
-package carry
+package relay
 
 import (
 	"math/rand/v2"
@@ -64,23 +64,23 @@
 	return 1
 }
 
-// Carried records that a peer relayed a call.
-func (s *Selector) Carried(peer string) {
+// NoteSuccess records that a peer relayed a call.
+func (s *Selector) NoteSuccess(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.preferred, s.failures = peer, 0
 	delete(s.avoidUntil, peer)
 }
 
-// Known reports whether there is a peer that relayed a call and has not failed since.
-func (s *Selector) Known() bool {
+// HasPreferred reports whether there is a peer that relayed a call and has not failed since.
+func (s *Selector) HasPreferred() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.preferred != ""
 }
 
-// Failed records that a peer failed to relay a call.
-func (s *Selector) Failed(peer string, now time.Time) {
+// NoteFailure records that a peer failed to relay a call.
+func (s *Selector) NoteFailure(peer string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.preferred == peer {
@@ -94,8 +94,8 @@
 	s.avoidUntil[peer] = now.Add(failedPeerBackoff)
 }
 
-// NoneCarried records that all peers that were asked failed to relay a call.
-func (s *Selector) NoneCarried(now time.Time) {
+// NoteAllFailed records that all peers that were asked failed to relay a call.
+func (s *Selector) NoteAllFailed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.backoffUntil = now.Add(min(minRelayBackoff<<min(s.failures, 8), maxRelayBackoff))
--- a/internal/carry/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -1,4 +1,4 @@
-package carry
+package relay
 
 import (
 	"fmt"
@@ -14,13 +14,13 @@
 	for _, peer := range order[:min(maxAsked, len(order))] {
 		asked++
 		if !refused[peer] {
-			selector.Carried(peer)
+			selector.NoteSuccess(peer)
 			return true, asked
 		}
-		selector.Failed(peer, now)
+		selector.NoteFailure(peer, now)
 	}
 	if asked > 0 {
-		selector.NoneCarried(now)
+		selector.NoteAllFailed(now)
 	}
 	return false, asked
 }
--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -15,7 +15,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/service"
 )
 
@@ -31,7 +31,7 @@
 // Claims manages the claims of non-idempotent requests in the store, so that each
 // request runs at most once across all VMs. It is safe for concurrent use.
 type Claims struct {
-	tables platform.Tables
+	tables platformapi.Tables
 
 	mu sync.Mutex
 	// running holds the row keys of the claims whose requests run in this process.
@@ -39,7 +39,7 @@
 }
 
 // NewClaims returns the claims that are stored in tables.
-func NewClaims(tables platform.Tables) *Claims {
+func NewClaims(tables platformapi.Tables) *Claims {
 	return &Claims{tables: tables, running: make(map[string]struct{})}
 }
 
@@ -69,17 +69,17 @@
 	return hex.EncodeToString(h.Sum(nil))
 }
 
-// Take claims an idempotency key of an account, or returns the answer of the
+// Acquire claims an idempotency key of an account, or returns the answer of the
 // request that ran under it. After any failure the request must not run. It
 // fails with *fault.ClaimMismatch when the key was used for another request,
 // *fault.ClaimInProgress when the request is running in this process,
 // *fault.ClaimUnknown when the key is claimed and the outcome is unknown, and
 // *fault.StoreUnavailable. The holder of a claim ends it by Finish, Withdraw or
 // Leave.
-func (c *Claims) Take(ctx context.Context, account contract.Account, idempotencyKey, fingerprint string) (Claim, error) {
+func (c *Claims) Acquire(ctx context.Context, account contract.Account, idempotencyKey, fingerprint string) (Claim, error) {
 	claim := Claim{account: account, key: rowKey(account, idempotencyKey), fingerprint: fingerprint}
 	for range maxAcquireTries {
-		claim.nonce = platform.NewNonce()
+		claim.nonce = platformapi.NewNonce()
 		err := c.insert(ctx, claim)
 		if err == nil {
 			c.markRunning(claim)
@@ -97,10 +97,10 @@
 }
 
 func (c *Claims) insert(ctx context.Context, claim Claim) error {
-	return platform.CommitSurely(ctx, c.tables, platform.Txn{
+	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
 		Nonce:         claim.nonce,
-		Preconditions: []platform.Precondition{{Key: claim.key}},
-		Writes:        []platform.Write{{Key: claim.key, Value: claim.encodeRow(nil)}},
+		Preconditions: []platformapi.Precondition{{Key: claim.key}},
+		Writes:        []platformapi.Write{{Key: claim.key, Value: claim.encodeRow(nil)}},
 	})
 }
 
@@ -152,21 +152,21 @@
 // with *fault.StoreUnavailable; repeats may then get *fault.ClaimUnknown, which
 // remains correct.
 func (c *Claims) Finish(ctx context.Context, claim Claim, answer service.Answer) error {
-	defer c.Leave(claim)
-	return c.finalize(ctx, claim, platform.Write{Key: claim.key, Value: claim.encodeRow(&answer)})
+	defer c.Abandon(claim)
+	return c.finalize(ctx, claim, platformapi.Write{Key: claim.key, Value: claim.encodeRow(&answer)})
 }
 
 // Withdraw removes a claim whose request certainly did not run, so that a repeat
 // can run. It fails with *fault.StoreUnavailable; a repeat may then get
 // *fault.ClaimUnknown.
 func (c *Claims) Withdraw(ctx context.Context, claim Claim) error {
-	defer c.Leave(claim)
-	return c.finalize(ctx, claim, platform.Write{Key: claim.key, Delete: true})
+	defer c.Abandon(claim)
+	return c.finalize(ctx, claim, platformapi.Write{Key: claim.key, Delete: true})
 }
 
-// Leave ends a claim whose request has an unknown outcome. A repeat then gets
+// Abandon ends a claim whose request has an unknown outcome. A repeat then gets
 // *fault.ClaimUnknown instead of *fault.ClaimInProgress.
-func (c *Claims) Leave(claim Claim) {
+func (c *Claims) Abandon(claim Claim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, claim.key)
@@ -176,7 +176,7 @@
 // effect, ctx ends or the tries are used up. A row with another nonce is this
 // claim's final row or a claim made after this one's withdrawal; neither may be
 // changed.
-func (c *Claims) finalize(ctx context.Context, claim Claim, write platform.Write) error {
+func (c *Claims) finalize(ctx context.Context, claim Claim, write platformapi.Write) error {
 	var lastErr error
 	for range maxFinalizeTries {
 		row, err := c.tables.Get(ctx, claim.key)
@@ -184,10 +184,10 @@
 			return nil
 		}
 		if err == nil {
-			err = c.tables.Commit(ctx, platform.Txn{
-				Nonce:         platform.NewNonce(),
-				Preconditions: []platform.Precondition{{Key: claim.key, Version: row.Version}},
-				Writes:        []platform.Write{write},
+			err = c.tables.Commit(ctx, platformapi.Txn{
+				Nonce:         platformapi.NewNonce(),
+				Preconditions: []platformapi.Precondition{{Key: claim.key, Version: row.Version}},
+				Writes:        []platformapi.Write{write},
 			})
 		}
 		if err == nil {
--- a/internal/request/claim_test.go
+++ b/internal/request/claim_test.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 	"dogwoodpond/internal/service"
 )
 
@@ -24,11 +24,11 @@
 
 // acquire claims the key of the deposit on one VM.
 func acquire(c *Claims) (Claim, error) {
-	return c.Take(context.Background(), testAccount, depositKey, Fingerprint("desk", depositCall))
+	return c.Acquire(context.Background(), testAccount, depositKey, Fingerprint("desk", depositCall))
 }
 
 // startVMs starts VMs that use the same store and returns the Claims of each.
-func startVMs(cluster *platformtest.World, names ...string) []*Claims {
+func startVMs(cluster *faultinject.Cluster, names ...string) []*Claims {
 	var all []*Claims
 	for _, name := range names {
 		all = append(all, NewClaims(cluster.Start(context.Background(), name)))
@@ -47,7 +47,7 @@
 // A caller sends the same payment twice and the two requests reach two VMs. If
 // both ran, the deposit would be charged twice.
 func TestRepeatDoesNotRun(t *testing.T) {
-	cluster := platformtest.NewWorld(platformtest.NoFaults)
+	cluster := faultinject.NewCluster(faultinject.NoFaults)
 	claims := startVMs(cluster, "vm-1", "vm-2")
 	first, err := acquire(claims[0])
 	if err != nil || first.Answer != nil {
@@ -70,12 +70,12 @@
 // the service broke. A repeat on the same VM must not be answered with "in
 // progress", or the caller would repeat it for ever.
 func TestClaimWithUnknownOutcomeIsNotInProgress(t *testing.T) {
-	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1")
+	claims := startVMs(faultinject.NewCluster(faultinject.NoFaults), "vm-1")
 	claim, err := acquire(claims[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	claims[0].Leave(claim)
+	claims[0].Abandon(claim)
 	_, err = acquire(claims[0])
 	wantError[*fault.ClaimUnknown](t, err)
 }
@@ -84,14 +84,14 @@
 // the VM took its own claim for another VM's, it would refuse a request that may
 // run.
 func TestClaimSurvivesCommitFaults(t *testing.T) {
-	for _, kind := range []platformtest.Kind{platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late} {
+	for _, kind := range []faultinject.Kind{faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect} {
 		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+				cluster := faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 					if s.Process == "vm-1" && s.Index == 0 {
-						return platformtest.Fault{Kind: kind, For: 10 * time.Second}
+						return faultinject.Fault{Kind: kind, Duration: 10 * time.Second}
 					}
-					return platformtest.Fault{}
+					return faultinject.Fault{}
 				})
 				claims := startVMs(cluster, "vm-1", "vm-2")
 				if _, err := acquire(claims[0]); err != nil {
@@ -108,14 +108,14 @@
 // A VM withdraws a claim because nothing was sent, and reports that the request
 // did not run. When the caller repeats the request at another VM, it must run.
 func TestWithdrawnKeyCanBeClaimed(t *testing.T) {
-	for _, kind := range []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest} {
+	for _, kind := range []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest} {
 		t.Run(kind.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+				cluster := faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 					if s.Process == "vm-1" && s.Index == 2 { // the withdrawal's commit
-						return platformtest.Fault{Kind: kind}
+						return faultinject.Fault{Kind: kind}
 					}
-					return platformtest.Fault{}
+					return faultinject.Fault{}
 				})
 				claims := startVMs(cluster, "vm-1", "vm-2")
 				claim, err := acquire(claims[0])
@@ -147,11 +147,11 @@
 // remove that claim, or the request could run a second time.
 func TestLateWithdrawalKeepsLaterClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+		cluster := faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 			if s.Process == "vm-1" && s.Index == 2 {
-				return platformtest.Fault{Kind: platformtest.Late, For: time.Minute}
+				return faultinject.Fault{Kind: faultinject.DelayEffect, Duration: time.Minute}
 			}
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		})
 		claims := startVMs(cluster, "vm-1", "vm-2", "vm-3")
 		claim, _ := acquire(claims[0])
@@ -171,23 +171,23 @@
 // key. No request may get the answer of another one.
 func TestClaimsAreSeparatePerRequest(t *testing.T) {
 	ctx := context.Background()
-	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1")[0]
-	claim, err := claims.Take(ctx, "a", "b/c", Fingerprint("desk", depositCall))
+	claims := startVMs(faultinject.NewCluster(faultinject.NoFaults), "vm-1")[0]
+	claim, err := claims.Acquire(ctx, "a", "b/c", Fingerprint("desk", depositCall))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := claims.Finish(ctx, claim, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	other, err := claims.Take(ctx, "a/b", "c", Fingerprint("desk", depositCall))
+	other, err := claims.Acquire(ctx, "a/b", "c", Fingerprint("desk", depositCall))
 	if err != nil || other.Answer != nil {
 		t.Errorf("the other account got %+v, %v", other, err)
 	}
-	_, err = claims.Take(ctx, "a", "b/c", Fingerprint("clinic", depositCall))
+	_, err = claims.Acquire(ctx, "a", "b/c", Fingerprint("clinic", depositCall))
 	wantError[*fault.ClaimMismatch](t, err)
 	changed := depositCall
 	changed.Body = []byte(`{"cents":1}`)
-	_, err = claims.Take(ctx, "a", "b/c", Fingerprint("desk", changed))
+	_, err = claims.Acquire(ctx, "a", "b/c", Fingerprint("desk", changed))
 	wantError[*fault.ClaimMismatch](t, err)
 }
 
@@ -195,8 +195,8 @@
 // claim is stored. The request must not run, even if the claim takes effect later.
 func TestClaimFailsWhileStoreIsUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cluster := platformtest.NewWorld(platformtest.NoFaults)
-		cluster.TakeDown(10 * time.Minute)
+		cluster := faultinject.NewCluster(faultinject.NoFaults)
+		cluster.TakeStoreDown(10 * time.Minute)
 		_, err := acquire(startVMs(cluster, "vm-1")[0])
 		wantError[*fault.StoreUnavailable](t, err)
 		row, _ := cluster.Rows.Get(context.Background(), rowKey(testAccount, depositKey))
@@ -210,7 +210,7 @@
 // first. The later calls must not change the other VM's claim.
 func TestEndingClaimAgainKeepsLaterClaim(t *testing.T) {
 	ctx := context.Background()
-	claims := startVMs(platformtest.NewWorld(platformtest.NoFaults), "vm-1", "vm-2")
+	claims := startVMs(faultinject.NewCluster(faultinject.NoFaults), "vm-1", "vm-2")
 	claim, _ := acquire(claims[0])
 	if err := claims[0].Withdraw(ctx, claim); err != nil {
 		t.Fatal(err)
--- a/internal/request/matrix_test.go
+++ b/internal/request/matrix_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 // paymentService is a plain service that must not run the deposit twice.
@@ -41,15 +41,15 @@
 
 // handle claims the key and runs the deposit, as an entry VM does. If withdraw is
 // true, it withdraws the claim before anything is sent.
-func (s *paymentService) handle(p *platformtest.Process, claims *Claims, withdraw bool) (done bool) {
+func (s *paymentService) handle(p *faultinject.Process, claims *Claims, withdraw bool) (done bool) {
 	ctx, cancel := context.WithTimeout(p.Context, 10*time.Second)
 	defer cancel()
-	claim, err := claims.Take(ctx, testAccount, depositKey, Fingerprint("desk", depositCall))
+	claim, err := claims.Acquire(ctx, testAccount, depositKey, Fingerprint("desk", depositCall))
 	if err != nil {
 		return false
 	}
 	if claim.Answer != nil {
-		if !p.Dead() {
+		if !p.Killed() {
 			s.recordAnswer(string(claim.Answer.Body))
 		}
 		return true
@@ -59,7 +59,7 @@
 		return false
 	}
 	if err := p.Call(ctx, "service", "desk", true, s.run); err != nil {
-		claims.Leave(claim)
+		claims.Abandon(claim)
 		return false
 	}
 	return claims.Finish(ctx, claim, paidAnswer) == nil
@@ -69,16 +69,16 @@
 // claim. Under every fault, the deposit must run at most once, and no caller may
 // get an answer before it ran.
 func TestMatrixClaim(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
-		Name:  "claim",
-		Lasts: platformtest.EveryLast(15 * time.Second),
-		Run: func(cluster *platformtest.World) error {
+	faultinject.RunMatrix(t, faultinject.Protocol{
+		Name:      "claim",
+		Durations: faultinject.UniformDurations(15 * time.Second),
+		Run: func(cluster *faultinject.Cluster) error {
 			ctx, stop := context.WithCancel(context.Background())
 			s := &paymentService{}
 			var processes sync.WaitGroup
 			var withdrawn atomic.Bool
 			for _, name := range []string{"vm-1", "vm-2"} {
-				cluster.Supervise(ctx, &processes, name, func(p *platformtest.Process) {
+				cluster.Supervise(ctx, &processes, name, func(p *faultinject.Process) {
 					claims := NewClaims(p)
 					for range 8 {
 						s.handle(p, claims, name == "vm-1" && withdrawn.CompareAndSwap(false, true))
--- a/internal/request/statemachine_test.go
+++ b/internal/request/statemachine_test.go
@@ -11,7 +11,7 @@
 	"github.com/leanovate/gopter/commands"
 	"github.com/leanovate/gopter/gen"
 
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 const systemVMs = 2
@@ -29,9 +29,9 @@
 // this package. violation describes a broken guarantee and is empty if there is
 // none.
 type system struct {
-	cluster   *platformtest.World
+	cluster   *faultinject.Cluster
 	vms       [systemVMs]vmState
-	fault     platformtest.Kind
+	fault     faultinject.Kind
 	runs      int
 	violation string
 }
@@ -41,12 +41,12 @@
 
 func newSystem() *system {
 	sys := &system{}
-	sys.cluster = platformtest.NewWorld(func(s platformtest.Step) platformtest.Fault {
+	sys.cluster = faultinject.NewCluster(func(s faultinject.Step) faultinject.Fault {
 		if s.Call != "commit" {
-			return platformtest.Fault{}
+			return faultinject.Fault{}
 		}
-		f := platformtest.Fault{Kind: sys.fault, For: lateEffectDelay}
-		sys.fault = platformtest.None
+		f := faultinject.Fault{Kind: sys.fault, Duration: lateEffectDelay}
+		sys.fault = faultinject.None
 		return f
 	})
 	for id := range sys.vms {
@@ -104,7 +104,7 @@
 )
 
 // commitFaults are the faults that an action may inject into the next commit.
-var commitFaults = []platformtest.Kind{platformtest.None, platformtest.LoseReply, platformtest.LoseRequest, platformtest.Late}
+var commitFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
 
 // action is a command: a fault is injected into the next commit, and a VM acts.
 type action struct {
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -33,8 +33,8 @@
 	return b
 }
 
-// Success adds the credit of one successful request, up to the budget's capacity.
-func (b *Budget) Success() {
+// NoteSuccess adds the credit of one successful request, up to the budget's capacity.
+func (b *Budget) NoteSuccess() {
 	for {
 		balance := b.balance.Load()
 		if balance >= budgetCapacity || b.balance.CompareAndSwap(balance, min(balance+successCredit, budgetCapacity)) {
--- a/internal/retry/circuit.go
+++ b/internal/retry/circuit.go
@@ -30,13 +30,13 @@
 	Succeeded Outcome = iota
 	// Failed means that the attempt failed because of the upstream.
 	Failed
-	// Abandoned means that the attempt ended for a reason that says nothing about
+	// Inconclusive means that the attempt ended for a reason that says nothing about
 	// the upstream, for example because the caller canceled it.
-	Abandoned
+	Inconclusive
 )
 
-// errAbandoned excludes an abandoned attempt from a circuit's counts.
-var errAbandoned = errors.WithStack(&fault.CallerGone{})
+// errInconclusive excludes an abandoned attempt from a circuit's counts.
+var errInconclusive = errors.WithStack(&fault.CallerGone{})
 
 // Circuits holds a circuit breaker for each upstream. An upstream's entry takes
 // about 500 bytes and is never removed. It is safe for concurrent use.
@@ -51,8 +51,8 @@
 // NewCircuits returns circuits that are all closed.
 func NewCircuits(events *event.Recorder) *Circuits { return &Circuits{events: events} }
 
-// Open returns the upstreams whose circuit is open. They get no attempts now.
-func (c *Circuits) Open() []string {
+// OpenUpstreams returns the upstreams whose circuit is open. They get no attempts now.
+func (c *Circuits) OpenUpstreams() []string {
 	if c.notClosed.Load() == 0 {
 		return nil
 	}
@@ -79,8 +79,8 @@
 			report(nil)
 		case Failed:
 			report(errors.WithStack(&fault.UpstreamFailed{Upstream: upstream}))
-		case Abandoned:
-			report(errAbandoned)
+		case Inconclusive:
+			report(errInconclusive)
 		}
 	}, true
 }
@@ -94,7 +94,7 @@
 		MaxRequests:   1,
 		Timeout:       openTimeout,
 		ReadyToTrip:   func(counts gobreaker.Counts) bool { return counts.ConsecutiveFailures >= tripThreshold },
-		IsExcluded:    func(err error) bool { return errors.Is(err, errAbandoned) },
+		IsExcluded:    func(err error) bool { return errors.Is(err, errInconclusive) },
 		OnStateChange: c.handleStateChange,
 	})
 	stored, _ := c.circuits.LoadOrStore(upstream, created)
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -38,8 +38,8 @@
 	return p
 }
 
-// Success adds the credit of one successful request to a pool's budget.
-func (p *Policy) Success(pool string) { p.budget(pool).Success() }
+// NoteSuccess adds the credit of one successful request to a pool's budget.
+func (p *Policy) NoteSuccess(pool string) { p.budget(pool).NoteSuccess() }
 
 // Take takes a retry from a pool's budget and reports whether there was one.
 func (p *Policy) Take(pool string) bool {
@@ -64,22 +64,22 @@
 	maxBackoff     = time.Second
 )
 
-// Delays spaces the attempts of one request by an exponential backoff. Its jitter
+// Backoff spaces the attempts of one request by an exponential backoff. Its jitter
 // keeps requests that failed together from being retried together.
-type Delays struct {
+type Backoff struct {
 	policy *backoff.ExponentialBackOff
 }
 
-// NewDelays returns the delays of one request.
-func NewDelays() *Delays {
+// NewBackoff returns the delays of one request.
+func NewBackoff() *Backoff {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval = initialBackoff
 	policy.MaxInterval = maxBackoff
-	return &Delays{policy: policy}
+	return &Backoff{policy: policy}
 }
 
 // Wait waits until the next attempt may start. It returns false if ctx ends first.
-func (d *Delays) Wait(ctx context.Context) bool {
+func (d *Backoff) Wait(ctx context.Context) bool {
 	timer := time.NewTimer(d.policy.NextBackOff())
 	defer timer.Stop()
 	select {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -33,7 +33,7 @@
 			successes, retries := 0, 0
 			for _, ok := range succeeds {
 				if ok {
-					budget.Success()
+					budget.NoteSuccess()
 					successes++
 				}
 				// Every request asks for a retry, successful or not.
@@ -101,19 +101,19 @@
 				t.Fatalf("attempt %d was not allowed", n)
 			}
 		}
-		if fail() || !slices.Equal(p.Open(), []string{"e1"}) {
-			t.Errorf("the circuit is not open: %v", p.Open())
+		if fail() || !slices.Equal(p.OpenUpstreams(), []string{"e1"}) {
+			t.Errorf("the circuit is not open: %v", p.OpenUpstreams())
 		}
 		time.Sleep(openTimeout + time.Millisecond)
 		probe, allowed := p.Allow("e1")
-		if !allowed || len(p.Open()) != 0 {
+		if !allowed || len(p.OpenUpstreams()) != 0 {
 			t.Fatal("no probe was allowed")
 		}
 		if _, second := p.Allow("e1"); second {
 			t.Error("two probes were allowed at once")
 		}
 		probe(Succeeded)
-		if !fail() || len(p.Open()) != 0 {
+		if !fail() || len(p.OpenUpstreams()) != 0 {
 			t.Error("the circuit did not close")
 		}
 	})
@@ -128,7 +128,7 @@
 		if !allowed {
 			t.Fatal("the circuit opened")
 		}
-		done(Abandoned)
+		done(Inconclusive)
 	}
 }
 
@@ -138,7 +138,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		first := map[string]bool{}
 		for range 32 {
-			delays, started := NewDelays(), time.Now()
+			delays, started := NewBackoff(), time.Now()
 			last := time.Duration(0)
 			for range 12 {
 				before := time.Now()
--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -64,7 +64,7 @@
 		if err := p.CheckCursor(pull.After); err != nil {
 			return p, false, err
 		}
-		next, err := p.TakeTurn(r.step, pull.Number)
+		next, err := p.RegisterPull(r.step, pull.Number)
 		return next, true, err
 	})
 	if err != nil {
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -19,9 +19,9 @@
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/generate"
 	"dogwoodpond/internal/lease"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
+	"dogwoodpond/internal/platformapi/memtables"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -34,12 +34,12 @@
 
 // faultsByCall maps the index of a VM's call, counted from 0, to the fault that
 // is injected into it.
-type faultsByCall map[int]platformtest.Fault
+type faultsByCall map[int]faultinject.Fault
 
 // testVM is a VM with injected faults in its calls to the store. It can be
 // killed.
 type testVM struct {
-	*platformtest.Process
+	*faultinject.Process
 	cluster *cluster
 	manager *Manager
 	loops   sync.WaitGroup
@@ -48,8 +48,8 @@
 }
 
 // calls returns the VM's calls to the store so far.
-func (v *testVM) calls() []platformtest.Step {
-	var own []platformtest.Step
+func (v *testVM) calls() []faultinject.Step {
+	var own []faultinject.Step
 	for _, step := range v.cluster.platform.Steps() {
 		if step.Process == v.Name {
 			own = append(own, step)
@@ -76,8 +76,8 @@
 // Check implements Guard.
 func (uncheckedGuard) Check() error { return nil }
 
-// Commit implements platform.Tables and counts the written rows.
-func (v *testVM) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables and counts the written rows.
+func (v *testVM) Commit(ctx context.Context, txn platformapi.Txn) error {
 	v.cluster.countWrites(len(txn.Writes))
 	return v.Process.Commit(ctx, txn)
 }
@@ -89,7 +89,7 @@
 	}
 	workers := []Worker{{VM: v.Name, FailureDomain: v.Name, Runner: v.cluster.engine}}
 	for _, other := range v.cluster.startedVMs() {
-		if other != v && !other.Dead() {
+		if other != v && !other.Killed() {
 			workers = append(workers, Worker{VM: other.Name, FailureDomain: other.Name, Runner: v.cluster.engine})
 		}
 	}
@@ -201,21 +201,21 @@
 	w.down = down
 }
 
-// Latest implements platform.Weights.
-func (w *testWeights) Latest(context.Context) ([]platform.WeightVersion, error) {
+// Latest implements platformapi.Weights.
+func (w *testWeights) Latest(context.Context) ([]platformapi.WeightVersion, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.down {
 		return nil, errors.WithStack(&fault.StoreUnavailable{Operation: "weights"})
 	}
-	return []platform.WeightVersion{{Model: testModel, Version: w.version, PublishedAt: w.at}}, nil
+	return []platformapi.WeightVersion{{Model: testModel, Version: w.version, PublishedAt: w.at}}, nil
 }
 
 // cluster is a set of VMs with one store, in a synctest bubble.
 type cluster struct {
 	t        *testing.T
-	platform *platformtest.World
-	tables   *memory.Tables
+	platform *faultinject.Cluster
+	tables   *memtables.Tables
 	engine   *testEngine
 	weights  *testWeights
 	view     *contract.View
@@ -241,7 +241,7 @@
 }
 
 // fault returns the fault to inject into a call to the store.
-func (c *cluster) fault(step platformtest.Step) platformtest.Fault {
+func (c *cluster) fault(step faultinject.Step) faultinject.Fault {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.injected[step.Process][step.Index]
@@ -279,7 +279,7 @@
 		staleness: staleness,
 		injected:  make(map[string]faultsByCall),
 	}
-	c.platform = platformtest.NewWorld(c.fault)
+	c.platform = faultinject.NewCluster(c.fault)
 	c.tables = c.platform.Rows
 	terms := contract.DefaultContract(testAccount)
 	terms.Staleness = staleness
@@ -297,7 +297,7 @@
 	c.injected[name] = faults
 	c.mu.Unlock()
 	v := &testVM{Process: c.platform.Start(context.Background(), name), cluster: c, closed: make(chan struct{})}
-	history := NewHistory(c.weights)
+	history := NewVersionHistory(c.weights)
 	v.manager = NewManager(Config{
 		VM:             name,
 		Tables:         v,
@@ -309,7 +309,7 @@
 		View:           c.view,
 		Events:         event.NewRecorder(name, 4096, event.NewClock(time.Now), zap.NewNop()),
 		Registerer:     prometheus.NewRegistry(),
-		Period:         func() time.Duration { return time.Second },
+		SearchInterval: func() time.Duration { return time.Second },
 		WithoutHedging: c.withoutHedging,
 	})
 	c.mu.Lock()
@@ -388,7 +388,7 @@
 	deadline := time.Now().Add(20 * time.Minute)
 	for time.Now().Before(deadline) {
 		for _, v := range tr.cluster.startedVMs() {
-			if v.Dead() {
+			if v.Killed() {
 				continue
 			}
 			if err := call(v.manager); err == nil {
@@ -425,7 +425,7 @@
 	for _, s := range got {
 		if first, ok := tr.byNumber[s.Number]; !ok {
 			tr.byNumber[s.Number] = s
-		} else if !s.Withdrawn && string(platform.EncodeValue(first)) != string(platform.EncodeValue(s)) {
+		} else if !s.Withdrawn && string(platformapi.EncodeValue(first)) != string(platformapi.EncodeValue(s)) {
 			tr.t.Fatalf("number %d was delivered as %+v and as %+v", s.Number, first, s)
 		}
 	}
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -45,17 +45,17 @@
 type Config struct {
 	// VM is the ID of this VM.
 	VM         string
-	Tables     platform.Tables
+	Tables     platformapi.Tables
 	Leases     Leases
 	Workers    Workers
-	Versions   Versions
+	Versions   WeightVersions
 	Scorer     Scorer
 	Usage      UsageRecorder
 	View       *contract.View
 	Events     *event.Recorder
 	Registerer prometheus.Registerer
-	// Period returns the interval between two searches for open steps.
-	Period func() time.Duration
+	// SearchInterval returns the interval between two searches for open steps.
+	SearchInterval func() time.Duration
 	// WithoutHedging disables hedging. Measurements use it as their baseline.
 	WithoutHedging bool
 }
@@ -103,7 +103,7 @@
 		usage:          c.Usage,
 		events:         c.Events,
 		metrics:        newMetrics(c.Registerer),
-		searchInterval: c.Period,
+		searchInterval: c.SearchInterval,
 		withoutHedging: c.WithoutHedging,
 		ctx:            ctx,
 		cancel:         cancel,
--- a/internal/rollout/matrix_test.go
+++ b/internal/rollout/matrix_test.go
@@ -8,14 +8,14 @@
 	"time"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 	"dogwoodpond/internal/sample"
 )
 
 // runWithFaults runs one step to its end with faults injected into the first
 // two VMs and none into a third, and checks everything that the trainer and the
 // store show. It returns the calls of the first two VMs.
-func runWithFaults(t *testing.T, faultsA, faultsB faultsByCall) (callsA, callsB []platformtest.Step) {
+func runWithFaults(t *testing.T, faultsA, faultsB faultsByCall) (callsA, callsB []faultinject.Step) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, contract.Staleness{MaxVersions: 0, MaxSeconds: 3600})
 		defer c.stop()
@@ -83,17 +83,17 @@
 )
 
 // faults lists the faults that are injected into each call.
-var faults = []platformtest.Fault{
-	{Kind: platformtest.LoseRequest},
-	{Kind: platformtest.LoseReply},
-	{Kind: platformtest.Late, For: lateDelay},
-	{Kind: platformtest.KillBefore},
-	{Kind: platformtest.KillAfter},
-	{Kind: platformtest.PauseBefore, For: shortPause},
-	{Kind: platformtest.PauseBefore, For: longPause},
-	{Kind: platformtest.PauseAfter, For: shortPause},
-	{Kind: platformtest.StoreDown, For: longPause},
-	{Kind: platformtest.CutOff, For: longPause},
+var faults = []faultinject.Fault{
+	{Kind: faultinject.LoseRequest},
+	{Kind: faultinject.LoseReply},
+	{Kind: faultinject.DelayEffect, Duration: lateDelay},
+	{Kind: faultinject.KillBefore},
+	{Kind: faultinject.KillAfter},
+	{Kind: faultinject.PauseBefore, Duration: shortPause},
+	{Kind: faultinject.PauseBefore, Duration: longPause},
+	{Kind: faultinject.PauseAfter, Duration: shortPause},
+	{Kind: faultinject.StoreDown, Duration: longPause},
+	{Kind: faultinject.CutOff, Duration: longPause},
 }
 
 // At any of its calls to the store the owner's VM may die, lose a reply, lose
@@ -105,7 +105,7 @@
 	t.Logf("a run without faults makes %d calls", len(calls))
 	for at, call := range calls {
 		for _, f := range faults {
-			t.Run(fmt.Sprintf("%03d %s %s %s %s", at, call.Call, call.Subject, f.Kind, f.For), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%03d %s %s %s %s", at, call.Call, call.Subject, f.Kind, f.Duration), func(t *testing.T) {
 				runWithFaults(t, faultsByCall{at: f}, nil)
 			})
 		}
@@ -117,12 +117,12 @@
 // fault at one of its own writes.
 func TestPairsOfFaultsAtWrites(t *testing.T) {
 	calls, _ := runWithFaults(t, nil, nil)
-	firsts := []platformtest.Fault{{Kind: platformtest.KillAfter}, {Kind: platformtest.PauseBefore, For: shortPause}}
-	seconds := []platformtest.Fault{
-		{Kind: platformtest.LoseReply},
-		{Kind: platformtest.Late, For: lateDelay},
-		{Kind: platformtest.KillAfter},
-		{Kind: platformtest.PauseBefore, For: shortPause},
+	firsts := []faultinject.Fault{{Kind: faultinject.KillAfter}, {Kind: faultinject.PauseBefore, Duration: shortPause}}
+	seconds := []faultinject.Fault{
+		{Kind: faultinject.LoseReply},
+		{Kind: faultinject.DelayEffect, Duration: lateDelay},
+		{Kind: faultinject.KillAfter},
+		{Kind: faultinject.PauseBefore, Duration: shortPause},
 	}
 	for _, first := range writeIndexes(calls) {
 		for _, f := range firsts {
@@ -140,7 +140,7 @@
 }
 
 // writeIndexes returns the indexes of the calls that write rows of the step.
-func writeIndexes(calls []platformtest.Step) []int {
+func writeIndexes(calls []faultinject.Step) []int {
 	var indexes []int
 	for _, call := range calls {
 		if call.Call == "commit" && !strings.HasPrefix(call.Subject, "lease/") {
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -82,7 +82,7 @@
 		return false, err
 	}
 	progress, err := m.store.update(ctx, r, func(p sample.Progress) (sample.Progress, bool, error) {
-		next, err := p.Claim(r.leaseName(), guard.Epoch())
+		next, err := p.SetOwner(r.leaseName(), guard.Epoch())
 		return next, next.Epoch != p.Epoch, err
 	})
 	if err != nil {
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -57,7 +57,7 @@
 					t.Errorf("the corrupted slot was generated %d times", attempts)
 				}
 				got := tr.received["g0.0"]
-				if err := sample.Attribute(got.Slot, got.Tokens, got.Spans, 1); err != nil {
+				if err := sample.CheckAttribution(got.Slot, got.Tokens, got.Spans, 1); err != nil {
 					t.Error(err)
 				}
 			})
--- a/internal/rollout/pull_test.go
+++ b/internal/rollout/pull_test.go
@@ -7,7 +7,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 	"dogwoodpond/internal/sample"
 )
 
@@ -35,7 +35,7 @@
 			current := c.view
 			c.view = contract.NewView()
 			c.view.Advance(current.Load())
-			slow := c.start("vm-a", faultsByCall{paused: {Kind: platformtest.PauseBefore, For: shortPause}})
+			slow := c.start("vm-a", faultsByCall{paused: {Kind: faultinject.PauseBefore, Duration: shortPause}})
 			c.view = current
 			tr.pullNumber++
 			abandoned := sample.Pull{Number: tr.pullNumber}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/usage"
 )
@@ -142,7 +142,7 @@
 			lost := tr.pull()
 			again := tr.pull()
 			for i := range lost {
-				if string(platform.EncodeValue(lost[i])) != string(platform.EncodeValue(again[i])) {
+				if string(platformapi.EncodeValue(lost[i])) != string(platformapi.EncodeValue(again[i])) {
 					t.Fatalf("%+v was delivered again as %+v", lost[i], again[i])
 				}
 			}
--- a/internal/rollout/scorer.go
+++ b/internal/rollout/scorer.go
@@ -11,7 +11,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/service"
 )
@@ -66,7 +66,7 @@
 		Request:    id,
 		Account:    account,
 		Contract:   c,
-		Pool:       dispatch.Pool{Kind: platform.KindService, Service: name},
+		Pool:       dispatch.Pool{Kind: platformapi.KindService, Service: name},
 		Cost:       1,
 		Background: true,
 		Repeatable: true,
--- a/internal/rollout/scorer_test.go
+++ b/internal/rollout/scorer_test.go
@@ -11,7 +11,7 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/dispatch"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 	"dogwoodpond/internal/service"
 )
@@ -27,7 +27,7 @@
 func (o *fakeDispatcher) Acquire(_ context.Context, work dispatch.Work) (dispatch.Grant, error) {
 	o.last = work
 	return dispatch.Grant{
-		Upstream: platform.Upstream{ID: "judge-1", Address: o.address},
+		Upstream: platformapi.Upstream{ID: "judge-1", Address: o.address},
 		Done:     func(r dispatch.Result) { o.failed = r.Failed },
 	}, nil
 }
--- a/internal/rollout/scoring.go
+++ b/internal/rollout/scoring.go
@@ -36,7 +36,7 @@
 // committed.
 func (o *owner) scoreWithRetries(ctx context.Context, g *generatedSample) error {
 	request := ScoreRequest{Step: o.ref.step, Slot: g.sample.Slot, Prompt: g.prompt, Text: g.sample.Text}
-	tries := scoring.Tries{Pauses: scoring.Pauses{First: minSlotBackoff, Longest: maxSlotBackoff}}
+	tries := scoring.RetryState{Backoff: scoring.Backoff{Min: minSlotBackoff, Max: maxSlotBackoff}}
 	for {
 		score, err := o.scorer.Score(ctx, o.ref.account, o.definition.Scorer, request)
 		if err == nil {
@@ -47,7 +47,7 @@
 		select {
 		case <-ctx.Done():
 			return context.Cause(ctx)
-		case <-time.After(fault.RetryAfterOf(err, tries.Failed(err))):
+		case <-time.After(fault.RetryAfterOf(err, tries.NoteFailure(err))):
 		}
 		v, err := o.policy.refreshFor(ctx, o.ref.account, o.definition.Model, []sample.Sample{g.sample})
 		if err != nil {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -11,7 +11,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 	"dogwoodpond/internal/sample"
 )
 
@@ -61,18 +61,18 @@
 //	samples/…/N a batch of samples whose last number is N
 //	open/…      exists exactly while a slot has no sample
 type store struct {
-	tables platform.Tables
+	tables platformapi.Tables
 }
 
 // open writes a new step. It fails with *fault.PreconditionFailed if the step
 // exists.
 func (s store) open(ctx context.Context, r stepRef, definition sample.Definition) error {
-	return platform.CommitSurely(ctx, s.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: r.stepKey()}},
-		Writes: []platform.Write{
-			{Key: r.stepKey(), Value: platform.EncodeValue(definition)},
-			{Key: r.progressKey(), Value: platform.EncodeValue(sample.NewProgress(definition))},
+	return platformapi.CommitConfirmed(ctx, s.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: r.stepKey()}},
+		Writes: []platformapi.Write{
+			{Key: r.stepKey(), Value: platformapi.EncodeValue(definition)},
+			{Key: r.progressKey(), Value: platformapi.EncodeValue(sample.NewProgress(definition))},
 			{Key: r.openKey(), Value: []byte{}},
 		},
 	})
@@ -88,13 +88,13 @@
 
 // progress reads the progress of a step. It fails with *fault.StepUnknown for a
 // step that was never opened.
-func (s store) progress(ctx context.Context, r stepRef) (sample.Progress, platform.Row, error) {
+func (s store) progress(ctx context.Context, r stepRef) (sample.Progress, platformapi.Row, error) {
 	var progress sample.Progress
 	row, err := s.read(ctx, r, r.progressKey(), &progress)
 	return progress, row, err
 }
 
-func (s store) read(ctx context.Context, r stepRef, key string, dest any) (platform.Row, error) {
+func (s store) read(ctx context.Context, r stepRef, key string, dest any) (platformapi.Row, error) {
 	row, err := s.tables.Get(ctx, key)
 	if err != nil {
 		return row, err
@@ -118,10 +118,10 @@
 		if err != nil || !changed {
 			return progress, err
 		}
-		err = platform.CommitSurely(ctx, s.tables, platform.Txn{
-			Nonce:         platform.NewNonce(),
-			Preconditions: []platform.Precondition{{Key: row.Key, Version: row.Version}},
-			Writes:        []platform.Write{{Key: row.Key, Value: platform.EncodeValue(next)}},
+		err = platformapi.CommitConfirmed(ctx, s.tables, platformapi.Txn{
+			Nonce:         platformapi.NewNonce(),
+			Preconditions: []platformapi.Precondition{{Key: row.Key, Version: row.Version}},
+			Writes:        []platformapi.Write{{Key: row.Key, Value: platformapi.EncodeValue(next)}},
 		})
 		if !fault.Is[*fault.PreconditionFailed](err) {
 			return next, err
@@ -143,21 +143,21 @@
 	if err != nil || len(numbered) == 0 {
 		return progress, nil, err
 	}
-	txn := platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: row.Key, Version: row.Version}},
-		Writes: []platform.Write{
-			{Key: r.batchKey(next.Committed), Value: platform.EncodeValue(numbered)},
-			{Key: row.Key, Value: platform.EncodeValue(next)},
+	txn := platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: row.Key, Version: row.Version}},
+		Writes: []platformapi.Write{
+			{Key: r.batchKey(next.Committed), Value: platformapi.EncodeValue(numbered)},
+			{Key: row.Key, Value: platformapi.EncodeValue(next)},
 		},
 	}
 	if next.Complete() {
-		txn.Writes = append(txn.Writes, platform.Write{Key: r.openKey(), Delete: true})
+		txn.Writes = append(txn.Writes, platformapi.Write{Key: r.openKey(), Delete: true})
 	}
 	if err := guard.Check(); err != nil {
 		return progress, nil, err
 	}
-	if err := platform.CommitSurely(ctx, s.tables, txn); err != nil {
+	if err := platformapi.CommitConfirmed(ctx, s.tables, txn); err != nil {
 		return progress, nil, err
 	}
 	return next, numbered, nil
@@ -165,7 +165,7 @@
 
 // batch is a row of committed samples.
 type batch struct {
-	row     platform.Row
+	row     platformapi.Row
 	samples []sample.Sample
 }
 
@@ -195,7 +195,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := progress.CheckTurn(r.step, pull); err != nil {
+	if err := progress.CheckPull(r.step, pull); err != nil {
 		return 0, err
 	}
 	count := 0
@@ -213,15 +213,15 @@
 	if count == 0 {
 		return 0, nil
 	}
-	return count, platform.CommitSurely(ctx, s.tables, platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	return count, platformapi.CommitConfirmed(ctx, s.tables, platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: b.row.Key, Version: b.row.Version},
 			{Key: row.Key, Version: row.Version},
 		},
-		Writes: []platform.Write{
-			{Key: b.row.Key, Value: platform.EncodeValue(updated)},
-			{Key: row.Key, Value: platform.EncodeValue(progress)},
+		Writes: []platformapi.Write{
+			{Key: b.row.Key, Value: platformapi.EncodeValue(updated)},
+			{Key: row.Key, Value: platformapi.EncodeValue(progress)},
 			{Key: r.openKey(), Value: []byte{}},
 		},
 	})
@@ -251,5 +251,5 @@
 }
 
 func sameDefinition(a, b sample.Definition) bool {
-	return bytes.Equal(platform.EncodeValue(a), platform.EncodeValue(b))
+	return bytes.Equal(platformapi.EncodeValue(a), platformapi.EncodeValue(b))
 }
--- a/internal/rollout/validator.go
+++ b/internal/rollout/validator.go
@@ -15,16 +15,16 @@
 // published weight versions.
 type stalenessPolicy struct {
 	view     *contract.View
-	versions Versions
+	versions WeightVersions
 }
 
 // bound returns the staleness bound of the account's contract in force.
-func (p stalenessPolicy) bound(account contract.Account) (sample.Bound, error) {
+func (p stalenessPolicy) bound(account contract.Account) (sample.StalenessBound, error) {
 	c, known := p.view.Load().Contracts[account]
 	if !known {
-		return sample.Bound{}, errors.WithStack(&fault.AccountUnknown{Account: string(account)})
+		return sample.StalenessBound{}, errors.WithStack(&fault.AccountUnknown{Account: string(account)})
 	}
-	return sample.Bound{
+	return sample.StalenessBound{
 		Versions: c.Staleness.MaxVersions,
 		Age:      time.Duration(c.Staleness.MaxSeconds) * time.Second,
 	}, nil
@@ -32,9 +32,9 @@
 
 // validator checks samples of one model against one staleness bound.
 type validator struct {
-	versions Versions
+	versions WeightVersions
 	model    string
-	bound    sample.Bound
+	bound    sample.StalenessBound
 	latest   int64
 }
 
@@ -97,7 +97,7 @@
 
 // check fails with *fault.SampleUnattributable or *fault.SampleStale.
 func (v validator) check(s sample.Sample) error {
-	if err := sample.Attribute(s.Slot, s.Tokens, s.Spans, v.latest); err != nil {
+	if err := sample.CheckAttribution(s.Slot, s.Tokens, s.Spans, v.latest); err != nil {
 		return err
 	}
 	return v.checkStaleness(s)
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -8,12 +8,12 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
-// Versions reports which weight versions were published, and when.
+// WeightVersions reports which weight versions were published, and when.
 // Implementations are safe for concurrent use.
-type Versions interface {
+type WeightVersions interface {
 	// Refresh returns once the known versions come from a read of the weight
 	// store that began after since. It fails with *fault.StoreUnavailable.
 	Refresh(ctx context.Context, since time.Time) error
@@ -35,10 +35,10 @@
 	historyLength = 1024
 )
 
-// History records when each version was superseded, from this VM's reads of the
+// VersionHistory records when each version was superseded, from this VM's reads of the
 // weight store. It implements Versions.
-type History struct {
-	weights platform.Weights
+type VersionHistory struct {
+	weights platformapi.Weights
 
 	// refreshMu serializes reads of the weight store, so that callers that wait
 	// for a read share it.
@@ -59,13 +59,13 @@
 	superseded map[int64]time.Time
 }
 
-// NewHistory returns an empty history.
-func NewHistory(weights platform.Weights) *History {
-	return &History{weights: weights, models: make(map[string]*modelHistory)}
+// NewVersionHistory returns an empty history.
+func NewVersionHistory(weights platformapi.Weights) *VersionHistory {
+	return &VersionHistory{weights: weights, models: make(map[string]*modelHistory)}
 }
 
 // Refresh implements Versions.
-func (h *History) Refresh(ctx context.Context, since time.Time) error {
+func (h *VersionHistory) Refresh(ctx context.Context, since time.Time) error {
 	h.refreshMu.Lock()
 	defer h.refreshMu.Unlock()
 	if h.readSince(since) {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (h *History) readSince(since time.Time) bool {
+func (h *VersionHistory) readSince(since time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.readAt.After(since)
@@ -96,7 +96,7 @@
 // of the previous read counts as the time of publication. With the time of the
 // discovery, a sample would look younger than it is, and a stale one would pass
 // as fresh.
-func (h *History) record(published platform.WeightVersion, began time.Time) {
+func (h *VersionHistory) record(published platformapi.WeightVersion, began time.Time) {
 	m, seen := h.models[published.Model]
 	if !seen {
 		m = &modelHistory{latest: published.Version, superseded: make(map[int64]time.Time)}
@@ -121,7 +121,7 @@
 }
 
 // Latest implements Versions.
-func (h *History) Latest(model string) (int64, bool) {
+func (h *VersionHistory) Latest(model string) (int64, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m, known := h.models[model]
@@ -132,7 +132,7 @@
 }
 
 // SupersededAt implements Versions.
-func (h *History) SupersededAt(model string, version int64) (time.Time, bool) {
+func (h *VersionHistory) SupersededAt(model string, version int64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m, known := h.models[model]
@@ -145,7 +145,7 @@
 
 // Run reads the weight store periodically until ctx ends, so that the start of
 // the previous read is never long before the publication of a new version.
-func (h *History) Run(ctx context.Context, period func() time.Duration) {
+func (h *VersionHistory) Run(ctx context.Context, period func() time.Duration) {
 	for {
 		// A failed read leaves the history unchanged. Validation refreshes it.
 		_ = h.Refresh(ctx, time.Now())
--- a/internal/rollout/versions_test.go
+++ b/internal/rollout/versions_test.go
@@ -15,7 +15,7 @@
 func TestSupersessionUsesEarliestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 4, at: time.Now()}
-		h := NewHistory(weights)
+		h := NewVersionHistory(weights)
 		read := func() time.Time {
 			began := time.Now()
 			if err := h.Refresh(t.Context(), began); err != nil {
@@ -54,7 +54,7 @@
 func TestRefreshReadsAfterSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 1, at: time.Now()}
-		h := NewHistory(weights)
+		h := NewVersionHistory(weights)
 		if err := h.Refresh(t.Context(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 func TestHistoryNeverMovesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		weights := &testWeights{version: 3, at: time.Now()}
-		h := NewHistory(weights)
+		h := NewVersionHistory(weights)
 		for _, version := range []int64{3, 2} {
 			weights.version = version
 			if err := h.Refresh(context.Background(), time.Now()); err != nil {
--- a/internal/rollout/workers.go
+++ b/internal/rollout/workers.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"dogwoodpond/internal/generate"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Worker is a VM that runs generations for the owner of a step.
@@ -22,12 +22,12 @@
 
 // Members lists the VMs of the fleet. The list may be out of date.
 type Members interface {
-	VMs() []platform.VM
+	VMs() []platformapi.VM
 }
 
-// Caller runs a generation on a peer. It fails with *fault.PeerUnavailable when
+// PeerClient runs a generation on a peer. It fails with *fault.PeerUnavailable when
 // the peer does not answer, otherwise with the peer's own error.
-type Caller interface {
+type PeerClient interface {
 	Generate(ctx context.Context, address string, request generate.Request) (generate.Result, error)
 }
 
@@ -36,11 +36,11 @@
 type Fleet struct {
 	self    Worker
 	members Members
-	caller  Caller
+	caller  PeerClient
 }
 
 // NewFleet returns a Fleet of the VM self and its peers.
-func NewFleet(self Worker, members Members, caller Caller) *Fleet {
+func NewFleet(self Worker, members Members, caller PeerClient) *Fleet {
 	return &Fleet{self: self, members: members, caller: caller}
 }
 
@@ -49,7 +49,7 @@
 func (f *Fleet) Workers() []Worker {
 	workers := []Worker{f.self}
 	for _, vm := range f.members.VMs() {
-		if vm.ID == f.self.VM || vm.State == platform.VMLeaving || vm.PeerAddress == "" {
+		if vm.ID == f.self.VM || vm.State == platformapi.VMLeaving || vm.PeerAddress == "" {
 			continue
 		}
 		workers = append(workers, Worker{
@@ -65,7 +65,7 @@
 // chunks of the stream.
 type peerRunner struct {
 	address string
-	caller  Caller
+	caller  PeerClient
 }
 
 // Generate implements generate.Runner.
--- a/internal/route/residency.go
+++ b/internal/route/residency.go
@@ -9,9 +9,9 @@
 	limits [][]string
 }
 
-// ResideIn returns the residency that allows the given failure domains; an empty list
+// NewResidency returns the residency that allows the given failure domains; an empty list
 // allows none.
-func ResideIn(domains []string) Residency { return Residency{limits: [][]string{domains}} }
+func NewResidency(domains []string) Residency { return Residency{limits: [][]string{domains}} }
 
 // And returns the residency that allows the failure domains that both allow.
 func (r Residency) And(other Residency) Residency {
--- a/internal/route/residency_test.go
+++ b/internal/route/residency_test.go
@@ -9,10 +9,10 @@
 // Guards against sending data to a failure domain that one of two limits excludes.
 func TestAndAppliesBothLimits(t *testing.T) {
 	applied := func(a, b []string, domain string, limited bool) bool {
-		one, other := ResideIn(a), Residency{}
+		one, other := NewResidency(a), Residency{}
 		want := slices.Contains(a, domain)
 		if limited {
-			other = ResideIn(b)
+			other = NewResidency(b)
 			want = want && slices.Contains(b, domain)
 		}
 		return one.And(other).Allows(domain) == want && other.And(one).Allows(domain) == want
@@ -20,11 +20,11 @@
 	if err := quick.Check(applied, nil); err != nil {
 		t.Error(err)
 	}
-	one := ResideIn([]string{"x", "y"})
-	if r := one.And(ResideIn([]string{"y", "z"})); r.Allows("x") || r.Allows("z") || !r.Allows("y") {
+	one := NewResidency([]string{"x", "y"})
+	if r := one.And(NewResidency([]string{"y", "z"})); r.Allows("x") || r.Allows("z") || !r.Allows("y") {
 		t.Errorf("both limits allow x %v, y %v, z %v", r.Allows("x"), r.Allows("y"), r.Allows("z"))
 	}
-	if r := ResideIn(nil); !r.Limited() || r.Allows("x") {
+	if r := NewResidency(nil); !r.Limited() || r.Allows("x") {
 		t.Error("an empty list of failure domains sets no limit or allows one")
 	}
 	if r := (Residency{}); r.Limited() || !r.Allows("x") {
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -53,8 +53,8 @@
 	// Resumable is true when streams may continue at another upstream.
 	Resumable bool
 	// RunObjective is how long after its submission a step should be complete, and
-	// GiveUp how long after it the step's items may be abandoned. Both are for steps.
-	RunObjective, GiveUp time.Duration
+	// AbandonAfter how long after it the step's items may be abandoned. Both are for steps.
+	RunObjective, AbandonAfter time.Duration
 	// SingleVersion requires that each sample comes from one weight version.
 	SingleVersion bool
 	// Residency limits the failure domains of the requests of the route.
@@ -156,8 +156,8 @@
 	Limits   Limits
 	// Accounts are sorted by name. Keyed is false when the configuration has no
 	// accounts at all; then no key is required.
-	Accounts []Account
-	Keyed    bool
+	Accounts    []Account
+	HasAccounts bool
 
 	byHost map[string][]*Route
 	byKey  map[string]string
@@ -170,14 +170,14 @@
 // NewSnapshot indexes a configuration. keyed says whether it has accounts.
 func NewSnapshot(version int64, routes []*Route, services map[string]*Service, limits Limits, accounts []Account, keyed bool) *Snapshot {
 	s := &Snapshot{
-		Version:  version,
-		Services: services,
-		Limits:   limits,
-		Accounts: accounts,
-		Keyed:    keyed,
-		byHost:   make(map[string][]*Route),
-		byKey:    make(map[string]string),
-		routes:   routes,
+		Version:     version,
+		Services:    services,
+		Limits:      limits,
+		Accounts:    accounts,
+		HasAccounts: keyed,
+		byHost:      make(map[string][]*Route),
+		byKey:       make(map[string]string),
+		routes:      routes,
 
 		residencies: make(map[string]Residency),
 	}
@@ -207,8 +207,8 @@
 	return r.Residency.And(s.residencies[account])
 }
 
-// Resident reports whether any route or account has a limited residency.
-func (s *Snapshot) Resident() bool { return s.hasResidencyLimits }
+// HasResidencyLimits reports whether any route or account has a limited residency.
+func (s *Snapshot) HasResidencyLimits() bool { return s.hasResidencyLimits }
 
 // Routes returns all routes.
 func (s *Snapshot) Routes() []*Route { return s.routes }
@@ -242,7 +242,7 @@
 	if account, ok := s.byKey[key]; ok && key != "" {
 		return account, nil
 	}
-	if !s.Keyed || r.Anonymous {
+	if !s.HasAccounts || r.Anonymous {
 		return "", nil
 	}
 	if key == "" {
@@ -262,10 +262,10 @@
 // Load returns the current snapshot, or nil before the first.
 func (v *View) Load() *Snapshot { return v.current.Load() }
 
-// Offer replaces the current snapshot if s is newer, and reports whether it did. Versions
+// StoreIfNewer replaces the current snapshot if s is newer, and reports whether it did. Versions
 // never decrease within an incarnation: a late answer of the store or of a peer would
 // otherwise make withdrawn keys valid again.
-func (v *View) Offer(s *Snapshot) bool {
+func (v *View) StoreIfNewer(s *Snapshot) bool {
 	for {
 		previous := v.current.Load()
 		if previous != nil && previous.Version >= s.Version {
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -54,7 +54,7 @@
 // an old version.
 func TestViewRejectsOlderVersions(t *testing.T) {
 	v := NewView()
-	if !v.Offer(snapshot(5)) || v.Offer(snapshot(4)) || v.Offer(snapshot(5)) {
+	if !v.StoreIfNewer(snapshot(5)) || v.StoreIfNewer(snapshot(4)) || v.StoreIfNewer(snapshot(5)) {
 		t.Error("an older or equal version was accepted, or the first one was not")
 	}
 	if v.Load().Version != 5 {
--- a/internal/kept/commit.go
+++ b/internal/rowstore/commit.go
@@ -1,4 +1,4 @@
-package kept
+package rowstore
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 	maxCommitBackoff = 400 * time.Millisecond
 )
 
-// CommitSurely runs a transaction and retries it until its outcome is known or ctx ends. A
+// CommitConfirmed runs a transaction and retries it until its outcome is known or ctx ends. A
 // commit without an answer may have taken effect, or may do so seconds later if its
 // expectations still hold, so reading the rows proves nothing. Therefore the same
 // transaction is sent again: the first copy that the store runs changes the versions of the
@@ -27,10 +27,10 @@
 // transaction, one of its copies has taken effect.
 //
 // The transaction must put at least one row that it also expects, with a value that no
-// other writer writes. CommitSurely fails with *Conflict if another writer won; then no
+// other writer writes. CommitConfirmed fails with *Conflict if another writer won; then no
 // copy ever takes effect. If ctx ends first it fails with *fault.StoreUnavailable, whose
 // EffectUnknown is true if a copy may have taken effect or may still do so.
-func CommitSurely(ctx context.Context, store Store, txn Txn) (int64, error) {
+func CommitConfirmed(ctx context.Context, store Store, txn Txn) (int64, error) {
 	backoff, effectUnknown := minCommitBackoff, false
 	for {
 		version, err := store.Commit(ctx, txn)
@@ -49,7 +49,7 @@
 			return 0, err
 		}
 		effectUnknown = effectUnknown || unavailable.EffectUnknown
-		if unavailable.Back {
+		if unavailable.Recovered {
 			// The store has answered other calls since, so the outage is over.
 			backoff = minCommitBackoff
 		}
--- a/internal/kept/memory/memory.go
+++ b/internal/rowstore/memory/memory.go
@@ -1,4 +1,4 @@
-// Package memory is an in-memory implementation of the partitioned store for tests. SetFate
+// Package memtables is an in-memory implementation of the partitioned store for tests. SetFault
 // and SetDown inject faults: lost requests, lost answers, delayed effects and refusals.
 package memory
 
@@ -14,33 +14,33 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
-// Store implements kept.Store and kept.Clock in memory.
+// Store implements rowstore.Store and rowstore.Clock in memory.
 type Store struct {
 	mu           sync.Mutex
-	rows         map[kept.Key]kept.Row
-	changes      []kept.Row
+	rows         map[rowstore.Key]rowstore.Row
+	changes      []rowstore.Row
 	historyStart int64 // changes after this version are available
 	version      int64
 	objects      map[string][]byte
 	started      time.Time
 	notify       chan struct{} // closed and replaced to signal open calls of Changes
-	delayed      []kept.Txn
-	chooseFault  func(kept.Txn) Fate
+	delayed      []rowstore.Txn
+	chooseFault  func(rowstore.Txn) Fault
 	isDown       bool
 }
 
-// SetFate makes f choose the fault of each commit before it runs. A nil f injects none.
-func (s *Store) SetFate(f func(kept.Txn) Fate) {
+// SetFault makes f choose the fault of each commit before it runs. A nil f injects none.
+func (s *Store) SetFault(f func(rowstore.Txn) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooseFault = f
 }
 
 // SetDown takes the store down or up again. While it is down every call fails except StoreNow
-// and DropObject. Open calls of Changes notice it at once.
+// and DeleteObject. Open calls of Changes notice it at once.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,34 +49,34 @@
 	s.notify = make(chan struct{})
 }
 
-// Fate is a fault that is injected into a commit.
-type Fate int
+// Fault is a fault that is injected into a commit.
+type Fault int
 
 // The faults of a commit.
 const (
-	// Normal is no fault: the commit runs and is answered.
-	Normal Fate = iota
+	// NoFault is no fault: the commit runs and is answered.
+	NoFault Fault = iota
 	// AnswerLost runs the commit and loses the answer.
 	AnswerLost
-	// EffectLate delays the commit until RunLate and gives no answer.
-	EffectLate
+	// EffectDelayed delays the commit until RunDelayed and gives no answer.
+	EffectDelayed
 	// Refused refuses the commit: it has no effect, and the error says so.
 	Refused
-	// NeverArrived loses the request: the commit has no effect and gets no answer.
-	NeverArrived
+	// RequestLost loses the request: the commit has no effect and gets no answer.
+	RequestLost
 )
 
 // New returns an empty store.
 func New() *Store {
 	return &Store{
-		rows:    make(map[kept.Key]kept.Row),
+		rows:    make(map[rowstore.Key]rowstore.Row),
 		objects: make(map[string][]byte),
 		started: time.Now(),
 		notify:  make(chan struct{}),
 	}
 }
 
-// StoreNow implements kept.Clock.
+// StoreNow implements rowstore.Clock.
 func (s *Store) StoreNow() (int64, bool) { return time.Since(s.started).Milliseconds(), true }
 
 // checkDown returns the error of a call while the store is down.
@@ -89,8 +89,8 @@
 	return nil
 }
 
-// Commit implements kept.Store.
-func (s *Store) Commit(ctx context.Context, txn kept.Txn) (int64, error) {
+// Commit implements rowstore.Store.
+func (s *Store) Commit(ctx context.Context, txn rowstore.Txn) (int64, error) {
 	if ctx.Err() != nil {
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit"})
 	}
@@ -100,9 +100,9 @@
 	switch s.faultOf(txn) {
 	case Refused:
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit"})
-	case NeverArrived:
+	case RequestLost:
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
-	case EffectLate:
+	case EffectDelayed:
 		s.mu.Lock()
 		s.delayed = append(s.delayed, txn)
 		s.mu.Unlock()
@@ -110,23 +110,23 @@
 	case AnswerLost:
 		_, _ = s.apply(txn)
 		return 0, errors.WithStack(&fault.StoreUnavailable{Operation: "commit", EffectUnknown: true})
-	case Normal:
+	case NoFault:
 	}
 	return s.apply(txn)
 }
 
-func (s *Store) faultOf(txn kept.Txn) Fate {
+func (s *Store) faultOf(txn rowstore.Txn) Fault {
 	s.mu.Lock()
 	choose := s.chooseFault
 	s.mu.Unlock()
 	if choose == nil {
-		return Normal
+		return NoFault
 	}
 	return choose(txn)
 }
 
-// RunLate runs the commits that EffectLate delayed.
-func (s *Store) RunLate() {
+// RunDelayed runs the commits that EffectDelayed delayed.
+func (s *Store) RunDelayed() {
 	s.mu.Lock()
 	delayed := s.delayed
 	s.delayed = nil
@@ -137,10 +137,10 @@
 }
 
 // apply runs a transaction without faults.
-func (s *Store) apply(txn kept.Txn) (int64, error) {
+func (s *Store) apply(txn rowstore.Txn) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var current []kept.Row
+	var current []rowstore.Row
 	holds := true
 	for _, e := range txn.Expected {
 		row, ok := s.rows[e.Key]
@@ -150,21 +150,21 @@
 		holds = holds && row.Version == e.Version
 	}
 	if !holds {
-		return 0, errors.WithStack(&kept.Conflict{Current: current})
+		return 0, errors.WithStack(&rowstore.Conflict{Current: current})
 	}
 	s.version++
 	for _, put := range txn.Puts {
-		s.write(kept.Row{Key: put.Key, Value: bytes.Clone(put.Value), Version: s.version})
+		s.write(rowstore.Row{Key: put.Key, Value: bytes.Clone(put.Value), Version: s.version})
 	}
-	for _, key := range txn.Removes {
-		s.write(kept.Row{Key: key, Version: s.version, Deleted: true})
+	for _, key := range txn.Deletes {
+		s.write(rowstore.Row{Key: key, Version: s.version, Deleted: true})
 	}
 	close(s.notify)
 	s.notify = make(chan struct{})
 	return s.version, nil
 }
 
-func (s *Store) write(row kept.Row) {
+func (s *Store) write(row rowstore.Row) {
 	s.changes = append(s.changes, row)
 	if row.Deleted {
 		delete(s.rows, row.Key)
@@ -174,16 +174,16 @@
 }
 
 // Set writes a row without an expectation and without faults, like another writer.
-func (s *Store) Set(key kept.Key, value string) {
-	_, _ = s.apply(kept.Txn{Puts: []kept.Put{{Key: key, Value: []byte(value)}}})
+func (s *Store) Set(key rowstore.Key, value string) {
+	_, _ = s.apply(rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: []byte(value)}}})
 }
 
-// Remove deletes a row without an expectation and without faults, like another writer.
-func (s *Store) Remove(key kept.Key) { _, _ = s.apply(kept.Txn{Removes: []kept.Key{key}}) }
+// Delete deletes a row without an expectation and without faults, like another writer.
+func (s *Store) Delete(key rowstore.Key) { _, _ = s.apply(rowstore.Txn{Deletes: []rowstore.Key{key}}) }
 
-// Forget drops the history of changes, so that Changes fails with *kept.HistoryGone for all
+// TruncateHistory drops the history of changes, so that Changes fails with *rowstore.HistoryTruncated for all
 // versions before the present one.
-func (s *Store) Forget() {
+func (s *Store) TruncateHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.changes, s.historyStart = nil, s.version
@@ -191,14 +191,14 @@
 	s.notify = make(chan struct{})
 }
 
-// Read implements kept.Store.
-func (s *Store) Read(_ context.Context, table, partition, from, to string) (kept.Page, error) {
+// Read implements rowstore.Store.
+func (s *Store) Read(_ context.Context, table, partition, from, to string) (rowstore.Page, error) {
 	if err := s.checkDown("read"); err != nil {
-		return kept.Page{}, err
+		return rowstore.Page{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	page := kept.Page{Version: s.version}
+	page := rowstore.Page{Version: s.version}
 	for key, row := range s.rows {
 		if key.Table == table && key.Part == partition && key.Name >= from && (to == "" || key.Name < to) {
 			page.Rows = append(page.Rows, row)
@@ -208,7 +208,7 @@
 	return page, nil
 }
 
-// Parts implements kept.Store.
+// Parts implements rowstore.Store.
 func (s *Store) Parts(_ context.Context, table, after string) ([]string, bool, error) {
 	if err := s.checkDown("parts"); err != nil {
 		return nil, false, err
@@ -227,13 +227,13 @@
 	return partitions, false, nil
 }
 
-// Changes implements kept.Store.
-func (s *Store) Changes(ctx context.Context, table string, after int64, wait time.Duration) (kept.Page, error) {
+// Changes implements rowstore.Store.
+func (s *Store) Changes(ctx context.Context, table string, after int64, wait time.Duration) (rowstore.Page, error) {
 	timeout := time.NewTimer(max(wait, time.Nanosecond))
 	defer timeout.Stop()
 	for {
 		if err := s.checkDown("changes"); err != nil {
-			return kept.Page{}, err
+			return rowstore.Page{}, err
 		}
 		page, notify, err := s.changesAfter(table, after)
 		if err != nil || len(page.Rows) > 0 || wait <= 0 {
@@ -241,7 +241,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return kept.Page{}, errors.WithStack(&fault.StoreUnavailable{Operation: "changes"})
+			return rowstore.Page{}, errors.WithStack(&fault.StoreUnavailable{Operation: "changes"})
 		case <-timeout.C:
 			return page, nil
 		case <-notify:
@@ -251,13 +251,13 @@
 
 // changesAfter returns the changes of a table after a version, and a channel that is closed by
 // the next transaction, SetDown or Forget.
-func (s *Store) changesAfter(table string, after int64) (kept.Page, <-chan struct{}, error) {
+func (s *Store) changesAfter(table string, after int64) (rowstore.Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.historyStart {
-		return kept.Page{}, nil, errors.WithStack(&kept.HistoryGone{Table: table, After: after})
+		return rowstore.Page{}, nil, errors.WithStack(&rowstore.HistoryTruncated{Table: table, After: after})
 	}
-	page := kept.Page{Version: s.version}
+	page := rowstore.Page{Version: s.version}
 	for _, row := range s.changes {
 		if row.Table == table && row.Version > after {
 			page.Rows = append(page.Rows, row)
@@ -266,7 +266,7 @@
 	return page, s.notify, nil
 }
 
-// PutObject implements kept.Store.
+// PutObject implements rowstore.Store.
 func (s *Store) PutObject(_ context.Context, name string, body []byte) error {
 	if err := s.checkDown("put object"); err != nil {
 		return err
@@ -277,7 +277,7 @@
 	return nil
 }
 
-// GetObject implements kept.Store.
+// GetObject implements rowstore.Store.
 func (s *Store) GetObject(_ context.Context, name string) ([]byte, error) {
 	if err := s.checkDown("get object"); err != nil {
 		return nil, err
@@ -292,7 +292,7 @@
 }
 
 // Row returns the row with the given key, or a row with version 0 if it is absent.
-func (s *Store) Row(key kept.Key) kept.Row {
+func (s *Store) Row(key rowstore.Key) rowstore.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rows[key]
@@ -305,8 +305,8 @@
 	return slices.Sorted(maps.Keys(s.objects))
 }
 
-// DropObject implements kept.Store.
-func (s *Store) DropObject(_ context.Context, name string) error {
+// DeleteObject implements rowstore.Store.
+func (s *Store) DeleteObject(_ context.Context, name string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.objects, name)
--- a/internal/kept/retry.go
+++ b/internal/rowstore/retry.go
@@ -1,4 +1,4 @@
-package kept
+package rowstore
 
 import (
 	"context"
@@ -8,20 +8,20 @@
 	"dogwoodpond/internal/wait"
 )
 
-// Patient is a store whose reads are retried while the store is unavailable, until they
+// RetryingStore is a store whose reads are retried while the store is unavailable, until they
 // succeed or their context ends. It is meant for reads of a whole table while the store
 // refuses most calls: a reader that started over after each refused page would hardly ever
 // complete and would spend many calls.
-type Patient struct {
+type RetryingStore struct {
 	Store
-	// Pause returns the backoff before the next attempt.
-	Pause func() time.Duration
-	// Failed is called after each failed attempt.
-	Failed func(error)
+	// Backoff returns the backoff before the next attempt.
+	Backoff func() time.Duration
+	// OnFailure is called after each failed attempt.
+	OnFailure func(error)
 }
 
 // Read implements Store.
-func (p Patient) Read(ctx context.Context, table, partition, from, to string) (page Page, err error) {
+func (p RetryingStore) Read(ctx context.Context, table, partition, from, to string) (page Page, err error) {
 	err = p.retry(ctx, func() error {
 		page, err = p.Store.Read(ctx, table, partition, from, to)
 		return err
@@ -30,7 +30,7 @@
 }
 
 // Parts implements Store.
-func (p Patient) Parts(ctx context.Context, table, after string) (partitions []string, more bool, err error) {
+func (p RetryingStore) Parts(ctx context.Context, table, after string) (partitions []string, more bool, err error) {
 	err = p.retry(ctx, func() error {
 		partitions, more, err = p.Store.Parts(ctx, table, after)
 		return err
@@ -40,14 +40,14 @@
 
 // retry calls read until it succeeds, fails with another error than
 // *fault.StoreUnavailable, or ctx ends.
-func (p Patient) retry(ctx context.Context, read func() error) error {
+func (p RetryingStore) retry(ctx context.Context, read func() error) error {
 	for {
 		err := read()
 		if err == nil || !fault.Is[*fault.StoreUnavailable](err) {
 			return err
 		}
-		p.Failed(err)
-		if !wait.For(ctx, p.Pause()) {
+		p.OnFailure(err)
+		if !wait.For(ctx, p.Backoff()) {
 			return err
 		}
 	}
--- a/internal/kept/store.go
+++ b/internal/rowstore/store.go
@@ -1,8 +1,8 @@
-// Package kept is the port to the platform's partitioned table service, the store. The
+// Package rowstore is the port to the platform's partitioned table service, the store. The
 // store holds all state that has to outlive a process: steps and their results, members,
 // leases and usage. A transaction stays inside one partition; the callers choose
 // partitions so that unrelated transactions do not contend.
-package kept
+package rowstore
 
 import (
 	"context"
@@ -53,7 +53,7 @@
 type Txn struct {
 	Expected []Expectation
 	Puts     []Put
-	Removes  []Key
+	Deletes  []Key
 }
 
 // Page is the result of Store.Read or Store.Changes.
@@ -89,19 +89,19 @@
 	return Row{Key: key}
 }
 
-// HistoryGone reports that the store no longer has all changes of a table after a version.
+// HistoryTruncated reports that the store no longer has all changes of a table after a version.
 // The reader has to read all rows again.
-type HistoryGone struct {
+type HistoryTruncated struct {
 	Table string
 	After int64
 }
 
-func (h *HistoryGone) Error() string {
+func (h *HistoryTruncated) Error() string {
 	return fmt.Sprintf("the store no longer has all changes of table %s after version %d", h.Table, h.After)
 }
 
 // Code implements fault.Failure.
-func (*HistoryGone) Code() fault.Code { return fault.CodeRevisionGap }
+func (*HistoryTruncated) Code() fault.Code { return fault.CodeRevisionGap }
 
 // Store is the partitioned table service. Every method fails with
 // *fault.StoreUnavailable if the store gave no usable answer; for a commit, EffectUnknown
@@ -119,14 +119,14 @@
 	Parts(ctx context.Context, table, after string) (partitions []string, more bool, err error)
 	// Changes returns the rows of a table that changed after a version. It is a long
 	// poll: it returns as soon as there is a change, or without rows after wait. It
-	// fails with *HistoryGone if the store no longer has all these changes.
+	// fails with *HistoryTruncated if the store no longer has all these changes.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (Page, error)
 	// PutObject stores an object once; repeating the call is harmless.
 	PutObject(ctx context.Context, name string, body []byte) error
 	// GetObject returns an object or fails with *fault.ObjectUnknown.
 	GetObject(ctx context.Context, name string) ([]byte, error)
-	// DropObject deletes an object. It succeeds if the object is absent.
-	DropObject(ctx context.Context, name string) error
+	// DeleteObject deletes an object. It succeeds if the object is absent.
+	DeleteObject(ctx context.Context, name string) error
 }
 
 // Clock reads the store's monotonic clock.
--- a/internal/kept/store_test.go
+++ b/internal/rowstore/store_test.go
@@ -1,4 +1,4 @@
-package kept_test
+package rowstore_test
 
 import (
 	"context"
@@ -10,27 +10,27 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
-var key = kept.Key{Table: "t", Part: "p", Name: "row"}
+var key = rowstore.Key{Table: "t", Part: "p", Name: "row"}
 
 // createRow returns a transaction that creates the row key with a value.
-func createRow(value string) kept.Txn {
-	return kept.Txn{
-		Expected: []kept.Expectation{{Key: key}},
-		Puts:     []kept.Put{{Key: key, Value: []byte(value)}},
+func createRow(value string) rowstore.Txn {
+	return rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: key}},
+		Puts:     []rowstore.Put{{Key: key, Value: []byte(value)}},
 	}
 }
 
 // firstCommit returns a fault injector that affects only the first commit.
-func firstCommit(injected memory.Fate) func(kept.Txn) memory.Fate {
+func firstCommit(injected memory.Fault) func(rowstore.Txn) memory.Fault {
 	done := false
-	return func(kept.Txn) memory.Fate {
+	return func(rowstore.Txn) memory.Fault {
 		if done {
-			return memory.Normal
+			return memory.NoFault
 		}
 		done = true
 		return injected
@@ -43,8 +43,8 @@
 func TestRetriedCommitRecognizesItsOwnRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		store.SetFate(firstCommit(memory.AnswerLost))
-		version, err := kept.CommitSurely(t.Context(), store, createRow("mine"))
+		store.SetFault(firstCommit(memory.AnswerLost))
+		version, err := rowstore.CommitConfirmed(t.Context(), store, createRow("mine"))
 		if err != nil || version != 1 {
 			t.Errorf("the commit returned version %d, error %v; want version 1 and no error", version, err)
 		}
@@ -56,12 +56,12 @@
 func TestDelayedCopyHasNoSecondEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		store.SetFate(firstCommit(memory.EffectLate))
-		if _, err := kept.CommitSurely(t.Context(), store, createRow("mine")); err != nil {
+		store.SetFault(firstCommit(memory.EffectDelayed))
+		if _, err := rowstore.CommitConfirmed(t.Context(), store, createRow("mine")); err != nil {
 			t.Fatal(err)
 		}
 		store.Set(key, "later")
-		store.RunLate()
+		store.RunDelayed()
 		page, _ := store.Read(t.Context(), "t", "p", "", "")
 		if got := string(page.Rows[0].Value); got != "later" {
 			t.Errorf("the row has the value %q after the delayed copy, want that of the later write", got)
@@ -75,10 +75,10 @@
 func TestRetriedCommitReportsTheRowOfAnotherWriter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		store.SetFate(firstCommit(memory.NeverArrived))
+		store.SetFault(firstCommit(memory.RequestLost))
 		store.Set(key, "theirs")
-		_, err := kept.CommitSurely(t.Context(), store, createRow("mine"))
-		var conflict *kept.Conflict
+		_, err := rowstore.CommitConfirmed(t.Context(), store, createRow("mine"))
+		var conflict *rowstore.Conflict
 		if !errors.As(err, &conflict) || string(conflict.Row(key).Value) != "theirs" {
 			t.Errorf("the commit failed with %v, want a conflict with the other writer's row", err)
 		}
@@ -90,16 +90,16 @@
 func TestEffectIsUnknownOnlyAfterALostRequest(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		faults  []memory.Fate
+		faults  []memory.Fault
 		unknown bool
 	}{
-		{"all refused", []memory.Fate{memory.Refused, memory.Refused, memory.Refused}, false},
-		{"one lost", []memory.Fate{memory.Refused, memory.NeverArrived, memory.Refused}, true},
+		{"all refused", []memory.Fault{memory.Refused, memory.Refused, memory.Refused}, false},
+		{"one lost", []memory.Fault{memory.Refused, memory.RequestLost, memory.Refused}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store, n := memory.New(), 0
-				store.SetFate(func(kept.Txn) memory.Fate {
+				store.SetFault(func(rowstore.Txn) memory.Fault {
 					injected := memory.Refused
 					if n < len(c.faults) {
 						injected = c.faults[n]
@@ -109,7 +109,7 @@
 				})
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
-				_, err := kept.CommitSurely(ctx, store, createRow("mine"))
+				_, err := rowstore.CommitConfirmed(ctx, store, createRow("mine"))
 				var unavailable *fault.StoreUnavailable
 				if !errors.As(err, &unavailable) || unavailable.EffectUnknown != c.unknown {
 					t.Errorf("the commit failed with %v, want an unavailable store with EffectUnknown %v", err, c.unknown)
@@ -123,12 +123,12 @@
 // the row that the watcher delivered last.
 func startWatcher(t *testing.T, store *memory.Store) func() string {
 	var seen string
-	apply := func(rows []kept.Row) {
+	apply := func(rows []rowstore.Row) {
 		for _, row := range rows {
 			seen = string(row.Value)
 		}
 	}
-	w := kept.Watcher{Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply}
+	w := rowstore.Watcher{Store: store, Table: "t", Part: "p", PollTimeout: time.Second, Replace: apply, Apply: apply}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	go w.Run(ctx)
@@ -152,7 +152,7 @@
 		store.SetDown(true)
 		time.Sleep(3 * time.Second)
 		store.Set(key, "two")
-		store.Forget()
+		store.TruncateHistory()
 		store.SetDown(false)
 		time.Sleep(time.Second)
 		if got := seen(); got != "two" {
@@ -168,7 +168,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		lost := false
-		w := kept.Watcher{Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: func([]kept.Row) {}, Lost: func(error) { lost = true }}
+		w := rowstore.Watcher{Store: store, Table: "t", Part: "p", PollTimeout: time.Second, Replace: func([]rowstore.Row) {}, OnOutage: func(error) { lost = true }}
 		ctx, cancel := context.WithCancel(t.Context())
 		go w.Run(ctx)
 		time.Sleep(300 * time.Millisecond)
@@ -183,12 +183,12 @@
 // noChanges is a store that answers calls for changes without rows, whatever has changed.
 type noChanges struct{ *memory.Store }
 
-func (s noChanges) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (kept.Page, error) {
+func (s noChanges) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (rowstore.Page, error) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
 	}
-	return kept.Page{Version: after}, nil
+	return rowstore.Page{Version: after}, nil
 }
 
 // Guards against a VM that uses an old configuration for ever. Its long polls succeed but
@@ -198,8 +198,8 @@
 		store := memory.New()
 		store.Set(key, "one")
 		var seen string
-		apply := func(rows []kept.Row) { seen = string(rows[len(rows)-1].Value) }
-		w := kept.Watcher{Store: noChanges{store}, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply}
+		apply := func(rows []rowstore.Row) { seen = string(rows[len(rows)-1].Value) }
+		w := rowstore.Watcher{Store: noChanges{store}, Table: "t", Part: "p", PollTimeout: time.Second, Replace: apply, Apply: apply}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go w.Run(ctx)
@@ -217,7 +217,7 @@
 // right after the partitions were listed.
 type partitionAfterList struct {
 	*memory.Store
-	key kept.Key
+	key rowstore.Key
 }
 
 func (s partitionAfterList) Parts(ctx context.Context, table, after string) ([]string, bool, error) {
@@ -232,14 +232,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		store.Set(key, "one")
-		added := kept.Key{Table: key.Table, Part: key.Part + " later", Name: key.Name}
+		added := rowstore.Key{Table: key.Table, Part: key.Part + " later", Name: key.Name}
 		seen := make(map[string]bool)
-		apply := func(rows []kept.Row) {
+		apply := func(rows []rowstore.Row) {
 			for _, row := range rows {
 				seen[row.Part] = true
 			}
 		}
-		w := kept.Watcher{Store: partitionAfterList{store, added}, Table: "t", AllParts: true, Wait: time.Second, Replace: apply, Apply: apply}
+		w := rowstore.Watcher{Store: partitionAfterList{store, added}, Table: "t", AllParts: true, PollTimeout: time.Second, Replace: apply, Apply: apply}
 		go w.Run(t.Context())
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
@@ -253,13 +253,13 @@
 // writes of a row, while the store's versions come from one counter over all rows.
 func TestTablesVersionCountsWritesOfARow(t *testing.T) {
 	store := memory.New()
-	tables := kept.NewTables(store, "lease")
+	tables := rowstore.NewTables(store, "lease")
 	for n := uint64(0); n < 3; n++ {
 		store.Set(key, "noise")
-		txn := platform.Txn{
-			Nonce:         platform.NewNonce(),
-			Preconditions: []platform.Precondition{{Key: "a", Version: n}},
-			Writes:        []platform.Write{{Key: "a", Value: []byte("x")}},
+		txn := platformapi.Txn{
+			Nonce:         platformapi.NewNonce(),
+			Preconditions: []platformapi.Precondition{{Key: "a", Version: n}},
+			Writes:        []platformapi.Write{{Key: "a", Value: []byte("x")}},
 		}
 		if err := tables.Commit(t.Context(), txn); err != nil {
 			t.Fatalf("write %d: %v", n+1, err)
@@ -269,9 +269,9 @@
 			t.Fatalf("after the write the row is %+v, error %v", row, err)
 		}
 	}
-	err := tables.Commit(t.Context(), platform.Txn{
-		Preconditions: []platform.Precondition{{Key: "a", Version: 1}},
-		Writes:        []platform.Write{{Key: "a"}},
+	err := tables.Commit(t.Context(), platformapi.Txn{
+		Preconditions: []platformapi.Precondition{{Key: "a", Version: 1}},
+		Writes:        []platformapi.Write{{Key: "a"}},
 	})
 	if !fault.Is[*fault.PreconditionFailed](err) {
 		t.Errorf("a write that expects an old version failed with %v, want a failed precondition", err)
@@ -282,11 +282,11 @@
 // between two writes of this VM, so that the version cached here is out of date.
 func TestTablesRefuseToOverwriteAnotherVM(t *testing.T) {
 	store := memory.New()
-	own, other := kept.NewTables(store, "lease"), kept.NewTables(store, "lease")
-	write := func(tables *kept.Tables, version uint64) error {
-		return tables.Commit(t.Context(), platform.Txn{
-			Preconditions: []platform.Precondition{{Key: "a", Version: version}},
-			Writes:        []platform.Write{{Key: "a", Value: []byte("x")}},
+	own, other := rowstore.NewTables(store, "lease"), rowstore.NewTables(store, "lease")
+	write := func(tables *rowstore.Tables, version uint64) error {
+		return tables.Commit(t.Context(), platformapi.Txn{
+			Preconditions: []platformapi.Precondition{{Key: "a", Version: version}},
+			Writes:        []platformapi.Write{{Key: "a", Value: []byte("x")}},
 		})
 	}
 	if err := write(own, 0); err != nil {
@@ -309,7 +309,7 @@
 	calls atomic.Int64
 }
 
-func (c *countingStore) Changes(ctx context.Context, table string, after int64, wait time.Duration) (kept.Page, error) {
+func (c *countingStore) Changes(ctx context.Context, table string, after int64, wait time.Duration) (rowstore.Page, error) {
 	c.calls.Add(1)
 	time.Sleep(4 * time.Millisecond)
 	return c.Store.Changes(ctx, table, after, wait)
@@ -323,10 +323,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := &countingStore{Store: memory.New()}
 		var rows atomic.Int64
-		apply := func(page []kept.Row) { rows.Add(int64(len(page))) }
-		w := kept.Watcher{
-			Store: store, Table: "t", Part: "p", Wait: time.Second, Replace: apply, Apply: apply,
-			Pace: func() time.Duration { return 200 * time.Millisecond },
+		apply := func(page []rowstore.Row) { rows.Add(int64(len(page))) }
+		w := rowstore.Watcher{
+			Store: store, Table: "t", Part: "p", PollTimeout: time.Second, Replace: apply, Apply: apply,
+			MinPollInterval: func() time.Duration { return 200 * time.Millisecond },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/internal/kept/tables.go
+++ b/internal/rowstore/tables.go
@@ -1,4 +1,4 @@
-package kept
+package rowstore
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
-// Tables implements platform.Tables, which the leases use, on one table of the store. Each
-// key has its own partition, so a transaction covers one row. A version of platform.Tables
+// Tables implements platformapi.Tables, which the leases use, on one table of the store. Each
+// key has its own partition, so a transaction covers one row. A version of platformapi.Tables
 // counts the writes of a row; this count is stored next to the value.
 type Tables struct {
 	store Store
@@ -47,13 +47,13 @@
 
 func (t *Tables) key(key string) Key { return Key{Table: t.table, Part: key, Name: rowName} }
 
-// Get implements platform.Tables.
-func (t *Tables) Get(ctx context.Context, key string) (platform.Row, error) {
+// Get implements platformapi.Tables.
+func (t *Tables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	page, err := t.store.Read(ctx, t.table, key, "", "")
 	if err != nil {
-		return platform.Row{}, err
+		return platformapi.Row{}, err
 	}
-	row := platform.Row{Key: key}
+	row := platformapi.Row{Key: key}
 	if len(page.Rows) == 0 {
 		t.setCached(key, cachedRow{})
 		return row, nil
@@ -67,9 +67,9 @@
 	return row, nil
 }
 
-// Scan implements platform.Tables.
-func (t *Tables) Scan(ctx context.Context, prefix, after string, limit int) ([]platform.Row, error) {
-	var rows []platform.Row
+// Scan implements platformapi.Tables.
+func (t *Tables) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
+	var rows []platformapi.Row
 	for {
 		partitions, more, err := t.store.Parts(ctx, t.table, after)
 		if err != nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// Commit implements platform.Tables. It accepts only transactions over one row.
-func (t *Tables) Commit(ctx context.Context, txn platform.Txn) error {
+// Commit implements platformapi.Tables. It accepts only transactions over one row.
+func (t *Tables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if len(txn.Preconditions) != 1 || len(txn.Writes) != 1 || txn.Writes[0].Key != txn.Preconditions[0].Key {
 		return errors.WithStack(&fault.Internal{Where: "transaction over several rows"})
 	}
@@ -111,7 +111,7 @@
 	key := t.key(pre.Key)
 	newVersion, err := t.store.Commit(ctx, Txn{
 		Expected: []Expectation{{Key: key, Version: version}},
-		Puts:     []Put{{Key: key, Value: platform.EncodeValue(next)}},
+		Puts:     []Put{{Key: key, Value: platformapi.EncodeValue(next)}},
 	})
 	if err == nil {
 		t.setCached(pre.Key, cachedRow{count: next.Count, version: newVersion})
@@ -127,7 +127,7 @@
 
 // storeVersion returns the version in the store of the row that a precondition names, or fails
 // with *fault.PreconditionFailed if the row's count is not the expected one.
-func (t *Tables) storeVersion(ctx context.Context, pre platform.Precondition) (int64, error) {
+func (t *Tables) storeVersion(ctx context.Context, pre platformapi.Precondition) (int64, error) {
 	if cached, ok := t.getCached(pre.Key); ok && cached.count == pre.Version {
 		return cached.version, nil
 	}
--- a/internal/kept/watch.go
+++ b/internal/rowstore/watch.go
@@ -1,4 +1,4 @@
-package kept
+package rowstore
 
 import (
 	"context"
@@ -31,28 +31,28 @@
 	Part string
 	// AllParts extends a full read to every partition of the table.
 	AllParts bool
-	// Wait is the longest time that the store holds one long poll open. It bounds how long
+	// PollTimeout is the longest time that the store holds one long poll open. It bounds how long
 	// an unresponsive connection goes unnoticed.
-	Wait time.Duration
-	// WaitNow, if set, is called before each long poll and replaces Wait.
-	WaitNow func() time.Duration
+	PollTimeout time.Duration
+	// PollTimeoutFunc, if set, is called before each long poll and replaces Wait.
+	PollTimeoutFunc func() time.Duration
 	// Replace receives all rows after a full read, Apply the rows of a page of changes.
 	// A row may be delivered several times and out of order; its version decides which
 	// state is newer.
 	Replace func(rows []Row)
 	Apply   func(rows []Row)
-	// Lost, if set, is called at the first failed read of an outage. Regained, if set, is
+	// OnOutage, if set, is called at the first failed read of an outage. Regained, if set, is
 	// called at the first successful read after it, with the duration of the outage.
-	Lost     func(error)
-	Regained func(time.Duration)
-	// Pace, if set, returns the minimum interval between the starts of two long polls.
+	OnOutage   func(error)
+	OnRecovery func(time.Duration)
+	// MinPollInterval, if set, returns the minimum interval between the starts of two long polls.
 	// Without it, each VM polls a table that changes all the time as fast as the store
 	// answers. A single change after a quiet period is not delayed.
-	Pace func() time.Duration
-	// Retry, if set, returns the backoff after a failed read.
-	Retry func() time.Duration
-	// Reached, if set, is called after each full read and each successful long poll.
-	Reached func()
+	MinPollInterval func() time.Duration
+	// RetryBackoff, if set, returns the backoff after a failed read.
+	RetryBackoff func() time.Duration
+	// OnRead, if set, is called after each full read and each successful long poll.
+	OnRead func()
 
 	outageSince time.Time // zero while the table can be read
 }
@@ -75,17 +75,17 @@
 
 // pollTimeout returns how long the store may hold the next long poll open.
 func (w *Watcher) pollTimeout() time.Duration {
-	if w.WaitNow == nil {
-		return w.Wait
+	if w.PollTimeoutFunc == nil {
+		return w.PollTimeout
 	}
-	return w.WaitNow()
+	return w.PollTimeoutFunc()
 }
 
 func (w *Watcher) retryBackoff() time.Duration {
-	if w.Retry == nil {
+	if w.RetryBackoff == nil {
 		return defaultRetryBackoff
 	}
-	return w.Retry()
+	return w.RetryBackoff()
 }
 
 // readTable reads the table in full and returns the version from which to follow changes. The
@@ -93,7 +93,7 @@
 // first page. Part is read before the partitions are listed, so that a partition that is
 // created after the listing is among the changes.
 func (w *Watcher) readTable(ctx context.Context) (int64, error) {
-	store := Patient{Store: w.Store, Pause: w.retryBackoff, Failed: w.noteFailure}
+	store := RetryingStore{Store: w.Store, Backoff: w.retryBackoff, OnFailure: w.noteFailure}
 	first, err := ReadPartition(ctx, store, w.Table, w.Part)
 	if err != nil {
 		return 0, err
@@ -143,7 +143,7 @@
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		pollStart := time.Now()
 		page, err := w.Store.Changes(ctx, w.Table, after, w.pollTimeout())
-		if fault.Is[*HistoryGone](err) {
+		if fault.Is[*HistoryTruncated](err) {
 			return nil
 		}
 		if err != nil {
@@ -154,8 +154,8 @@
 			w.Apply(page.Rows)
 		}
 		after = max(after, page.Version)
-		if w.Pace != nil {
-			wait.For(ctx, w.Pace()-time.Since(pollStart))
+		if w.MinPollInterval != nil {
+			wait.For(ctx, w.MinPollInterval()-time.Since(pollStart))
 		}
 	}
 	return nil
@@ -183,14 +183,14 @@
 
 // noteSuccess records a successful read and reports the end of an outage.
 func (w *Watcher) noteSuccess() {
-	if w.Reached != nil {
-		w.Reached()
+	if w.OnRead != nil {
+		w.OnRead()
 	}
 	if w.outageSince.IsZero() {
 		return
 	}
-	if w.Regained != nil {
-		w.Regained(time.Since(w.outageSince))
+	if w.OnRecovery != nil {
+		w.OnRecovery(time.Since(w.outageSince))
 	}
 	w.outageSince = time.Time{}
 }
@@ -202,7 +202,7 @@
 		return
 	}
 	w.outageSince = time.Now()
-	if w.Lost != nil {
-		w.Lost(err)
+	if w.OnOutage != nil {
+		w.OnOutage(err)
 	}
 }
--- a/internal/sample/attribution.go
+++ b/internal/sample/attribution.go
@@ -23,7 +23,7 @@
 	incarnation string
 }
 
-// Attribute fails with *fault.SampleUnattributable unless the spans reliably
+// CheckAttribution fails with *fault.SampleUnattributable unless the spans reliably
 // attribute every token of a sample to a weight version. tokens is the sample's
 // length, and latest the newest version that is published for the model.
 //
@@ -32,7 +32,7 @@
 // sample has a missing or unpublished version, two incarnations of one engine,
 // or a version that decreases within one process. It is not delivered, because
 // the trainer would weigh its tokens by the wrong policy without noticing.
-func Attribute(slot Slot, tokens int, spans []Span, latest int64) error {
+func CheckAttribution(slot Slot, tokens int, spans []Span, latest int64) error {
 	incarnations := make(map[string]string)
 	versions := make(map[engineProcess]int64)
 	next := 0
--- a/internal/sample/freshness.go
+++ b/internal/sample/freshness.go
@@ -8,8 +8,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Bound is a contract's staleness bound.
-type Bound struct {
+// StalenessBound is a contract's staleness bound.
+type StalenessBound struct {
 	// Versions limits how many versions the sample's oldest weight version may
 	// lag behind the newest published one.
 	Versions int64
@@ -57,7 +57,7 @@
 // Check fails with *fault.SampleStale when the age exceeds the bound. An unknown
 // elapsed time exceeds every limit: delivering the sample might violate the
 // contract, whereas generating it again only costs work.
-func (b Bound) Check(slot Slot, age Age) error {
+func (b StalenessBound) Check(slot Slot, age Age) error {
 	exceedsVersions := age.Versions > b.Versions
 	exceedsAge := b.Age > 0 && (!age.Known || age.Elapsed > b.Age)
 	if exceedsVersions || exceedsAge {
--- a/internal/sample/progress.go
+++ b/internal/sample/progress.go
@@ -52,9 +52,9 @@
 // Complete reports whether every slot has a sample.
 func (p Progress) Complete() bool { return p.Count() == p.Slots }
 
-// Claim records the epoch as that of the step's owner. It fails with
+// SetOwner records the epoch as that of the step's owner. It fails with
 // *fault.LeaseLost when an owner with a higher epoch has claimed the step.
-func (p Progress) Claim(step string, epoch uint64) (Progress, error) {
+func (p Progress) SetOwner(step string, epoch uint64) (Progress, error) {
 	if p.Epoch > epoch {
 		return p, errors.WithStack(&fault.LeaseLost{Lease: step, Epoch: epoch})
 	}
@@ -85,10 +85,10 @@
 	return p, numbered, nil
 }
 
-// TakeTurn registers the number of a pull. It fails with *fault.PullOvertaken
+// RegisterPull registers the number of a pull. It fails with *fault.PullOvertaken
 // unless the number is higher than all registered ones: the trainer ignores the
 // answer of a pull with a lower number.
-func (p Progress) TakeTurn(step string, number int64) (Progress, error) {
+func (p Progress) RegisterPull(step string, number int64) (Progress, error) {
 	if number <= p.Pull {
 		return p, errors.WithStack(&fault.PullOvertaken{Step: step})
 	}
@@ -96,11 +96,11 @@
 	return p, nil
 }
 
-// CheckTurn fails with *fault.PullOvertaken when a later pull has been
+// CheckPull fails with *fault.PullOvertaken when a later pull has been
 // registered. The later pull may have delivered a sample that the earlier one
 // considers stale; if the earlier one still withdrew that sample, the trainer
 // would receive a second sample for its slot.
-func (p Progress) CheckTurn(step string, number int64) error {
+func (p Progress) CheckPull(step string, number int64) error {
 	if number != p.Pull {
 		return errors.WithStack(&fault.PullOvertaken{Step: step})
 	}
--- a/internal/sample/property_test.go
+++ b/internal/sample/property_test.go
@@ -22,7 +22,7 @@
 	properties.Property("accepted spans name every token", prop.ForAll(
 		func(spans []Span, extra int) bool {
 			tokens := spans[len(spans)-1].End + extra
-			if Attribute(Slot{Group: "g"}, tokens, spans, latest) != nil {
+			if CheckAttribution(Slot{Group: "g"}, tokens, spans, latest) != nil {
 				return true
 			}
 			accepted++
--- a/internal/sample/sample_test.go
+++ b/internal/sample/sample_test.go
@@ -51,7 +51,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			err := Attribute(Slot{Group: "g"}, 8, c.spans, 3)
+			err := CheckAttribution(Slot{Group: "g"}, 8, c.spans, 3)
 			if c.ok != (err == nil) {
 				t.Fatalf("attributable is %v, want %v: %v", err == nil, c.ok, err)
 			}
@@ -68,19 +68,19 @@
 	start := time.Unix(1000, 0)
 	cases := []struct {
 		name         string
-		bound        Bound
+		bound        StalenessBound
 		oldest       int64
 		supersession Supersession
 		now          time.Duration
 		fresh        bool
 	}{
-		{"newest version has no age", Bound{Versions: 0, Age: time.Second}, 5, Supersession{Latest: 5}, time.Hour, true},
-		{"at the bound in versions", Bound{Versions: 2}, 3, Supersession{Latest: 5}, 0, true},
-		{"past the bound in versions", Bound{Versions: 2}, 2, Supersession{Latest: 5}, 0, false},
-		{"at the bound in seconds", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute, true},
-		{"past the bound in seconds", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute + 1, false},
-		{"no bound in seconds", Bound{Versions: 2}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Hour, true},
-		{"unknown time of supersession", Bound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5}, 0, false},
+		{"newest version has no age", StalenessBound{Versions: 0, Age: time.Second}, 5, Supersession{Latest: 5}, time.Hour, true},
+		{"at the bound in versions", StalenessBound{Versions: 2}, 3, Supersession{Latest: 5}, 0, true},
+		{"past the bound in versions", StalenessBound{Versions: 2}, 2, Supersession{Latest: 5}, 0, false},
+		{"at the bound in seconds", StalenessBound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute, true},
+		{"past the bound in seconds", StalenessBound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Minute + 1, false},
+		{"no bound in seconds", StalenessBound{Versions: 2}, 4, Supersession{Latest: 5, At: start, Known: true}, time.Hour, true},
+		{"unknown time of supersession", StalenessBound{Versions: 2, Age: time.Minute}, 4, Supersession{Latest: 5}, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -101,7 +101,7 @@
 func TestCommitByPreviousOwnerIsRefused(t *testing.T) {
 	d := definition(2, 2)
 	slots := d.Slots()
-	p, err := NewProgress(d).Claim("s", 1)
+	p, err := NewProgress(d).SetOwner("s", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -109,14 +109,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err = p.Claim("s", 2)
+	p, err = p.SetOwner("s", 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := p.Commit("s", 1, []Sample{{Slot: slots[1]}}); !fault.Is[*fault.LeaseLost](err) {
 		t.Fatalf("commit by the previous owner: %v", err)
 	}
-	if _, err := p.Claim("s", 1); !fault.Is[*fault.LeaseLost](err) {
+	if _, err := p.SetOwner("s", 1); !fault.Is[*fault.LeaseLost](err) {
 		t.Fatalf("claim by the previous owner: %v", err)
 	}
 	p, numbered, err := p.Commit("s", 2, []Sample{{Slot: slots[0]}, {Slot: slots[1]}})
--- a/internal/supply/orderer.go
+++ b/internal/scaling/orderer.go
@@ -1,4 +1,4 @@
-package supply
+package scaling
 
 import (
 	"context"
@@ -43,21 +43,21 @@
 	OrderUpstreams(ctx context.Context, order Order) error
 }
 
-// Wants reports how many upstreams of each service a failure domain should have. It
+// DesiredCounts reports how many upstreams of each service a failure domain should have. It
 // leaves out services whose upstreams can't be ordered in the domain and services
 // whose need is not known.
-type Wants interface {
-	Upstreams(domain string) map[string]Set
+type DesiredCounts interface {
+	Upstreams(domain string) map[string]KindCounts
 }
 
 // Orderer orders the upstreams of one failure domain while it holds the lease.
 type Orderer struct {
-	VM       string
-	Domain   string
-	Wants    Wants
-	Platform Platform
-	Events   *event.Recorder
-	Leases   *lease.Manager
+	VM            string
+	Domain        string
+	DesiredCounts DesiredCounts
+	Platform      Platform
+	Events        *event.Recorder
+	Leases        *lease.Manager
 
 	// lastOrder holds the last order for each key in the present lease term.
 	lastOrder map[orderKey]lastOrder
@@ -81,14 +81,14 @@
 
 // Run campaigns for the lease of the failure domain until ctx ends.
 func (o *Orderer) Run(ctx context.Context) {
-	o.Leases.Serve(ctx, lease.InDomain(leaseDuty, o.Domain), o.serveTerm)
+	o.Leases.Serve(ctx, lease.NameInDomain(leaseDuty, o.Domain), o.serveTerm)
 }
 
 // serveTerm sends orders during one lease term, until ctx ends or the lease is lost. It
 // first waits until no order of the previous holder can arrive any more, since the
 // platform does not compare epochs.
 func (o *Orderer) serveTerm(ctx context.Context, guard lease.Guard) error {
-	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
+	if err := lease.WaitOrderGracePeriod(ctx, guard, orderTimeout); err != nil {
 		return err
 	}
 	o.lastOrder = make(map[orderKey]lastOrder)
@@ -109,7 +109,7 @@
 // sendDueOrders sends the orders that are due, one after another. It fails when the
 // lease is lost.
 func (o *Orderer) sendDueOrders(ctx context.Context, guard lease.Guard) error {
-	for service, counts := range o.Wants.Upstreams(o.Domain) {
+	for service, counts := range o.DesiredCounts.Upstreams(o.Domain) {
 		for kind, count := range counts {
 			key := orderKey{service, Kind(kind)}
 			last, known := o.lastOrder[key]
@@ -130,12 +130,12 @@
 
 // sendOrder sends one order and records when it is sent again.
 func (o *Orderer) sendOrder(ctx context.Context, guard lease.Guard, key orderKey, count int) {
-	orderCtx, cancel := context.WithTimeout(fence.Context(ctx, guard), orderTimeout)
+	orderCtx, cancel := context.WithTimeout(fence.WithGuard(ctx, guard), orderTimeout)
 	defer cancel()
 	err := o.Platform.OrderUpstreams(orderCtx, Order{
 		Service: key.service, Domain: o.Domain, Kind: key.kind, Count: count, Holder: o.VM, Epoch: guard.Epoch(),
 	})
-	subject := event.Subject{Lease: lease.InDomain(leaseDuty, o.Domain), Epoch: guard.Epoch(), Count: int64(count), Detail: key.service + " " + key.kind.String()}
+	subject := event.Subject{Lease: lease.NameInDomain(leaseDuty, o.Domain), Epoch: guard.Epoch(), Count: int64(count), Detail: key.service + " " + key.kind.String()}
 	if err != nil {
 		subject.Detail += ": " + string(fault.CodeOf(err)) + ": " + err.Error()
 		o.Events.Emit(event.OrderFailed, subject)
--- a/internal/supply/plan.go
+++ b/internal/scaling/plan.go
@@ -1,7 +1,7 @@
-// Package supply orders upstreams from the platform, which starts and stops them for each
+// Package scaling orders upstreams from the platform, which starts and stops them for each
 // failure domain. Under a lease, one VM at a time sends the orders of a failure domain, so
 // that the platform gets them from a single sender.
-package supply
+package scaling
 
 import "dogwoodpond/internal/route"
 
@@ -21,8 +21,8 @@
 // String returns the name of the kind for events.
 func (k Kind) String() string { return [...]string{"fixed", "reclaimable"}[k] }
 
-// Set is a number of upstreams of each kind.
-type Set [numKinds]int
+// KindCounts is a number of upstreams of each kind.
+type KindCounts [numKinds]int
 
 const (
 	// slotsPercent is the number of slots to provide for 100 items. Most items are short
@@ -53,7 +53,7 @@
 // domains together have the slots that the items need, and each has engines for each
 // model. Some of the engines beyond these slots may be reclaimable: when they are taken
 // away, steps still have their slots and nearly all models their engines.
-func Counts(n Need, domains int, scale *route.Scale) (out Set, ok bool) {
+func Counts(n Need, domains int, scale *route.Scale) (out KindCounts, ok bool) {
 	if n.Items <= 0 || n.Slots <= 0 || domains <= 0 {
 		return out, false
 	}
--- a/internal/supply/supply_test.go
+++ b/internal/scaling/supply_test.go
@@ -1,4 +1,4 @@
-package supply
+package scaling
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/lease"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 func TestCounts(t *testing.T) {
@@ -25,15 +25,15 @@
 		need    Need
 		domains int
 		scale   route.Scale
-		want    Set
+		want    KindCounts
 	}{
-		{"engines for each model, a few of them reclaimable", Need{Models: 3, Items: 176, Slots: 12}, 3, scale, Set{5, 1}},
-		{"slots for the items", Need{Models: 2, Items: 204, Slots: 12}, 3, scale, Set{4, 0}},
-		{"at most the maximum", Need{Models: 4, Items: 2000, Slots: 12}, 3, scale, Set{6, 0}},
-		{"reclaimable upstreams at the same price", Need{Models: 3, Items: 176, Slots: 12}, 3, route.Scale{Minimum: 1, Maximum: 6, ReclaimablePrice: 1}, Set{6, 0}},
-		{"no reclaimable upstreams", Need{Models: 3, Items: 176, Slots: 12}, 3, route.Scale{Minimum: 1, Maximum: 6}, Set{6, 0}},
-		{"at least the minimum", Need{Models: 1, Items: 1, Slots: 12}, 3, route.Scale{Minimum: 3, Maximum: 6, ReclaimablePrice: 0.2}, Set{3, 0}},
-		{"fleet of 45 engines", Need{Models: 4, Items: 600, Slots: 8}, 3, route.Scale{Minimum: 1, Maximum: 30, ReclaimablePrice: 0.2}, Set{15, 0}},
+		{"engines for each model, a few of them reclaimable", Need{Models: 3, Items: 176, Slots: 12}, 3, scale, KindCounts{5, 1}},
+		{"slots for the items", Need{Models: 2, Items: 204, Slots: 12}, 3, scale, KindCounts{4, 0}},
+		{"at most the maximum", Need{Models: 4, Items: 2000, Slots: 12}, 3, scale, KindCounts{6, 0}},
+		{"reclaimable upstreams at the same price", Need{Models: 3, Items: 176, Slots: 12}, 3, route.Scale{Minimum: 1, Maximum: 6, ReclaimablePrice: 1}, KindCounts{6, 0}},
+		{"no reclaimable upstreams", Need{Models: 3, Items: 176, Slots: 12}, 3, route.Scale{Minimum: 1, Maximum: 6}, KindCounts{6, 0}},
+		{"at least the minimum", Need{Models: 1, Items: 1, Slots: 12}, 3, route.Scale{Minimum: 3, Maximum: 6, ReclaimablePrice: 0.2}, KindCounts{3, 0}},
+		{"fleet of 45 engines", Need{Models: 4, Items: 600, Slots: 8}, 3, route.Scale{Minimum: 1, Maximum: 30, ReclaimablePrice: 0.2}, KindCounts{15, 0}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, ok := Counts(c.need, c.domains, &c.scale); !ok || got != c.want {
@@ -85,16 +85,16 @@
 // fakeCounts returns the counts that the test sets.
 type fakeCounts struct {
 	mu  sync.Mutex
-	set map[string]Set
+	set map[string]KindCounts
 }
 
-func (c *fakeCounts) Upstreams(string) map[string]Set {
+func (c *fakeCounts) Upstreams(string) map[string]KindCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.set
 }
 
-func (c *fakeCounts) replace(set map[string]Set) {
+func (c *fakeCounts) replace(set map[string]KindCounts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.set = set
@@ -105,8 +105,8 @@
 func startOrderer(t *testing.T, store *memory.Store, counts *fakeCounts, p *fakePlatform, vm string) context.CancelFunc {
 	events := event.NewRecorder(vm, 16, event.NewClock(time.Now), zap.NewNop())
 	o := &Orderer{
-		VM: vm, Domain: "x", Wants: counts, Platform: p, Events: events,
-		Leases: lease.NewManager(kept.NewTables(store, "lease"), vm, leaseTerm, events),
+		VM: vm, Domain: "x", DesiredCounts: counts, Platform: p, Events: events,
+		Leases: lease.NewManager(rowstore.NewTables(store, "lease"), vm, leaseTerm, events),
 	}
 	ctx, kill := context.WithCancel(t.Context())
 	go o.Run(ctx)
@@ -122,13 +122,13 @@
 		if n := len(p.received()); n != 0 {
 			t.Fatalf("%d orders without a known need", n)
 		}
-		counts.replace(map[string]Set{"lm": {5, 1}})
+		counts.replace(map[string]KindCounts{"lm": {5, 1}})
 		time.Sleep(time.Second)
 		got := p.received()
 		if len(got) != 2 || got[0].Count != 5 || got[0].Kind != Fixed || got[1].Count != 1 || got[1].Kind != Reclaimable {
 			t.Fatalf("orders: %+v", got)
 		}
-		counts.replace(map[string]Set{"lm": {6, 0}})
+		counts.replace(map[string]KindCounts{"lm": {6, 0}})
 		time.Sleep(time.Second)
 		if got = p.received()[2:]; len(got) != 2 || got[0].Count != 6 || got[1].Count != 0 {
 			t.Errorf("orders after the change: %+v", got)
@@ -141,7 +141,7 @@
 // ordered again.
 func TestOrdersAreRetriedUntilExecuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counts, p := &fakeCounts{set: map[string]Set{"lm": {4, 0}}}, &fakePlatform{lostReplies: 1, refusedOrders: 2}
+		counts, p := &fakeCounts{set: map[string]KindCounts{"lm": {4, 0}}}, &fakePlatform{lostReplies: 1, refusedOrders: 2}
 		startOrderer(t, memory.New(), counts, p, "a")
 		time.Sleep(9 * time.Second)
 		got := p.received()
@@ -161,7 +161,7 @@
 // must be repeated.
 func TestNewestOrderIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		counts, p := &fakeCounts{set: map[string]Set{"lm": {4, 0}}}, &fakePlatform{}
+		counts, p := &fakeCounts{set: map[string]KindCounts{"lm": {4, 0}}}, &fakePlatform{}
 		startOrderer(t, memory.New(), counts, p, "a")
 		time.Sleep(5 * time.Second)
 		before := len(p.received())
@@ -177,7 +177,7 @@
 // senders would start and stop upstreams alternately.
 func TestNewHolderOrdersWithHigherEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, counts, p := memory.New(), &fakeCounts{set: map[string]Set{"lm": {4, 0}}}, &fakePlatform{}
+		store, counts, p := memory.New(), &fakeCounts{set: map[string]KindCounts{"lm": {4, 0}}}, &fakePlatform{}
 		kill := startOrderer(t, store, counts, p, "a")
 		time.Sleep(5 * time.Second)
 		startOrderer(t, store, counts, p, "b")
--- a/internal/scoring/client.go
+++ b/internal/scoring/client.go
@@ -39,7 +39,7 @@
 
 // Score makes a call by the given route and returns the score, which is the digest of
 // the service's complete, successful answer. residency limits the failure domains to which
-// the call may go. forward.FailedAnswers returns, for an error of Score, how many
+// the call may go. forward.FailedAnswerCount returns, for an error of Score, how many
 // upstreams answered that the call failed.
 func (c *Client) Score(ctx context.Context, call Call, by *route.Route, residency route.Residency) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeoutOf(by))
--- a/internal/scoring/limiter.go
+++ b/internal/scoring/limiter.go
@@ -11,31 +11,31 @@
 // requests.
 const reservedShare = 0.25
 
-// Lanes limits the score calls that a VM has open at each service. The samples of a step
+// CallLimiter limits the score calls that a VM has open at each service. The samples of a step
 // often end together and cause a burst of score calls, while callers send a few requests
 // per second. If the burst were sent at once, it would fill the upstreams' queues, which
 // are first in, first out, and delay every caller's request. The limit depends on the load
 // that the upstreams report, so that it takes the calls of other VMs into account. One
 // call may always be open, so that callers' requests can't starve the steps.
 // Lanes is safe for concurrent use.
-type Lanes struct {
+type CallLimiter struct {
 	mu   sync.Mutex
 	open map[string]int
 }
 
-// NewLanes returns a limiter without open calls.
-func NewLanes() *Lanes { return &Lanes{open: make(map[string]int)} }
+// NewCallLimiter returns a limiter without open calls.
+func NewCallLimiter() *CallLimiter { return &CallLimiter{open: make(map[string]int)} }
 
-// Room returns how many more calls may be sent to a service, given the upstreams of the
+// Available returns how many more calls may be sent to a service, given the upstreams of the
 // service that may get requests.
-func (l *Lanes) Room(service string, upstreams []*target.Entry, now time.Time) int {
+func (l *CallLimiter) Available(service string, upstreams []*target.Entry, now time.Time) int {
 	if len(upstreams) == 0 {
 		return 0
 	}
 	slots, free := 0, 0
 	for _, e := range upstreams {
 		slots += e.Slots()
-		free += max(e.Free(now), 0)
+		free += max(e.FreeSlots(now), 0)
 	}
 	available := free - int(float64(slots)*reservedShare+1)
 	l.mu.Lock()
@@ -47,13 +47,13 @@
 }
 
 // Begin counts an open call to a service.
-func (l *Lanes) Begin(service string) { l.add(service, 1) }
+func (l *CallLimiter) Begin(service string) { l.add(service, 1) }
 
 // End removes a call that Begin counted.
-func (l *Lanes) End(service string) { l.add(service, -1) }
+func (l *CallLimiter) End(service string) { l.add(service, -1) }
 
 // add changes the number of open calls to a service by n.
-func (l *Lanes) add(service string, n int) {
+func (l *CallLimiter) add(service string, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open[service] += n; l.open[service] == 0 {
--- a/internal/scoring/scoring_test.go
+++ b/internal/scoring/scoring_test.go
@@ -21,7 +21,7 @@
 	"dogwoodpond/internal/target"
 )
 
-// fakeScorer is a fake scoring service. It implements target.Caller.
+// fakeScorer is a fake scoring service. It implements target.Transport.
 type fakeScorer struct {
 	// answer returns the response of an upstream. If it is nil, the upstream never
 	// answers.
@@ -61,7 +61,7 @@
 		list = append(list, target.Instance{ID: id, Service: "judge", Address: id, FailureDomain: "x", Slots: 4})
 	}
 	roster.Replace(list)
-	return &Client{Forwarder: &forward.Forwarder{Roster: roster, Caller: f, Meter: forward.Unmetered{}, Events: events, Budget: retry.NewBudget(), Domain: "x"}}
+	return &Client{Forwarder: &forward.Forwarder{Roster: roster, Transport: f, Meter: forward.Unmetered{}, Events: events, RetryBudget: retry.NewBudget(), Domain: "x"}}
 }
 
 func scoreRoute(attempts int) *route.Route {
@@ -77,8 +77,8 @@
 		if err != nil || score != "d1" {
 			t.Errorf("Score = %q, %v", score, err)
 		}
-		if f.last.Account != "" || f.last.Left <= 0 || f.last.Left > 2*time.Second {
-			t.Errorf("the call has account %q and %s left, want no account and at most 2s", f.last.Account, f.last.Left)
+		if f.last.Account != "" || f.last.Remaining <= 0 || f.last.Remaining > 2*time.Second {
+			t.Errorf("the call has account %q and %s left, want no account and at most 2s", f.last.Account, f.last.Remaining)
 		}
 	})
 }
@@ -113,13 +113,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeScorer{answer: func(string) *target.Response { return failedResponse() }}
 		_, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
-		if n := forward.FailedAnswers(err); n != 2 {
+		if n := forward.FailedAnswerCount(err); n != 2 {
 			t.Errorf("%d failed answers, want 2: %v", n, err)
 		}
-		tries := Tries{Pauses: Pauses{First: time.Millisecond, Longest: time.Second}}
-		tries.Failed(err)
-		if !tries.Hopeless(2) || tries.Hopeless(3) {
-			t.Errorf("hopeless with limit 2: %t, with limit 3: %t", tries.Hopeless(2), tries.Hopeless(3))
+		tries := RetryState{Backoff: Backoff{Min: time.Millisecond, Max: time.Second}}
+		tries.NoteFailure(err)
+		if !tries.ShouldAbandon(2) || tries.ShouldAbandon(3) {
+			t.Errorf("hopeless with limit 2: %t, with limit 3: %t", tries.ShouldAbandon(2), tries.ShouldAbandon(3))
 		}
 	})
 }
@@ -152,7 +152,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := &fakeScorer{answer: func(string) *target.Response { return response() }}
 				score, err := newClient(f).Score(t.Context(), call, scoreRoute(2), route.Residency{})
-				if err == nil || score != "" || forward.FailedAnswers(err) != 0 {
+				if err == nil || score != "" || forward.FailedAnswerCount(err) != 0 {
 					t.Errorf("Score = %q, %v", score, err)
 				}
 			})
@@ -166,16 +166,16 @@
 func (truncatedBody) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 func TestBackoffGrowsUpToLimit(t *testing.T) {
-	tries := Tries{Pauses: Pauses{First: 40 * time.Millisecond, Longest: 640 * time.Millisecond}}
-	if first, second := tries.Failed(nil), tries.Failed(nil); second != 2*first {
+	tries := RetryState{Backoff: Backoff{Min: 40 * time.Millisecond, Max: 640 * time.Millisecond}}
+	if first, second := tries.NoteFailure(nil), tries.NoteFailure(nil); second != 2*first {
 		t.Errorf("backoffs of %s and %s, want the second doubled", first, second)
 	}
 	for range 100 {
-		if backoff := tries.Failed(nil); backoff <= 0 || backoff > 640*time.Millisecond {
+		if backoff := tries.NoteFailure(nil); backoff <= 0 || backoff > 640*time.Millisecond {
 			t.Fatalf("backoff of %s, want at most 640ms", backoff)
 		}
 	}
-	if tries.Hopeless(1) || tries.Hopeless(0) {
+	if tries.ShouldAbandon(1) || tries.ShouldAbandon(0) {
 		t.Error("the sample is hopeless although no upstream answered that the call failed")
 	}
 }
@@ -186,8 +186,8 @@
 	now := time.Now()
 	c := newClient(&fakeScorer{})
 	list := c.Forwarder.Roster.Usable("judge", now)
-	limiter := NewLanes()
-	if n := limiter.Room("judge", list, now); n != 8 {
+	limiter := NewCallLimiter()
+	if n := limiter.Available("judge", list, now); n != 8 {
 		t.Errorf("%d calls may be sent with 12 free slots, want 8", n)
 	}
 	for _, e := range list {
@@ -196,14 +196,14 @@
 		}
 	}
 	limiter.Begin("judge")
-	if n := limiter.Room("judge", list, now); n != 0 {
+	if n := limiter.Available("judge", list, now); n != 0 {
 		t.Errorf("%d calls may be sent with 3 free slots, want 0", n)
 	}
 	limiter.End("judge")
-	if n := limiter.Room("judge", list, now); n != 1 {
+	if n := limiter.Available("judge", list, now); n != 1 {
 		t.Errorf("%d calls may be sent while none is open, want 1", n)
 	}
-	if n := limiter.Room("judge", nil, now); n != 0 {
+	if n := limiter.Available("judge", nil, now); n != 0 {
 		t.Errorf("%d calls may be sent without upstreams, want 0", n)
 	}
 }
@@ -214,12 +214,12 @@
 	now := time.Now()
 	c := newClient(&fakeScorer{})
 	list := c.Forwarder.Roster.Usable("judge", now)
-	limiter := NewLanes()
+	limiter := NewCallLimiter()
 	limiter.Begin("judge")
 	for _, e := range list {
 		e.NoteLoad(target.Load{Running: 4, Waiting: 2, Slots: 4}, now)
 	}
-	if n := limiter.Room("judge", list, now); n != 0 {
+	if n := limiter.Available("judge", list, now); n != 0 {
 		t.Errorf("%d calls may be sent to a service without free slots, want 0", n)
 	}
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -16,19 +16,19 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 // Paths at which tests and scripts configure and inspect the stand-in platform.
 const (
-	// PathAddVM adds a platform.VM to the list, or replaces the one with its ID.
+	// PathAddVM adds a platformapi.VM to the list, or replaces the one with its ID.
 	PathAddVM = "/stand-in/vms"
-	// PathAddUpstream adds a platform.Upstream to the list, or replaces the one
+	// PathAddUpstream adds a platformapi.Upstream to the list, or replaces the one
 	// with its ID. An upstream in state "spare" is listed only after an order has
 	// started it.
 	PathAddUpstream = "/stand-in/upstreams"
-	// PathPublish publishes a platform.WeightVersion. The platform assigns the
+	// PathPublish publishes a platformapi.WeightVersion. The platform assigns the
 	// version.
 	PathPublish = "/stand-in/weights"
 	// PathReportLog returns the accepted usage reports.
@@ -41,7 +41,7 @@
 
 // stateSpare is the state of an upstream that does not run and that an order can
 // start.
-const stateSpare platform.UpstreamState = "spare"
+const stateSpare platformapi.UpstreamState = "spare"
 
 const (
 	probeInterval = 500 * time.Millisecond
@@ -64,48 +64,48 @@
 // Platform is a stand-in for the users' platform.
 type Platform struct {
 	faults *faults
-	tables *memory.Tables
+	tables *memtables.Tables
 
 	mu        sync.Mutex
 	objects   map[string][]byte
-	vms       []platform.VM
+	vms       []platformapi.VM
 	failures  map[string]int // unanswered probes since the VM was last ready, by VM
-	upstreams []platform.Upstream
+	upstreams []platformapi.Upstream
 	epochs    map[string]uint64 // newest epoch of orders by failure domain, and of reports
 	executed  map[string]bool   // executed orders by ID
-	orders    []platform.Order
-	reports   map[reportKey]platform.UsageReport
-	reportLog []platform.UsageReport
-	weights   []platform.WeightVersion
+	orders    []platformapi.Order
+	reports   map[reportKey]platformapi.UsageReport
+	reportLog []platformapi.UsageReport
+	weights   []platformapi.WeightVersion
 }
 
 // NewPlatform returns an empty platform.
 func NewPlatform() *Platform {
 	return &Platform{
 		faults:   newFaults(),
-		tables:   memory.NewTables(),
+		tables:   memtables.NewTables(),
 		objects:  make(map[string][]byte),
 		failures: make(map[string]int),
 		epochs:   make(map[string]uint64),
 		executed: make(map[string]bool),
-		reports:  make(map[reportKey]platform.UsageReport),
+		reports:  make(map[reportKey]platformapi.UsageReport),
 	}
 }
 
 // Handler returns the handler of the platform's HTTP interfaces.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+platform.PathGet, p.get)
-	mux.HandleFunc("POST "+platform.PathScan, p.scan)
-	mux.HandleFunc("POST "+platform.PathCommit, p.commit)
-	mux.HandleFunc("PUT "+platform.PathObjects+"{key}", p.putObject)
-	mux.HandleFunc("GET "+platform.PathObjects+"{key}", p.getObject)
-	mux.HandleFunc("GET "+platform.PathVMs, listHandler(p, func() any { return p.vms }))
-	mux.HandleFunc("GET "+platform.PathUpstreams, listHandler(p, func() any { return p.listedUpstreams() }))
-	mux.HandleFunc("POST "+platform.PathOrders, p.order)
-	mux.HandleFunc("GET "+platform.PathOffers, listHandler(p, func() any { return p.offers() }))
-	mux.HandleFunc("POST "+platform.PathReports, p.report)
-	mux.HandleFunc("GET "+platform.PathWeights, listHandler(p, func() any { return p.weights }))
+	mux.HandleFunc("POST "+platformapi.PathGet, p.get)
+	mux.HandleFunc("POST "+platformapi.PathScan, p.scan)
+	mux.HandleFunc("POST "+platformapi.PathCommit, p.commit)
+	mux.HandleFunc("PUT "+platformapi.PathObjects+"{key}", p.putObject)
+	mux.HandleFunc("GET "+platformapi.PathObjects+"{key}", p.getObject)
+	mux.HandleFunc("GET "+platformapi.PathVMs, listHandler(p, func() any { return p.vms }))
+	mux.HandleFunc("GET "+platformapi.PathUpstreams, listHandler(p, func() any { return p.listedUpstreams() }))
+	mux.HandleFunc("POST "+platformapi.PathOrders, p.order)
+	mux.HandleFunc("GET "+platformapi.PathOffers, listHandler(p, func() any { return p.offers() }))
+	mux.HandleFunc("POST "+platformapi.PathReports, p.report)
+	mux.HandleFunc("GET "+platformapi.PathWeights, listHandler(p, func() any { return p.weights }))
 	mux.HandleFunc("POST "+PathAddVM, p.addVM)
 	mux.HandleFunc("POST "+PathAddUpstream, p.addUpstream)
 	mux.HandleFunc("POST "+PathPublish, p.publish)
@@ -138,7 +138,7 @@
 }
 
 func (p *Platform) get(w http.ResponseWriter, r *http.Request) {
-	var request platform.GetRequest
+	var request platformapi.GetRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
@@ -147,7 +147,7 @@
 }
 
 func (p *Platform) scan(w http.ResponseWriter, r *http.Request) {
-	var request platform.ScanRequest
+	var request platformapi.ScanRequest
 	if !readJSON(w, r, &request) {
 		return
 	}
@@ -156,13 +156,13 @@
 }
 
 func (p *Platform) commit(w http.ResponseWriter, r *http.Request) {
-	var txn platform.Txn
+	var txn platformapi.Txn
 	if !readJSON(w, r, &txn) {
 		return
 	}
 	var failed *fault.PreconditionFailed
 	if err := p.tables.Commit(r.Context(), txn); errors.As(err, &failed) {
-		writeJSON(w, http.StatusPreconditionFailed, platform.Problem{Row: failed.Row, Want: failed.Want, Have: failed.Have})
+		writeJSON(w, http.StatusPreconditionFailed, platformapi.Refusal{Row: failed.Row, Want: failed.Want, Have: failed.Have})
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -195,8 +195,8 @@
 	_, _ = w.Write(body)
 }
 
-func (p *Platform) listedUpstreams() []platform.Upstream {
-	listed := []platform.Upstream{}
+func (p *Platform) listedUpstreams() []platformapi.Upstream {
+	listed := []platformapi.Upstream{}
 	for _, u := range p.upstreams {
 		if u.State != stateSpare {
 			listed = append(listed, u)
@@ -207,14 +207,14 @@
 
 // offers returns the number of spare upstreams by failure domain, model, price and
 // whether they are reclaimable.
-func (p *Platform) offers() []platform.Offer {
-	counts := make(map[platform.Offer]int)
+func (p *Platform) offers() []platformapi.Offer {
+	counts := make(map[platformapi.Offer]int)
 	for _, u := range p.upstreams {
 		if u.State == stateSpare {
-			counts[platform.Offer{FailureDomain: u.FailureDomain, Model: u.Model, Reclaimable: u.Reclaimable, CentsPerHour: u.CentsPerHour}]++
+			counts[platformapi.Offer{FailureDomain: u.FailureDomain, Model: u.Model, Reclaimable: u.Reclaimable, CentsPerHour: u.CentsPerHour}]++
 		}
 	}
-	offers := []platform.Offer{}
+	offers := []platformapi.Offer{}
 	for o, n := range counts {
 		o.Available = n
 		offers = append(offers, o)
@@ -223,14 +223,14 @@
 }
 
 func (p *Platform) order(w http.ResponseWriter, r *http.Request) {
-	var order platform.Order
+	var order platformapi.Order
 	if !readJSON(w, r, &order) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if order.Epoch < p.epochs[order.FailureDomain] {
-		writeJSON(w, http.StatusPreconditionFailed, platform.Problem{Epoch: p.epochs[order.FailureDomain]})
+		writeJSON(w, http.StatusPreconditionFailed, platformapi.Refusal{Epoch: p.epochs[order.FailureDomain]})
 		return
 	}
 	p.epochs[order.FailureDomain] = order.Epoch
@@ -249,16 +249,16 @@
 
 // execute starts a spare upstream or stops a running one. It returns false if no
 // upstream matches the order.
-func (p *Platform) execute(order platform.Order) bool {
+func (p *Platform) execute(order platformapi.Order) bool {
 	for i := range p.upstreams {
 		u := &p.upstreams[i]
 		switch {
-		case order.Kind == platform.OrderStop && u.ID == order.Upstream:
+		case order.Kind == platformapi.OrderStop && u.ID == order.Upstream:
 			u.State = stateSpare
 			u.Account, u.OrderID = "", ""
 			return true
-		case order.Kind == platform.OrderStart && startable(*u, order):
-			u.State = platform.UpstreamLive
+		case order.Kind == platformapi.OrderStart && startable(*u, order):
+			u.State = platformapi.UpstreamLive
 			u.Account = order.Account
 			u.OrderID = order.ID
 			return true
@@ -267,7 +267,7 @@
 	return false
 }
 
-func startable(u platform.Upstream, order platform.Order) bool {
+func startable(u platformapi.Upstream, order platformapi.Order) bool {
 	return u.State == stateSpare &&
 		u.FailureDomain == order.FailureDomain &&
 		u.Reclaimable == order.Reclaimable &&
@@ -276,7 +276,7 @@
 }
 
 func (p *Platform) report(w http.ResponseWriter, r *http.Request) {
-	var report platform.UsageReport
+	var report platformapi.UsageReport
 	if !readJSON(w, r, &report) {
 		return
 	}
@@ -284,7 +284,7 @@
 	defer p.mu.Unlock()
 	const reports = "reports"
 	if report.Epoch < p.epochs[reports] {
-		writeJSON(w, http.StatusPreconditionFailed, platform.Problem{Epoch: p.epochs[reports]})
+		writeJSON(w, http.StatusPreconditionFailed, platformapi.Refusal{Epoch: p.epochs[reports]})
 		return
 	}
 	p.epochs[reports] = report.Epoch
@@ -304,30 +304,30 @@
 }
 
 func (p *Platform) addVM(w http.ResponseWriter, r *http.Request) {
-	vm := platform.VM{State: platform.VMLive}
+	vm := platformapi.VM{State: platformapi.VMLive}
 	if !readJSON(w, r, &vm) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.vms = slices.DeleteFunc(p.vms, func(v platform.VM) bool { return v.ID == vm.ID })
+	p.vms = slices.DeleteFunc(p.vms, func(v platformapi.VM) bool { return v.ID == vm.ID })
 	p.vms = append(p.vms, vm)
 	p.failures[vm.ID] = 0
 }
 
 func (p *Platform) addUpstream(w http.ResponseWriter, r *http.Request) {
-	u := platform.Upstream{State: platform.UpstreamLive}
+	u := platformapi.Upstream{State: platformapi.UpstreamLive}
 	if !readJSON(w, r, &u) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.upstreams = slices.DeleteFunc(p.upstreams, func(v platform.Upstream) bool { return v.ID == u.ID })
+	p.upstreams = slices.DeleteFunc(p.upstreams, func(v platformapi.Upstream) bool { return v.ID == u.ID })
 	p.upstreams = append(p.upstreams, u)
 }
 
 func (p *Platform) publish(w http.ResponseWriter, r *http.Request) {
-	var published platform.WeightVersion
+	var published platformapi.WeightVersion
 	if !readJSON(w, r, &published) {
 		return
 	}
@@ -386,18 +386,18 @@
 func (p *Platform) noteReadiness(id string, status int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := slices.IndexFunc(p.vms, func(v platform.VM) bool { return v.ID == id })
+	at := slices.IndexFunc(p.vms, func(v platformapi.VM) bool { return v.ID == id })
 	if at < 0 {
 		return
 	}
 	switch status {
 	case http.StatusOK:
-		p.vms[at].State = platform.VMLive
+		p.vms[at].State = platformapi.VMLive
 		p.failures[id] = 0
 	case 0:
 		p.failures[id]++
 	default:
-		p.vms[at].State = platform.VMLeaving
+		p.vms[at].State = platformapi.VMLeaving
 	}
 	if p.failures[id] >= failedProbesUntilRemoval {
 		p.vms = slices.Delete(p.vms, at, at+1)
--- a/internal/step/accept.go
+++ b/internal/step/accept.go
@@ -10,7 +10,7 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -40,15 +40,15 @@
 	defer cancel()
 	spec.SubmittedAt = now
 	state := State{Spec: spec, Total: len(items), Epoch: 1, Nonce: uuid.NewString()}
-	state.Work, state.Behind = expectedTokens(items), m.versionLag(spec)
-	state.Owner, state.OwnerLife = m.ownerFor(spec)
+	state.ExpectedTokens, state.VersionLag = expectedTokens(items), m.versionLag(spec)
+	state.Owner, state.OwnerIncarnation = m.ownerFor(spec)
 	txn, state, err := creationTxn(ctx, m.Store, state, items)
 	if err != nil {
 		return notStored(err)
 	}
 	early := &earlyRun{manager: m, state: state, items: items}
 	timer := time.AfterFunc(earlyStartDelay, early.start)
-	version, err := kept.CommitSurely(ctx, m.Store, txn)
+	version, err := rowstore.CommitConfirmed(ctx, m.Store, txn)
 	timer.Stop()
 	err = m.handleSubmitOutcome(stateRecord{State: state, version: version}, items, early, err)
 	if early.close() {
@@ -63,20 +63,20 @@
 // and has connections to them, whereas two owners would fill the same slots. During an
 // outage of the store this VM becomes the owner, because its items can start here at once.
 func (m *Manager) ownerFor(spec Spec) (vm, incarnation string) {
-	if p, ok := m.Prefer(spec.Model, m.stepResidency(spec)); ok && m.StoreWell() {
-		return p.VM, p.Life
+	if p, ok := m.PreferredOwner(spec.Model, m.stepResidency(spec)); ok && m.StoreAvailable() {
+		return p.VM, p.Incarnation
 	}
 	if m.isLeaving() {
 		return "", ""
 	}
-	return m.VM, m.Life
+	return m.VM, m.Incarnation
 }
 
 // expectedTokens returns the expected number of output tokens of all items.
 func expectedTokens(items []Item) float64 {
 	total := 0.0
 	for _, item := range items {
-		total += item.Expected
+		total += item.ExpectedTokens
 	}
 	return total
 }
@@ -84,7 +84,7 @@
 // versionLag returns the number of versions between a step's oldest allowed version and the one
 // that the trainer announced last.
 func (m *Manager) versionLag(spec Spec) int64 {
-	announced, ok := m.Named(spec.Model)
+	announced, ok := m.AnnouncedVersion(spec.Model)
 	if !ok {
 		announced = 1
 	}
@@ -93,7 +93,7 @@
 
 // handleSubmitOutcome handles the outcome of the commit that creates a step.
 func (m *Manager) handleSubmitOutcome(r stateRecord, items []Item, early *earlyRun, err error) error {
-	var conflict *kept.Conflict
+	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
 		accepted, decodeErr := decodeState(conflict.Row(stateKey(r.ID)))
 		if decodeErr != nil {
@@ -129,7 +129,7 @@
 // that can't be deleted stays in the store and is reported by an event.
 func (m *Manager) deleteUnusedObjects(objects []string) {
 	for _, name := range objects {
-		if err := m.Store.DropObject(m.ctx, name); err != nil {
+		if err := m.Store.DeleteObject(m.ctx, name); err != nil {
 			m.Events.Emit(event.DependencyLost, event.Subject{Detail: "removal of the object " + name + ": " + err.Error()})
 		}
 	}
--- a/internal/step/cluster_test.go
+++ b/internal/step/cluster_test.go
@@ -17,8 +17,8 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/rowstore/memory"
 	"dogwoodpond/internal/scoring"
 	"dogwoodpond/internal/target"
 
@@ -48,7 +48,7 @@
 func (cl *cluster) preferredOwner(string, route.Residency) (Process, bool) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return Process{VM: cl.preferred, Life: cl.preferred + "-1"}, cl.preferred != ""
+	return Process{VM: cl.preferred, Incarnation: cl.preferred + "-1"}, cl.preferred != ""
 }
 
 // testVM is the manager of one VM, and the function that kills it.
@@ -77,19 +77,19 @@
 	roster := target.NewRoster(events)
 	roster.Replace(cl.instances)
 	view := route.NewView()
-	view.Offer(cl.configuration)
+	view.StoreIfNewer(cl.configuration)
 	domain := "x"
 	if other, ok := cl.domains[name]; ok {
 		domain = other
 	}
 	ctx, kill := context.WithCancel(cl.t.Context())
 	v := &testVM{kill: kill, Manager: NewManager(Config{
-		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: incarnation, Domain: domain, Store: cl.store, Clock: cl.store, Members: fakeMembers{cl, name, incarnation},
-		View: view, Roster: roster, Caller: cl.engines, Scorer: cl.scorer, Events: events, Keep: time.Minute,
-		Named:     func(string) (int64, bool) { return 1, true },
-		Prefer:    cl.preferredOwner,
-		StoreWell: func() bool { return true },
+		CallBudget: budget.New(budget.Rates{}),
+		VM:         name, Incarnation: incarnation, Domain: domain, Store: cl.store, Clock: cl.store, Members: fakeMembers{cl, name, incarnation},
+		View: view, Roster: roster, Caller: cl.engines, Scorer: cl.scorer, Events: events, Retention: time.Minute,
+		AnnouncedVersion: func(string) (int64, bool) { return 1, true },
+		PreferredOwner:   cl.preferredOwner,
+		StoreAvailable:   func() bool { return true },
 	})}
 	cl.mu.Lock()
 	cl.vms[name] = v
@@ -124,9 +124,9 @@
 	return !m.cluster.dead[id]
 }
 
-func (m fakeMembers) Rank(duty string) int { return m.RankWithin(duty, route.Residency{}) }
+func (m fakeMembers) Rank(duty string) int { return m.RankWithinResidency(duty, route.Residency{}) }
 
-func (m fakeMembers) RankWithin(_ string, residency route.Residency) int {
+func (m fakeMembers) RankWithinResidency(_ string, residency route.Residency) int {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	rank := 0
@@ -170,7 +170,7 @@
 	return func(string, int) reply { return r }
 }
 
-// fakeEngines simulates the upstreams of a test. It implements target.Caller.
+// fakeEngines simulates the upstreams of a test. It implements target.Transport.
 type fakeEngines struct {
 	mu sync.Mutex
 	// behave holds the behaviour of each engine; that of the empty name is the default.
@@ -190,8 +190,8 @@
 	e.mu.Lock()
 	e.attempts[request.ID] = append(e.attempts[request.ID], id)
 	n := len(e.attempts[request.ID])
-	if request.ResumeAfter != "" {
-		e.resumed = append(e.resumed, request.ID+" after "+request.ResumeAfter)
+	if request.LastEventID != "" {
+		e.resumed = append(e.resumed, request.ID+" after "+request.LastEventID)
 	}
 	behave := e.behave[id]
 	if behave == nil {
@@ -219,7 +219,7 @@
 		e.active--
 		e.mu.Unlock()
 	}()
-	from, _ := strconv.Atoi(request.ResumeAfter)
+	from, _ := strconv.Atoi(request.LastEventID)
 	for n := from + 1; n <= r.events; n++ {
 		select {
 		case <-ctx.Done():
@@ -334,7 +334,7 @@
 
 // spec returns a step of account acc.
 func spec(id string) Spec {
-	return Spec{ID: id, Account: "acc", Host: "h", Path: "/s/" + id, Model: "m", MinVersion: 1, RunObjective: 7 * time.Second, GiveUp: 40 * time.Second, Attempts: 3}
+	return Spec{ID: id, Account: "acc", Host: "h", Path: "/s/" + id, Model: "m", MinVersion: 1, RunObjective: 7 * time.Second, AbandonAfter: 40 * time.Second, Attempts: 3}
 }
 
 // items returns n items in groups of two.
--- a/internal/step/commit.go
+++ b/internal/step/commit.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/wait"
 )
 
@@ -112,13 +112,13 @@
 		r.m.Events.Emit(event.DependencyLost, event.Subject{Step: rec.ID, Detail: "results: " + err.Error()})
 		return wait.For(ctx, loadBackoff)
 	}
-	txn := kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
+	txn := rowstore.Txn{Puts: puts, Expected: []rowstore.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
 	for _, put := range puts {
-		txn.Expected = append(txn.Expected, kept.Expectation{Key: put.Key})
+		txn.Expected = append(txn.Expected, rowstore.Expectation{Key: put.Key})
 	}
 	started := time.Now()
-	_, err = kept.CommitSurely(ctx, r.m.Store, txn)
-	var conflict *kept.Conflict
+	_, err = rowstore.CommitConfirmed(ctx, r.m.Store, txn)
+	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
 		r.handleConflict(conflict)
 		return false
@@ -136,7 +136,7 @@
 
 // handleConflict stops the run after the store rejected its results because the state row has
 // changed: another VM owns the step now, or the step has ended.
-func (r *run) handleConflict(conflict *kept.Conflict) {
+func (r *run) handleConflict(conflict *rowstore.Conflict) {
 	rec := r.current()
 	r.m.Events.Emit(event.StepLost, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
 	if now, err := decodeState(conflict.Row(stateKey(rec.ID))); err == nil {
--- a/internal/step/dispatch.go
+++ b/internal/step/dispatch.go
@@ -93,7 +93,7 @@
 // passed on the store's clock. It is false while the clock is unknown.
 func (m *Manager) canAbandon(r *run) bool {
 	now, ok := m.Clock.StoreNow()
-	return ok && r.rec.GiveUp > 0 && now > r.rec.SubmittedAt+r.rec.GiveUp.Milliseconds()
+	return ok && r.rec.AbandonAfter > 0 && now > r.rec.SubmittedAt+r.rec.AbandonAfter.Milliseconds()
 }
 
 // abandonFrom abandons an item if it is in the phase from. routed is false when no route leads
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -129,7 +129,7 @@
 	if accepted.Ended || lead < claimMinLead {
 		return false
 	}
-	return accepted.Epoch == 1 || accepted.Made > 0 && run.remaining() <= claimMaxRemainingRatio*(1-accepted.Made)
+	return accepted.Epoch == 1 || accepted.GeneratedShare > 0 && run.remaining() <= claimMaxRemainingRatio*(1-accepted.GeneratedShare)
 }
 
 // claim takes over the accepted step and reports whether it succeeded. The results that
--- a/internal/step/firstsender.go
+++ b/internal/step/firstsender.go
@@ -75,12 +75,12 @@
 	ownerWatchTimeout = 300 * time.Millisecond
 )
 
-// FirstSender reports whether this VM is the first sender of an engine: whether it ranks
+// IsFirstSender reports whether this VM is the first sender of an engine: whether it ranks
 // first for the engine among the owners of the open steps that the engine can serve. ok is
 // false when there are no such steps, and true when the states are too old to tell. A VM
 // that can't read the state rows is never first: each VM would otherwise consider only the
 // owners that it knows, often just itself, and several VMs would be first.
-func (m *Manager) FirstSender(e *target.Entry) (first, ok bool) {
+func (m *Manager) IsFirstSender(e *target.Entry) (first, ok bool) {
 	now := time.Now()
 	age := time.Duration(now.UnixNano() - m.statesReadAt.Load())
 	if age > statesMaxAge {
@@ -108,7 +108,7 @@
 // Few VMs own steps, so the store can take the more frequent calls of owners at any size of
 // the fleet.
 func (m *Manager) stateWatchInterval() time.Duration {
-	interval := m.Calls.Period(budget.Steps, minWatchInterval)
+	interval := m.CallBudget.Interval(budget.Steps, minWatchInterval)
 	if m.ownsSteps() {
 		return min(interval, ownerWatchTimeout)
 	}
--- a/internal/step/firstsender_test.go
+++ b/internal/step/firstsender_test.go
@@ -25,18 +25,18 @@
 		time.Sleep(time.Second)
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(ownerGracePeriod)
-		e := a.Roster.Service("lm")[0]
-		if first, ok := a.FirstSender(e); !first || !ok {
+		e := a.Roster.Upstreams("lm")[0]
+		if first, ok := a.IsFirstSender(e); !first || !ok {
 			t.Fatal("the only owner is not the first sender")
 		}
 		cl.store.SetDown(true)
 		time.Sleep(firstSenderStatesMaxAge + time.Second)
-		if first, ok := a.FirstSender(e); first || !ok {
+		if first, ok := a.IsFirstSender(e); first || !ok {
 			t.Error("a VM that can't read the states is the first sender")
 		}
 		cl.store.SetDown(false)
 		time.Sleep(2 * time.Second)
-		if first, _ := a.FirstSender(e); !first {
+		if first, _ := a.IsFirstSender(e); !first {
 			t.Error("the owner is not the first sender after the store's outage")
 		}
 	})
@@ -59,10 +59,10 @@
 			v.recordState(openStepRecord(fmt.Sprint("s", i), v.VM, int64(i+1)))
 		}
 		for range 40 {
-			for _, e := range owners[0].Roster.Service("lm") {
+			for _, e := range owners[0].Roster.Upstreams("lm") {
 				firsts := 0
 				for _, v := range owners {
-					if first, _ := v.FirstSender(e); first {
+					if first, _ := v.IsFirstSender(e); first {
 						firsts++
 					}
 				}
@@ -90,9 +90,9 @@
 		time.Sleep(learnedAfter)
 		b.recordState(openStepRecord("s2", "a", 2))
 		for range 30 {
-			for _, e := range a.Roster.Service("lm") {
-				one, _ := a.FirstSender(e)
-				other, _ := b.FirstSender(e)
+			for _, e := range a.Roster.Upstreams("lm") {
+				one, _ := a.IsFirstSender(e)
+				other, _ := b.IsFirstSender(e)
 				if one && other {
 					t.Fatalf("both owners are the first sender of the cold engine %s", e.Info().ID)
 				}
@@ -113,7 +113,7 @@
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(ownerGracePeriod + watchTimeout)
 		for range 40 {
-			if first, _ := a.FirstSender(a.Roster.Service("lm")[0]); !first {
+			if first, _ := a.IsFirstSender(a.Roster.Upstreams("lm")[0]); !first {
 				t.Fatal("the only owner is no longer the first sender")
 			}
 			time.Sleep(73 * time.Millisecond)
@@ -137,9 +137,9 @@
 		}
 		a.recordState(steps[0])
 		b.recordState(steps[1])
-		for _, e := range a.Roster.Service("lm") {
+		for _, e := range a.Roster.Upstreams("lm") {
 			for _, vm := range []*testVM{a, b} {
-				if first, _ := vm.FirstSender(e); first {
+				if first, _ := vm.IsFirstSender(e); first {
 					t.Errorf("%s, which knows only its own new step, is the first sender of %s", vm.VM, e.Info().ID)
 				}
 			}
@@ -151,10 +151,10 @@
 		}
 		// The pending watch call ends only by its timeout, since no row was written.
 		time.Sleep(ownerGracePeriod + watchTimeout)
-		for _, e := range a.Roster.Service("lm") {
+		for _, e := range a.Roster.Upstreams("lm") {
 			firsts := 0
 			for _, vm := range []*testVM{a, b} {
-				if first, ok := vm.FirstSender(e); first && ok {
+				if first, ok := vm.IsFirstSender(e); first && ok {
 					firsts++
 				}
 			}
@@ -171,8 +171,8 @@
 	cl := newCluster(t, "e1")
 	a := cl.start("a")
 	a.statesReadAt.Store(time.Now().UnixNano())
-	e := a.Roster.Service("lm")[0]
-	if first, ok := a.FirstSender(e); first || ok {
+	e := a.Roster.Upstreams("lm")[0]
+	if first, ok := a.IsFirstSender(e); first || ok {
 		t.Error("an engine has a first sender though no step is open")
 	}
 }
--- a/internal/step/item.go
+++ b/internal/step/item.go
@@ -82,11 +82,11 @@
 	}
 	switch outcome {
 	case attemptComplete:
-		entry.Succeeded()
+		entry.NoteSuccess()
 		r.setLastUpstream(i, entry.Info().ID)
 		r.handleComplete(i)
 	case attemptRefused:
-		entry.NoteSwap(n.model, now.Add(refusedBackoff))
+		entry.NoteModelUnavailable(n.model, now.Add(refusedBackoff))
 		r.requeue(i, 0)
 	case attemptFailed:
 		if n := r.countFailure(i); n >= max(r.rec.Attempts, 1) {
@@ -101,11 +101,11 @@
 		r.requeue(i, 0)
 	case attemptStale:
 		r.setText(i, partialText{})
-		entry.NoteSwap(n.model, now.Add(refusedBackoff))
+		entry.NoteModelUnavailable(n.model, now.Add(refusedBackoff))
 		r.requeue(i, 0)
 	case attemptInterrupted:
-		entry.NoAnswer()
-		entry.Failed(now)
+		entry.NoteUnanswered()
+		entry.NoteFailure(now)
 		r.requeue(i, r.interruptedBackoff(i, read))
 	}
 }
@@ -247,7 +247,7 @@
 		Header: header, Body: item.Body, Account: rec.Account,
 	}
 	if p := a.run.text(a.index); p.hasEvents {
-		request.ResumeAfter = strconv.FormatInt(p.lastEvent, 10)
+		request.LastEventID = strconv.FormatInt(p.lastEvent, 10)
 	}
 	return request
 }
@@ -272,7 +272,7 @@
 			return attemptInterrupted
 		}
 		a.stallTimer.Reset(nextEventTimeout)
-		a.entry.RunsOn(a.startedAt)
+		a.entry.NoteRunningSince(a.startedAt)
 		if changed, ok := e.Field(response.VersionField); ok {
 			version, err = strconv.ParseInt(changed, 10, 64)
 			if err != nil {
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -12,8 +12,8 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/scoring"
 	"dogwoodpond/internal/target"
 )
@@ -44,36 +44,36 @@
 	Alive(id, incarnation string) bool
 	// Rank returns the position of this VM, from 0, when the live VMs are ranked for a duty.
 	Rank(duty string) int
-	// RankWithin is Rank among the VMs of the failure domains that a residency allows.
-	RankWithin(duty string, residency route.Residency) int
+	// RankWithinResidency is Rank among the VMs of the failure domains that a residency allows.
+	RankWithinResidency(duty string, residency route.Residency) int
 }
 
 // Process identifies one incarnation of a VM's process.
-type Process struct{ VM, Life string }
+type Process struct{ VM, Incarnation string }
 
 // Config holds the identity and the dependencies of a manager.
 type Config struct {
 	// VM and Life identify this process. Domain is its failure domain.
-	VM, Life, Domain string
-	Store            kept.Store
-	Clock            kept.Clock
-	Members          Members
-	View             *route.View
-	Roster           *target.Roster
-	Caller           target.Caller
-	Scorer           Scorer
-	Events           *event.Recorder
-	// Named returns the version of a model that its trainer announced last.
-	Named func(model string) (int64, bool)
-	// Prefer returns the process that should own the steps of a model; ok is false when
+	VM, Incarnation, Domain string
+	Store                   rowstore.Store
+	Clock                   rowstore.Clock
+	Members                 Members
+	View                    *route.View
+	Roster                  *target.Roster
+	Caller                  target.Transport
+	Scorer                  Scorer
+	Events                  *event.Recorder
+	// AnnouncedVersion returns the version of a model that its trainer announced last.
+	AnnouncedVersion func(model string) (int64, bool)
+	// PreferredOwner returns the process that should own the steps of a model; ok is false when
 	// no live one is known in the failure domains that the residency allows.
-	Prefer func(model string, residency route.Residency) (p Process, ok bool)
-	// StoreWell reports whether the store is available.
-	StoreWell func() bool
-	// Calls limits the rate of the watch calls.
-	Calls *budget.Budget
-	// Keep is how long ended steps remain readable after their submission.
-	Keep time.Duration
+	PreferredOwner func(model string, residency route.Residency) (p Process, ok bool)
+	// StoreAvailable reports whether the store is available.
+	StoreAvailable func() bool
+	// CallBudget limits the rate of the watch calls.
+	CallBudget *budget.Budget
+	// Retention is how long ended steps remain readable after their submission.
+	Retention time.Duration
 }
 
 // Manager accepts, owns, runs and reads steps. It is safe for concurrent use.
@@ -82,7 +82,7 @@
 	// dispatchSignal notifies the dispatcher, without waiting for its next tick.
 	dispatchSignal chan struct{}
 	// callLimiter limits the score calls that are in progress at each service.
-	callLimiter *scoring.Lanes
+	callLimiter *scoring.CallLimiter
 	// takeoverSignal notifies the takeover loop, without waiting for its next tick.
 	takeoverSignal chan struct{}
 	// statesReadAt is when the state rows were last read, in Unix nanoseconds.
@@ -119,7 +119,7 @@
 	return &Manager{
 		Config:         c,
 		dispatchSignal: make(chan struct{}, 1),
-		callLimiter:    scoring.NewLanes(),
+		callLimiter:    scoring.NewCallLimiter(),
 		takeoverSignal: make(chan struct{}, 1),
 		states:         make(map[string]stateRecord),
 		runs:           make(map[string]*run),
@@ -135,14 +135,14 @@
 // ends.
 func (m *Manager) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, m.cancel)()
-	watcher := kept.Watcher{
-		Store: m.Store, Table: stateTable, AllParts: true, Wait: watchTimeout, WaitNow: m.stateWatchTimeout,
-		Pace:    m.stateWatchInterval,
-		Retry:   func() time.Duration { return m.Calls.Retry(budget.Steps, minWatchInterval) },
-		Replace: func(rows []kept.Row) { m.replace(rows) },
-		Apply:   func(rows []kept.Row) { m.apply(rows) },
-		Reached: func() { m.statesReadAt.Store(time.Now().UnixNano()) },
-		Lost:    m.Events.Lost("states of steps"), Regained: m.Events.Regained("states of steps"),
+	watcher := rowstore.Watcher{
+		Store: m.Store, Table: stateTable, AllParts: true, PollTimeout: watchTimeout, PollTimeoutFunc: m.stateWatchTimeout,
+		MinPollInterval: m.stateWatchInterval,
+		RetryBackoff:    func() time.Duration { return m.CallBudget.RetryBackoff(budget.Steps, minWatchInterval) },
+		Replace:         func(rows []rowstore.Row) { m.replace(rows) },
+		Apply:           func(rows []rowstore.Row) { m.apply(rows) },
+		OnRead:          func() { m.statesReadAt.Store(time.Now().UnixNano()) },
+		OnOutage:        m.Events.Lost("states of steps"), OnRecovery: m.Events.Regained("states of steps"),
 	}
 	var loops sync.WaitGroup
 	loops.Go(func() { watcher.Run(ctx) })
@@ -182,11 +182,11 @@
 	if err != nil {
 		return r, false, err
 	}
-	version, err := kept.CommitSurely(ctx, m.Store, kept.Txn{
-		Expected: []kept.Expectation{{Key: stateKey(r.ID), Version: r.version}},
-		Puts:     []kept.Put{{Key: stateKey(r.ID), Value: value}},
+	version, err := rowstore.CommitConfirmed(ctx, m.Store, rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: stateKey(r.ID), Version: r.version}},
+		Puts:     []rowstore.Put{{Key: stateKey(r.ID), Value: value}},
 	})
-	var conflict *kept.Conflict
+	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
 		row := conflict.Row(stateKey(r.ID))
 		if row.Version == 0 {
@@ -245,7 +245,7 @@
 
 // replace applies the state rows of a full read, and removes the ended steps that the read
 // does not contain.
-func (m *Manager) replace(rows []kept.Row) {
+func (m *Manager) replace(rows []rowstore.Row) {
 	present := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		present[row.Part] = true
@@ -261,7 +261,7 @@
 }
 
 // apply records changed state rows and notifies the takeover loop.
-func (m *Manager) apply(rows []kept.Row) {
+func (m *Manager) apply(rows []rowstore.Row) {
 	for _, row := range rows {
 		if row.Deleted {
 			m.removeState(row.Part)
@@ -312,7 +312,7 @@
 		return
 	}
 	current := m.runOf(r.ID)
-	if current == nil || !r.Ended && r.Owner == m.VM && r.OwnerLife == m.Life {
+	if current == nil || !r.Ended && r.Owner == m.VM && r.OwnerIncarnation == m.Incarnation {
 		return
 	}
 	if current.early != nil && !current.accepted() {
@@ -373,8 +373,8 @@
 	return r
 }
 
-// Poke notifies the dispatcher that engines or their versions have changed.
-func (m *Manager) Poke() { m.notifyDispatcher() }
+// NotifyDispatcher notifies the dispatcher that engines or their versions have changed.
+func (m *Manager) NotifyDispatcher() { m.notifyDispatcher() }
 
 // notifyDispatcher notifies the dispatcher, without waiting for its next tick.
 func (m *Manager) notifyDispatcher() {
--- a/internal/step/matrix_test.go
+++ b/internal/step/matrix_test.go
@@ -16,11 +16,11 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/member"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
 	"dogwoodpond/internal/route"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 	"dogwoodpond/internal/target"
 )
 
@@ -50,8 +50,8 @@
 
 // newVM returns the manager of a new incarnation of a VM and starts its member list.
 func (c *matrixCase) newVM(ctx context.Context, name, incarnation string, store interface {
-	kept.Store
-	kept.Clock
+	rowstore.Store
+	rowstore.Clock
 }) *Manager {
 	events := event.NewRecorder(name, 16, event.NewClock(time.Now), zap.NewNop())
 	roster := target.NewRoster(events)
@@ -61,15 +61,15 @@
 		{ID: "e2", Service: "lm", Address: "e2", FailureDomain: "x", Slots: 2, Versions: map[string]int64{"m": 1}},
 	})
 	view := route.NewView()
-	view.Offer(configuration(1, true))
-	list := member.New(member.VM{ID: name, FailureDomain: "x", Life: incarnation}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
+	view.StoreIfNewer(configuration(1, true))
+	list := member.New(member.VM{ID: name, FailureDomain: "x", Incarnation: incarnation}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
 	m := NewManager(Config{
-		Calls: budget.New(budget.Rates{}),
-		VM:    name, Life: incarnation, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
-		Caller: c.engines, Scorer: c.scorer, Events: events, Keep: time.Hour,
-		Named:     func(string) (int64, bool) { return 1, true },
-		Prefer:    func(string, route.Residency) (Process, bool) { return Process{}, false },
-		StoreWell: func() bool { return true },
+		CallBudget: budget.New(budget.Rates{}),
+		VM:         name, Incarnation: incarnation, Domain: "x", Store: store, Clock: store, Members: list, View: view, Roster: roster,
+		Caller: c.engines, Scorer: c.scorer, Events: events, Retention: time.Hour,
+		AnnouncedVersion: func(string) (int64, bool) { return 1, true },
+		PreferredOwner:   func(string, route.Residency) (Process, bool) { return Process{}, false },
+		StoreAvailable:   func() bool { return true },
 	})
 	c.mu.Lock()
 	c.vms[name] = m
@@ -197,7 +197,7 @@
 
 // runMatrixCase runs one case to its end. Faults are injected at vm-a and vm-b, but not at
 // vm-c.
-func runMatrixCase(w *platformtest.World) error {
+func runMatrixCase(w *faultinject.Cluster) error {
 	c := &matrixCase{rows: memory.New(), vms: map[string]*Manager{}, engines: &fakeEngines{
 		behave: map[string]behaviour{"": unevenReply}, attempts: map[string][]string{}, finished: map[string]int{},
 	}}
@@ -206,9 +206,9 @@
 	var group sync.WaitGroup
 	for _, name := range []string{"vm-a", "vm-b"} {
 		incarnations := 0
-		w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+		w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 			incarnations++
-			c.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.Kept(c.rows)).Run(p.Context)
+			c.newVM(p.Context, name, fmt.Sprintf("%s/%d", name, incarnations), p.OpenStore(c.rows)).Run(p.Context)
 		})
 	}
 	group.Go(func() { c.newVM(ctx, "vm-c", "vm-c/1", c.rows).Run(ctx) })
@@ -239,12 +239,12 @@
 // each call of two VMs to the store, alone and in pairs. It guards against samples that
 // are lost, duplicated or changed, and against a step that no VM runs.
 func TestMatrixSteps(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
+	faultinject.RunMatrix(t, faultinject.Protocol{
 		Name: "steps on the partitioned store",
-		Lasts: map[platformtest.Kind]time.Duration{
-			platformtest.Late:        lateEffectDelay,
-			platformtest.PauseBefore: faultDuration, platformtest.PauseAfter: faultDuration,
-			platformtest.StoreDown: faultDuration, platformtest.CutOff: faultDuration,
+		Durations: map[faultinject.Kind]time.Duration{
+			faultinject.DelayEffect: lateEffectDelay,
+			faultinject.PauseBefore: faultDuration, faultinject.PauseAfter: faultDuration,
+			faultinject.StoreDown: faultDuration, faultinject.CutOff: faultDuration,
 		},
 		Run: runMatrixCase,
 	})
--- a/internal/step/move.go
+++ b/internal/step/move.go
@@ -51,7 +51,7 @@
 func (a *attempt) checkSpeed(meter *unitTimeMeter) {
 	now := time.Now()
 	average := meter.average(now)
-	a.entry.NoteSpeed(average, now)
+	a.entry.NoteUnitTime(average, now)
 	*meter = unitTimeMeter{started: now}
 	engines := a.run.m.engines(a.need.service, now)
 	if a.run.moves(a.index) >= maxMoves {
@@ -59,7 +59,7 @@
 	}
 	// Placement considers all engines, so the cheap checks come first: most engines are
 	// fast enough, and most of the time items are pending.
-	limit := moveMinSlowdown * float64(target.MedianSpeed(engines, now))
+	limit := moveMinSlowdown * float64(target.MedianUnitTime(engines, now))
 	slow := limit > 0 && float64(average) >= limit
 	idle := !a.run.hasPending()
 	if !slow && !idle {
@@ -69,7 +69,7 @@
 	if other == nil {
 		return
 	}
-	if slow && float64(other.Speed(now)) < limit || idle && isWorthMove(average, other, now) {
+	if slow && float64(other.UnitTime(now)) < limit || idle && isWorthMove(average, other, now) {
 		a.cancel(errMoved)
 	}
 }
@@ -77,7 +77,7 @@
 // isWorthMove reports whether another engine is known to be faster by idleMoveMinSlowdown, so
 // that an item with this time between events gains by a move if no other item needs the slot.
 func isWorthMove(unitTime time.Duration, other *target.Entry, now time.Time) bool {
-	otherTime := other.Pace(now)
+	otherTime := other.ExpectedUnitTime(now)
 	return otherTime > 0 && float64(unitTime) >= idleMoveMinSlowdown*float64(otherTime)
 }
 
@@ -92,7 +92,7 @@
 		a.stallTimer.Reset(stallCheckInterval)
 		return
 	}
-	a.entry.NoAnswer()
-	a.entry.Failed(now)
+	a.entry.NoteUnanswered()
+	a.entry.NoteFailure(now)
 	a.cancel(errMoved)
 }
--- a/internal/step/order.go
+++ b/internal/step/order.go
@@ -27,7 +27,7 @@
 func newStartOrders(items []Item, first map[string]bool) startOrders {
 	o := startOrders{byGroup: orderByGroup(items, first), totalTokens: expectedTokens(items)}
 	for _, item := range items {
-		o.longest = max(o.longest, item.Expected)
+		o.longest = max(o.longest, item.ExpectedTokens)
 	}
 	o.byLength = slices.Clone(o.byGroup)
 	slices.SortStableFunc(o.byLength, func(i, j int) int {
@@ -35,7 +35,7 @@
 		if first[a.Group] != first[b.Group] {
 			return compareRestored(first[a.Group])
 		}
-		return cmp.Compare(b.Expected, a.Expected)
+		return cmp.Compare(b.ExpectedTokens, a.ExpectedTokens)
 	})
 	return o
 }
@@ -96,7 +96,7 @@
 			groups = append(groups, g)
 		}
 		g.items = append(g.items, i)
-		g.longest = max(g.longest, item.Expected)
+		g.longest = max(g.longest, item.ExpectedTokens)
 	}
 	return groups
 }
