--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -63,7 +63,7 @@
 // slot. Items are never queued at an engine: its queue is first in, first out and ignores
 // deadlines, so an item is better off in the queue of this VM.
 func place(p pool, n need, avoid *target.Entry, now time.Time) *target.Entry {
-	median := target.MedianPace(p.engines, now)
+	median := target.MedianExpectedUnitTime(p.engines, now)
 	var best *target.Entry
 	var least float64
 	for _, e := range p.engines {
@@ -80,7 +80,7 @@
 // cost returns the cost of placing an item at an engine of the pool; ok is false when the
 // engine can't serve the item or has no free slot for it.
 func (p pool) cost(e *target.Entry, n need, median time.Duration, now time.Time) (cost float64, ok bool) {
-	if !canServe(e, n, now) || e.Free(now) <= 0 || !e.Admits(now) {
+	if !canServe(e, n, now) || e.FreeSlots(now) <= 0 || !e.Admits(now) {
 		return 0, false
 	}
 	if !p.otherFirstSender[e] {
@@ -101,16 +101,16 @@
 	if n.model == "" {
 		return true
 	}
-	return e.Version(n.model) >= n.minVersion && !e.Swapping(n.model, now)
+	return e.Version(n.model) >= n.minVersion && !e.ModelUnavailable(n.model, now)
 }
 
 // placeCost returns the cost of placing an item at an engine that can serve it.
 func placeCost(e *target.Entry, n need, median time.Duration, now time.Time) float64 {
-	cost := float64(e.Slots()-e.Free(now)) / float64(e.Slots())
+	cost := float64(e.Slots()-e.FreeSlots(now)) / float64(e.Slots())
 	if e.Info().FailureDomain != n.domain {
 		cost += otherDomainCost
 	}
-	if p := e.Pace(now); median > 0 && p > 0 {
+	if p := e.ExpectedUnitTime(now); median > 0 && p > 0 {
 		cost += slowdownCost * min(float64(p)/float64(median)-1, maxSlowdown)
 	}
 	if e.Suspect(now) {
--- a/internal/step/place_test.go
+++ b/internal/step/place_test.go
@@ -17,8 +17,8 @@
 // groups with the longest items: a step takes as long as its longest needed item.
 func TestOrderPutsRestoredGroupsFirst(t *testing.T) {
 	list := []Item{
-		{Group: "short", Expected: 3}, {Group: "long", Expected: 4}, {Group: "carried", Expected: 1},
-		{Group: "long", Expected: 90}, {Group: "short", Expected: 5},
+		{Group: "short", ExpectedTokens: 3}, {Group: "long", ExpectedTokens: 4}, {Group: "carried", ExpectedTokens: 1},
+		{Group: "long", ExpectedTokens: 90}, {Group: "short", ExpectedTokens: 5},
 	}
 	if got := orderByGroup(list, map[string]bool{"carried": true}); !slices.Equal(got, []int{2, 1, 3, 0, 4}) {
 		t.Errorf("the order is %v", got)
@@ -29,8 +29,8 @@
 // queued behind the short items of an earlier group.
 func TestOrderDependsOnSlots(t *testing.T) {
 	list := []Item{
-		{Group: "a", Expected: 90}, {Group: "a", Expected: 3}, {Group: "b", Expected: 4}, {Group: "b", Expected: 80},
-		{Group: "carried", Expected: 1},
+		{Group: "a", ExpectedTokens: 90}, {Group: "a", ExpectedTokens: 3}, {Group: "b", ExpectedTokens: 4}, {Group: "b", ExpectedTokens: 80},
+		{Group: "carried", ExpectedTokens: 1},
 	}
 	o := newStartOrders(list, map[string]bool{"carried": true})
 	if got := o.forSlots(2); !slices.Equal(got, []int{4, 0, 3, 2, 1}) {
@@ -41,7 +41,7 @@
 	}
 }
 
-func engineList(n, slots int) []*target.Entry { return engineRoster(n, slots).Service("lm") }
+func engineList(n, slots int) []*target.Entry { return engineRoster(n, slots).Upstreams("lm") }
 
 func engineRoster(n, slots int) *target.Roster {
 	roster := target.NewRoster(event.NewRecorder("vm", 16, event.NewClock(time.Now), zap.NewNop()))
@@ -83,9 +83,9 @@
 	engines, now := engineList(3, 4), time.Now()
 	n := need{model: "m", minVersion: 5, domain: "x"}
 	for range 20 {
-		engines[0].NoteSpeed(57*time.Millisecond, now)
-		engines[1].NoteSpeed(43*time.Millisecond, now)
-		engines[2].NoteSpeed(43*time.Millisecond, now)
+		engines[0].NoteUnitTime(57*time.Millisecond, now)
+		engines[1].NoteUnitTime(43*time.Millisecond, now)
+		engines[2].NoteUnitTime(43*time.Millisecond, now)
 	}
 	later := now.Add(time.Minute)
 	for i := range 8 {
@@ -103,10 +103,10 @@
 func TestPlaceAvoidsUnsuitableEngines(t *testing.T) {
 	engines, now := engineList(5, 4), time.Now()
 	n := need{model: "m", minVersion: 5, domain: "x"}
-	engines[0].NoteSwap("m", now.Add(time.Second))
-	engines[1].Failed(now)
+	engines[0].NoteModelUnavailable("m", now.Add(time.Second))
+	engines[1].NoteFailure(now)
 	for i, millis := range []time.Duration{0, 0, 200, 50, 55} {
-		engines[i].NoteSpeed(millis*time.Millisecond, now)
+		engines[i].NoteUnitTime(millis*time.Millisecond, now)
 	}
 	if e := place(pool{engines: engines}, n, nil, now); e != engines[3] {
 		t.Errorf("chose %s", e.Info().ID)
@@ -137,7 +137,7 @@
 			speed, begun, other, failed := time.Duration(30+random.IntN(60))*time.Millisecond, random.IntN(5), random.IntN(3) == 0, random.IntN(6) == 0
 			for _, p := range []pool{a, b} {
 				e := p.engines[i]
-				e.NoteSpeed(speed, now)
+				e.NoteUnitTime(speed, now)
 				for range begun {
 					e.Begin()
 				}
@@ -145,7 +145,7 @@
 					p.otherFirstSender[e] = true
 				}
 				if failed {
-					e.Failed(now)
+					e.NoteFailure(now)
 				}
 			}
 		}
@@ -172,7 +172,7 @@
 		b.Run(fmt.Sprintf("%d items, %d engines", size.items, size.engines), func(b *testing.B) {
 			engines, now := engineList(size.engines, 8), time.Now()
 			for i, e := range engines {
-				e.NoteSpeed(time.Duration(40+i%9)*time.Millisecond, now)
+				e.NoteUnitTime(time.Duration(40+i%9)*time.Millisecond, now)
 			}
 			n := need{model: "m", minVersion: 5, domain: "x"}
 			b.ReportAllocs()
--- a/internal/step/ranking.go
+++ b/internal/step/ranking.go
@@ -20,7 +20,7 @@
 
 // newRanking returns the ranking of the pool's engines that have a free slot at now.
 func newRanking(p pool, n need, now time.Time) *ranking {
-	r := &ranking{pool: p, need: n, now: now, median: target.MedianPace(p.engines, now)}
+	r := &ranking{pool: p, need: n, now: now, median: target.MedianExpectedUnitTime(p.engines, now)}
 	for i, e := range p.engines {
 		if cost, ok := p.cost(e, n, r.median, now); ok {
 			r.candidates = append(r.candidates, candidate{entry: e, cost: cost, index: i})
--- a/internal/step/residency.go
+++ b/internal/step/residency.go
@@ -6,7 +6,7 @@
 // to the current configuration.
 func (m *Manager) stepResidency(spec Spec) route.Residency {
 	snapshot := m.View.Load()
-	if snapshot == nil || !snapshot.Resident() {
+	if snapshot == nil || !snapshot.HasResidencyLimits() {
 		return route.Residency{}
 	}
 	matched, err := snapshot.Match(spec.Host, spec.Path)
--- a/internal/step/residency_test.go
+++ b/internal/step/residency_test.go
@@ -59,9 +59,9 @@
 		byRoute, byAccount route.Residency
 		allowed            []string
 	}{
-		{"route", route.ResideIn(south), route.Residency{}, south},
-		{"account", route.Residency{}, route.ResideIn(south), south},
-		{"route and account", route.ResideIn([]string{"n1", "s1", "s2"}), route.ResideIn(south), []string{"s1", "s2"}},
+		{"route", route.NewResidency(south), route.Residency{}, south},
+		{"account", route.Residency{}, route.NewResidency(south), south},
+		{"route and account", route.NewResidency([]string{"n1", "s1", "s2"}), route.NewResidency(south), []string{"s1", "s2"}},
 		{"neither", route.Residency{}, route.Residency{}, slices.Concat(north, south)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 // residency, which would read the items there.
 func TestTakeoverStaysInResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cl := newRegionCluster(t, route.ResideIn(south), route.Residency{})
+		cl := newRegionCluster(t, route.NewResidency(south), route.Residency{})
 		cl.engines.behave[""] = pacedBehaviour(20, 100*time.Millisecond)
 		time.Sleep(time.Second)
 		owner := cl.vms["vm-s2"]
@@ -117,14 +117,14 @@
 // it owns only steps whose residency excludes the engine.
 func TestFirstSenderRespectsResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		cl := newRegionCluster(t, route.ResideIn(south), route.Residency{})
+		cl := newRegionCluster(t, route.NewResidency(south), route.Residency{})
 		a := cl.vms["vm-s1"]
 		a.recordState(stateRecord{State: State{Spec: spec("s"), Owner: a.VM}, version: 1})
 		// The pending watch call ends only by its timeout, since no row was written.
 		time.Sleep(ownerGracePeriod + watchTimeout)
-		for _, e := range a.Roster.Service("lm") {
+		for _, e := range a.Roster.Upstreams("lm") {
 			allowed := slices.Contains(south, e.Info().FailureDomain)
-			if first, _ := a.FirstSender(e); first != allowed {
+			if first, _ := a.IsFirstSender(e); first != allowed {
 				t.Errorf("the only owner is the first sender of %s: %v", e.Info().ID, first)
 			}
 		}
--- a/internal/step/rows.go
+++ b/internal/step/rows.go
@@ -9,7 +9,7 @@
 	"github.com/google/uuid"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -57,26 +57,26 @@
 // creationTxn returns the transaction that creates a step, and the state that it writes.
 // Items that don't fit into one transaction are stored as objects first, so that the
 // state row never refers to objects that do not exist.
-func creationTxn(ctx context.Context, store kept.Store, state State, items []Item) (kept.Txn, State, error) {
+func creationTxn(ctx context.Context, store rowstore.Store, state State, items []Item) (rowstore.Txn, State, error) {
 	chunks, err := pack(items, rowLimit)
 	if err != nil {
-		return kept.Txn{}, state, err
+		return rowstore.Txn{}, state, err
 	}
-	var puts []kept.Put
+	var puts []rowstore.Put
 	if fitsTransaction(chunks) {
 		for i, chunk := range chunks {
-			puts = append(puts, kept.Put{Key: itemsKey(state.ID, i), Value: chunk.body})
+			puts = append(puts, rowstore.Put{Key: itemsKey(state.ID, i), Value: chunk.body})
 		}
 	} else if state.Objects, err = putItems(ctx, store, state.ID, items); err != nil {
-		return kept.Txn{}, state, err
+		return rowstore.Txn{}, state, err
 	}
 	value, err := encodeRow(state)
 	if err != nil {
-		return kept.Txn{}, state, err
+		return rowstore.Txn{}, state, err
 	}
-	return kept.Txn{
-		Expected: []kept.Expectation{{Key: stateKey(state.ID)}},
-		Puts:     append(puts, kept.Put{Key: stateKey(state.ID), Value: value}),
+	return rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: stateKey(state.ID)}},
+		Puts:     append(puts, rowstore.Put{Key: stateKey(state.ID), Value: value}),
 	}, state, nil
 }
 
@@ -93,7 +93,7 @@
 }
 
 // putItems stores the items of a step as objects and returns the names of these.
-func putItems(ctx context.Context, store kept.Store, id string, items []Item) ([]string, error) {
+func putItems(ctx context.Context, store rowstore.Store, id string, items []Item) ([]string, error) {
 	chunks, err := pack(items, objectLimit)
 	if err != nil {
 		return nil, err
@@ -111,7 +111,7 @@
 }
 
 // readItems reads the items of a step.
-func readItems(ctx context.Context, store kept.Store, state State) ([]Item, error) {
+func readItems(ctx context.Context, store rowstore.Store, state State) ([]Item, error) {
 	var bodies [][]byte
 	for _, name := range state.Objects {
 		body, err := store.GetObject(ctx, name)
@@ -121,7 +121,7 @@
 		bodies = append(bodies, body)
 	}
 	if len(state.Objects) == 0 {
-		rows, err := kept.ReadAll(ctx, store, itemsTable, state.ID)
+		rows, err := rowstore.ReadAll(ctx, store, itemsTable, state.ID)
 		if err != nil {
 			return nil, err
 		}
@@ -145,7 +145,7 @@
 
 // readState reads the state row of a step. It fails with *fault.StepUnknown when the
 // store has no such row.
-func readState(ctx context.Context, store kept.Store, id string) (stateRecord, error) {
+func readState(ctx context.Context, store rowstore.Store, id string) (stateRecord, error) {
 	page, err := store.Read(ctx, stateTable, id, stateName, "")
 	if err != nil {
 		return stateRecord{}, err
@@ -158,7 +158,7 @@
 
 // readResults reads the committed results starting at position from. It returns at most
 // readLimit bytes of text, but at least one result if there is one.
-func readResults(ctx context.Context, store kept.Store, id string, from int) ([]Result, error) {
+func readResults(ctx context.Context, store rowstore.Store, id string, from int) ([]Result, error) {
 	page, err := store.Read(ctx, resultTable, id, resultName(from), "")
 	if err != nil {
 		return nil, err
@@ -178,8 +178,8 @@
 }
 
 // readAllResults reads all committed results of a step.
-func readAllResults(ctx context.Context, store kept.Store, id string) ([]Result, error) {
-	rows, err := kept.ReadAll(ctx, store, resultTable, id)
+func readAllResults(ctx context.Context, store rowstore.Store, id string) ([]Result, error) {
+	rows, err := rowstore.ReadAll(ctx, store, resultTable, id)
 	if err != nil {
 		return nil, err
 	}
@@ -195,7 +195,7 @@
 }
 
 // decodeResults returns the results of a row and the position of the first one.
-func decodeResults(row kept.Row) (results []Result, first int, err error) {
+func decodeResults(row rowstore.Row) (results []Result, first int, err error) {
 	last, err := strconv.Atoi(row.Name)
 	if err == nil {
 		err = json.Unmarshal(row.Value, &results)
@@ -220,7 +220,7 @@
 
 // resultPuts returns the puts that store results starting at a position. Texts that are too
 // large for a row are stored as objects first.
-func resultPuts(ctx context.Context, store kept.Store, id string, position int, results []Result) ([]kept.Put, error) {
+func resultPuts(ctx context.Context, store rowstore.Store, id string, position int, results []Result) ([]rowstore.Put, error) {
 	stored := make([]Result, len(results))
 	for i, r := range results {
 		inRow, err := offloadText(ctx, store, id, r)
@@ -233,17 +233,17 @@
 	if err != nil {
 		return nil, err
 	}
-	var puts []kept.Put
+	var puts []rowstore.Put
 	for _, chunk := range chunks {
 		position += chunk.count
-		puts = append(puts, kept.Put{Key: resultKey(id, position-1), Value: chunk.body})
+		puts = append(puts, rowstore.Put{Key: resultKey(id, position-1), Value: chunk.body})
 	}
 	return puts, nil
 }
 
 // offloadText stores the text of a result as an object if it is too large for a row, and
 // returns the result to store in the row.
-func offloadText(ctx context.Context, store kept.Store, id string, r Result) (Result, error) {
+func offloadText(ctx context.Context, store rowstore.Store, id string, r Result) (Result, error) {
 	// JSON encodes a byte in up to six bytes, so the encoded length decides, unless the text
 	// is short enough in any case.
 	const alwaysFits = rowLimit / 8
@@ -262,7 +262,7 @@
 }
 
 // loadOffloadedTexts reads the texts that are stored as objects into the results.
-func loadOffloadedTexts(ctx context.Context, store kept.Store, results []Result) error {
+func loadOffloadedTexts(ctx context.Context, store rowstore.Store, results []Result) error {
 	for i := range results {
 		if results[i].Object == "" || results[i].Text != "" {
 			continue
--- a/internal/step/run.go
+++ b/internal/step/run.go
@@ -46,7 +46,7 @@
 	// partial is the text as far as it has been read.
 	partial partialText
 	// scoreTries are the attempts to score the text, which was complete at completedAt.
-	scoreTries  scoring.Tries
+	scoreTries  scoring.RetryState
 	completedAt time.Time
 	// lastUpstream is the upstream that sent the last event of the text; empty when a previous
 	// owner read that event.
@@ -142,7 +142,7 @@
 		}
 		p := &r.progress[i]
 		p.failures = max(p.failures, saved.Failures)
-		p.scoreTries.Failures = max(p.scoreTries.Failures, saved.ScoreFailures)
+		p.scoreTries.NegativeAnswers = max(p.scoreTries.NegativeAnswers, saved.ScoreFailures)
 		p.savedFailures = saved.Failures + saved.ScoreFailures
 		if p.phase != phasePending || !canResume(saved.Versions, r.rec.Spec) {
 			continue
@@ -230,7 +230,7 @@
 	left := 0.0
 	for i := range r.progress {
 		if phase := r.progress[i].phase; phase == phasePending || phase == phaseRunning {
-			left += remainingShare(r.progress[i].partial.lastEvent, r.items[i].Expected)
+			left += remainingShare(r.progress[i].partial.lastEvent, r.items[i].ExpectedTokens)
 		}
 	}
 	return left / float64(max(len(r.items), 1))
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -12,7 +12,7 @@
 
 // scoreBackoff bounds the backoff between attempts to score one text. By then the item
 // needs nothing but its score, so the first backoff is short.
-var scoreBackoff = scoring.Pauses{First: retryBackoff, Longest: maxRetryBackoff}
+var scoreBackoff = scoring.Backoff{Min: retryBackoff, Max: maxRetryBackoff}
 
 // Scorer sends score calls for texts. It is safe for concurrent use.
 type Scorer interface {
@@ -27,7 +27,7 @@
 	p := &r.progress[i]
 	p.phase, p.notBefore = phaseUnscored, time.Time{}
 	p.partial.complete, p.completedAt = true, time.Now()
-	p.scoreTries.Pauses = scoreBackoff
+	p.scoreTries.Backoff = scoreBackoff
 	r.mu.Unlock()
 	r.m.notifyDispatcher()
 }
@@ -50,7 +50,7 @@
 		}
 		service := by.Service(r.items[i].Score.ID)
 		if _, known := free[service]; !known {
-			free[service] = m.callLimiter.Room(service, m.Roster.Usable(service, now), now)
+			free[service] = m.callLimiter.Available(service, m.Roster.Usable(service, now), now)
 		}
 		if free[service] <= 0 || !r.changePhase(i, phaseUnscored, phaseScoring) {
 			continue
@@ -98,9 +98,9 @@
 		return
 	}
 	tries, backoff := r.countScoreFailure(i, err)
-	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(tries.Failures)
+	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(tries.NegativeAnswers)
 	r.m.Events.Emit(event.ScoreFailed, subject)
-	if tries.Hopeless(max(by.Attempts, 1)) {
+	if tries.ShouldAbandon(max(by.Attempts, 1)) {
 		r.abandon(i, "its call for a score failed at every attempt")
 		return
 	}
@@ -117,9 +117,9 @@
 
 // countScoreFailure counts a failed score call of an item. It returns the attempts so far and
 // the backoff before the next one.
-func (r *run) countScoreFailure(i int, err error) (scoring.Tries, time.Duration) {
+func (r *run) countScoreFailure(i int, err error) (scoring.RetryState, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	backoff := r.progress[i].scoreTries.Failed(err)
+	backoff := r.progress[i].scoreTries.NoteFailure(err)
 	return r.progress[i].scoreTries, backoff
 }
--- a/internal/step/score_test.go
+++ b/internal/step/score_test.go
@@ -31,9 +31,9 @@
 	failing := &fakeEngines{attempts: map[string][]string{}, finished: map[string]int{}, behave: map[string]behaviour{
 		"": func(string, int) reply { return reply{status: http.StatusInternalServerError} },
 	}}
-	client := &scoring.Client{Forwarder: &forward.Forwarder{Roster: roster, Caller: failing, Meter: forward.Unmetered{}, Events: events, Budget: retry.NewBudget()}}
+	client := &scoring.Client{Forwarder: &forward.Forwarder{Roster: roster, Transport: failing, Meter: forward.Unmetered{}, Events: events, RetryBudget: retry.NewBudget()}}
 	_, err := client.Score(t.Context(), scoring.Call{ID: "q"}, &route.Route{Attempts: 1, Split: []route.Share{{Service: "judge", Weight: 1}}}, route.Residency{})
-	if forward.FailedAnswers(err) != 1 {
+	if forward.FailedAnswerCount(err) != 1 {
 		t.Fatalf("the failure is %v", err)
 	}
 	return err
@@ -194,7 +194,7 @@
 		if text := r.text(0); r.progress[0].phase != phaseUnscored || joinText(text.data) != "1\n2\n3" {
 			t.Errorf("the item is in phase %d with the text %q", r.progress[0].phase, joinText(text.data))
 		}
-		if n := r.progress[0].scoreTries.Failures; n != 1 {
+		if n := r.progress[0].scoreTries.NegativeAnswers; n != 1 {
 			t.Errorf("%d failures are counted, want 1", n)
 		}
 		r.cancel()
@@ -259,13 +259,13 @@
 	bubble(t, func(t *testing.T) {
 		cl := newCluster(t, "e1")
 		a := cl.start("a")
-		a.View.Offer(configuration(2, false))
+		a.View.StoreIfNewer(configuration(2, false))
 		submit(t, a, spec("s"), scoredItems(4))
 		time.Sleep(3 * time.Second)
 		if n := cl.scorer.count("i0"); n != 0 {
 			t.Errorf("%d calls were made without a route", n)
 		}
-		a.View.Offer(configuration(3, true))
+		a.View.StoreIfNewer(configuration(3, true))
 		results := readUntilComplete(t, a, "s")
 		checkTexts(t, results, 3)
 		cl.checkScores(results)
@@ -280,7 +280,7 @@
 		cl.scorer.behave = func(context.Context, string, int) error { return errUnavailable }
 		a := cl.start("a")
 		s := spec("s")
-		s.GiveUp = 5 * time.Second
+		s.AbandonAfter = 5 * time.Second
 		submit(t, a, s, scoredItems(2))
 		time.Sleep(4900 * time.Millisecond)
 		if results, _, _ := a.Results(t.Context(), "s", "acc", 0, 0); len(results) > 0 {
--- a/internal/step/step.go
+++ b/internal/step/step.go
@@ -16,7 +16,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/scoring"
 )
 
@@ -39,16 +39,16 @@
 	Model string `json:"model,omitempty"`
 	// MinVersion is the oldest weight version that may be used.
 	MinVersion int64 `json:"minVersion,omitempty"`
-	// Desired is the number of complete groups that the trainer waits for.
-	Desired int `json:"desired,omitempty"`
+	// DesiredGroups is the number of complete groups that the trainer waits for.
+	DesiredGroups int `json:"desired,omitempty"`
 	// SubmittedAt is when the step was submitted, in milliseconds of the store's clock.
 	SubmittedAt int64 `json:"submittedAt"`
 	// RunObjective is the time after submission within which the step should be
 	// complete.
 	RunObjective time.Duration `json:"runObjective"`
-	// GiveUp is the time after submission from which the items may be abandoned.
-	GiveUp   time.Duration `json:"giveUp"`
-	Attempts int           `json:"attempts"`
+	// AbandonAfter is the time after submission from which the items may be abandoned.
+	AbandonAfter time.Duration `json:"giveUp"`
+	Attempts     int           `json:"attempts"`
 	// SingleVersion requires each sample to come from a single weight version.
 	SingleVersion bool `json:"singleVersion,omitempty"`
 }
@@ -61,8 +61,8 @@
 	Body   []byte            `json:"body,omitempty"`
 	// Group names the items that share a prompt.
 	Group string `json:"group,omitempty"`
-	// Expected is the estimated number of output tokens; 0 when unknown.
-	Expected float64 `json:"expected,omitempty"`
+	// ExpectedTokens is the estimated number of output tokens; 0 when unknown.
+	ExpectedTokens float64 `json:"expected,omitempty"`
 	// Score is the call that scores the complete text; nil when the sample needs no score.
 	Score *scoring.Call `json:"score,omitempty"`
 }
@@ -73,23 +73,23 @@
 	Total int `json:"total"`
 	// Owner is the VM that runs the step; empty after the VM has handed the step over.
 	Owner string `json:"owner,omitempty"`
-	// OwnerLife is the incarnation of the owner's process; empty when Owner is.
-	OwnerLife string `json:"ownerLife,omitempty"`
+	// OwnerIncarnation is the incarnation of the owner's process; empty when Owner is.
+	OwnerIncarnation string `json:"ownerLife,omitempty"`
 	// Epoch is the number of the current owner, counted from 1.
 	Epoch int `json:"epoch"`
-	// Made is the share of the texts, between 0 and 1, that the owner had generated when it
+	// GeneratedShare is the share of the texts, between 0 and 1, that the owner had generated when it
 	// claimed the step for its early run; 0 for any other owner.
-	Made float64 `json:"made,omitempty"`
+	GeneratedShare float64 `json:"made,omitempty"`
 	// Ended is true once the step has ended; its items no longer run.
 	Ended bool `json:"ended,omitempty"`
 	// Objects are the names of the objects that hold the items when these are too
 	// large for one transaction.
 	Objects []string `json:"objects,omitempty"`
-	// Work is the expected number of output tokens of all items.
-	Work float64 `json:"work,omitempty"`
-	// Behind is the version lag at the submission: the number of versions from MinVersion
+	// ExpectedTokens is the expected number of output tokens of all items.
+	ExpectedTokens float64 `json:"work,omitempty"`
+	// VersionLag is the version lag at the submission: the number of versions from MinVersion
 	// to the one that the trainer had announced last.
-	Behind int64 `json:"behind,omitempty"`
+	VersionLag int64 `json:"behind,omitempty"`
 	// Nonce is unique for each version of the row, so that a writer recognizes its own
 	// write after a commit with an unknown outcome.
 	Nonce string `json:"nonce"`
@@ -116,20 +116,20 @@
 	Object string `json:"object,omitempty"`
 }
 
-func stateKey(id string) kept.Key {
-	return kept.Key{Table: stateTable, Part: id, Name: stateName}
+func stateKey(id string) rowstore.Key {
+	return rowstore.Key{Table: stateTable, Part: id, Name: stateName}
 }
 
-func itemsKey(id string, chunk int) kept.Key {
-	return kept.Key{Table: itemsTable, Part: id, Name: fmt.Sprintf("%04d", chunk)}
+func itemsKey(id string, chunk int) rowstore.Key {
+	return rowstore.Key{Table: itemsTable, Part: id, Name: fmt.Sprintf("%04d", chunk)}
 }
 
 // resultName returns the name of a row of results: the position of its last result.
 // A read from position n then starts with the row that contains position n.
 func resultName(last int) string { return fmt.Sprintf("%08d", last) }
 
-func resultKey(id string, last int) kept.Key {
-	return kept.Key{Table: resultTable, Part: id, Name: resultName(last)}
+func resultKey(id string, last int) rowstore.Key {
+	return rowstore.Key{Table: resultTable, Part: id, Name: resultName(last)}
 }
 
 // stateRecord is a step's state with the version of its state row.
@@ -140,7 +140,7 @@
 	ownerKnownSince time.Time
 }
 
-func decodeState(row kept.Row) (stateRecord, error) {
+func decodeState(row rowstore.Row) (stateRecord, error) {
 	var r stateRecord
 	if err := json.Unmarshal(row.Value, &r.State); err != nil || r.ID == "" {
 		return r, errors.WithStack(&fault.Internal{Where: "row " + row.String()})
--- a/internal/step/step_test.go
+++ b/internal/step/step_test.go
@@ -13,8 +13,8 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 // submit submits a step at a VM and fails the test on an error.
@@ -60,13 +60,13 @@
 	bubble(t, func(t *testing.T) {
 		cl := newCluster(t, "e1")
 		a, b := cl.start("a"), cl.start("b")
-		cl.store.SetFate(func(kept.Txn) memory.Fate { return memory.EffectLate })
+		cl.store.SetFault(func(rowstore.Txn) memory.Fault { return memory.EffectDelayed })
 		err := a.Submit(t.Context(), spec("s"), items(4))
 		if err == nil || fault.ExecutionOf(err) == fault.NotRun {
 			t.Fatalf("Submit = %v, want an unknown outcome: the step may have been accepted", err)
 		}
-		cl.store.SetFate(nil)
-		cl.store.RunLate()
+		cl.store.SetFault(nil)
+		cl.store.RunDelayed()
 		submit(t, b, spec("s"), items(4))
 		checkTexts(t, readUntilComplete(t, b, "s"), 3)
 	})
@@ -175,7 +175,7 @@
 	cl.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 	if known {
 		for i := range list {
-			list[i].Expected = float64(events)
+			list[i].ExpectedTokens = float64(events)
 		}
 	}
 	a := cl.start("a")
@@ -231,7 +231,7 @@
 		cl.engines.behave[""] = pacedBehaviour(events, 350*time.Millisecond)
 		list := items(6)
 		for i := range list {
-			list[i].Expected = events
+			list[i].ExpectedTokens = events
 		}
 		a := cl.start("a")
 		time.Sleep(time.Second)
@@ -241,7 +241,7 @@
 		time.Sleep(3 * time.Second)
 		now, _ := cl.store.StoreNow()
 		put := func(owner string, epoch int, made float64) stateRecord {
-			state := State{Spec: spec("s"), Owner: owner, OwnerLife: owner + "-1", Total: 6, Epoch: epoch, Made: made, Nonce: owner}
+			state := State{Spec: spec("s"), Owner: owner, OwnerIncarnation: owner + "-1", Total: 6, Epoch: epoch, GeneratedShare: made, Nonce: owner}
 			state.SubmittedAt = now
 			value, err := encodeRow(state)
 			if err != nil {
@@ -337,7 +337,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conflict := &kept.Conflict{Current: []kept.Row{{Key: stateKey("s"), Value: value, Version: 7}}}
+		conflict := &rowstore.Conflict{Current: []rowstore.Row{{Key: stateKey("s"), Value: value, Version: 7}}}
 		if err := a.handleSubmitOutcome(stateRecord{State: state}, list, &earlyRun{manager: a.Manager, state: state}, conflict); err != nil {
 			t.Error(err)
 		}
@@ -408,15 +408,15 @@
 		cl := newCluster(t, "e1", "e2")
 		list := items(16)
 		for i := range list {
-			list[i].Group, list[i].Expected = "g"+strconv.Itoa(i/4), short
+			list[i].Group, list[i].ExpectedTokens = "g"+strconv.Itoa(i/4), short
 			if i%4 == 0 {
-				list[i].Expected = long
+				list[i].ExpectedTokens = long
 			}
 		}
 		cl.engines.behave[""] = func(item string, _ int) reply {
 			r := goodReply
 			n, _ := strconv.Atoi(item[1:])
-			r.events, r.gap = int(list[n].Expected), gap
+			r.events, r.gap = int(list[n].ExpectedTokens), gap
 			return r
 		}
 		a := cl.start("a")
@@ -443,8 +443,8 @@
 			return reply{status: http.StatusOK, version: 1, events: events, gap: 30 * time.Millisecond}
 		}
 		a := cl.start("a")
-		e2 := a.Roster.Service("lm")[1]
-		e2.NoteSpeed(30*time.Millisecond, time.Now())
+		e2 := a.Roster.Upstreams("lm")[1]
+		e2.NoteUnitTime(30*time.Millisecond, time.Now())
 		for range 4 {
 			e2.Begin()
 		}
@@ -534,7 +534,7 @@
 				if err := a.End(t.Context(), "s1", "acc"); err != nil {
 					t.Fatal(err)
 				}
-				for _, e := range a.Roster.Service("lm") {
+				for _, e := range a.Roster.Upstreams("lm") {
 					e.NoteVersion("m", 2)
 				}
 				version = 2
@@ -560,20 +560,20 @@
 	bubble(t, func(t *testing.T) {
 		cl := newCluster(t, "e1")
 		a, b := cl.start("a"), cl.start("b")
-		cl.store.SetFate(func(txn kept.Txn) memory.Fate {
+		cl.store.SetFault(func(txn rowstore.Txn) memory.Fault {
 			if len(txn.Puts) > 0 && txn.Puts[0].Key.Table == resultTable {
-				return memory.EffectLate
+				return memory.EffectDelayed
 			}
-			return memory.Normal
+			return memory.NoFault
 		})
 		submit(t, a, spec("s"), items(4))
 		time.Sleep(300 * time.Millisecond)
 		cl.mu.Lock()
 		cl.dead["a"] = true
 		cl.mu.Unlock()
-		cl.store.SetFate(nil)
+		cl.store.SetFault(nil)
 		results := readUntilComplete(t, b, "s")
-		cl.store.RunLate()
+		cl.store.RunDelayed()
 		checkTexts(t, results, 3)
 		reread := readUntilComplete(t, b, "s")
 		if len(reread) != 4 {
@@ -683,7 +683,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = cl.store.Commit(t.Context(), kept.Txn{Puts: puts, Expected: []kept.Expectation{{Key: stateKey("s"), Version: rec.version}}})
+		_, err = cl.store.Commit(t.Context(), rowstore.Txn{Puts: puts, Expected: []rowstore.Expectation{{Key: stateKey("s"), Version: rec.version}}})
 		if err == nil {
 			t.Error("results were committed after the end of the step")
 		}
@@ -912,12 +912,12 @@
 			return r
 		}
 		commits := 0
-		cl.store.SetFate(func(txn kept.Txn) memory.Fate {
+		cl.store.SetFault(func(txn rowstore.Txn) memory.Fault {
 			if txn.Puts[0].Key.Table == resultTable {
 				commits++
 				time.Sleep(12 * time.Millisecond)
 			}
-			return memory.Normal
+			return memory.NoFault
 		})
 		a := cl.start("a")
 		submit(t, a, spec("s"), items(16))
@@ -1029,7 +1029,7 @@
 				t.Errorf("a row has %d bytes, more than 64 KiB", len(put.Value))
 			}
 		}
-		if _, err := cl.store.Commit(t.Context(), kept.Txn{Puts: puts}); err != nil {
+		if _, err := cl.store.Commit(t.Context(), rowstore.Txn{Puts: puts}); err != nil {
 			t.Fatal(err)
 		}
 		results, err := readResults(t.Context(), cl.store, "other", 0)
@@ -1062,7 +1062,7 @@
 		}
 		time.Sleep(time.Minute)
 		for _, table := range []string{stateTable, itemsTable, resultTable} {
-			if rows, _ := kept.ReadAll(t.Context(), cl.store, table, "s"); len(rows) > 0 {
+			if rows, _ := rowstore.ReadAll(t.Context(), cl.store, table, "s"); len(rows) > 0 {
 				t.Errorf("%d rows are left in table %s", len(rows), table)
 			}
 		}
--- a/internal/step/sweep.go
+++ b/internal/step/sweep.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -42,7 +42,7 @@
 	var steps []stateRecord
 	for id, r := range m.states {
 		age := time.Duration(now-r.SubmittedAt) * time.Millisecond
-		if r.Ended && age > m.Keep+retentionGracePeriod && m.Members.Rank(id) == 0 {
+		if r.Ended && age > m.Retention+retentionGracePeriod && m.Members.Rank(id) == 0 {
 			steps = append(steps, r)
 		}
 	}
@@ -51,20 +51,20 @@
 
 func (m *Manager) removeStep(ctx context.Context, r stateRecord) error {
 	for _, name := range r.Objects {
-		if err := m.Store.DropObject(ctx, name); err != nil {
+		if err := m.Store.DeleteObject(ctx, name); err != nil {
 			return err
 		}
 	}
 	for _, table := range []string{itemsTable, resultTable, textTable, stateTable} {
-		rows, err := kept.ReadAll(ctx, m.Store, table, r.ID)
+		rows, err := rowstore.ReadAll(ctx, m.Store, table, r.ID)
 		if err != nil {
 			return err
 		}
 		for len(rows) > 0 {
 			n := min(len(rows), sweepMaxRows)
-			var txn kept.Txn
+			var txn rowstore.Txn
 			for _, row := range rows[:n] {
-				txn.Removes = append(txn.Removes, row.Key)
+				txn.Deletes = append(txn.Deletes, row.Key)
 			}
 			if _, err := m.Store.Commit(ctx, txn); err != nil {
 				return err
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/wait"
 )
 
@@ -53,7 +53,7 @@
 		if r.Ended || m.runs[id] != nil || m.loading[id] {
 			continue
 		}
-		if r.Owner != "" && m.Members.Alive(r.Owner, r.OwnerLife) && (r.Owner != m.VM || r.OwnerLife != m.Life) {
+		if r.Owner != "" && m.Members.Alive(r.Owner, r.OwnerIncarnation) && (r.Owner != m.VM || r.OwnerIncarnation != m.Incarnation) {
 			delete(m.unownedSince, id)
 			continue
 		}
@@ -80,7 +80,7 @@
 // that follows from this VM's rank must have passed.
 func (m *Manager) canTakeOver(r stateRecord, unownedFor time.Duration) bool {
 	residency := m.stepResidency(r.Spec)
-	return residency.Allows(m.Domain) && unownedFor >= time.Duration(m.Members.RankWithin(r.ID, residency))*takeoverRankDelay
+	return residency.Allows(m.Domain) && unownedFor >= time.Duration(m.Members.RankWithinResidency(r.ID, residency))*takeoverRankDelay
 }
 
 // takeOver makes this VM the owner of a step and runs the items without a committed
@@ -92,7 +92,7 @@
 		defer m.mu.Unlock()
 		delete(m.loading, r.ID)
 	}()
-	if r.Owner != m.VM || r.OwnerLife != m.Life {
+	if r.Owner != m.VM || r.OwnerIncarnation != m.Incarnation {
 		var ok bool
 		if r, ok = m.becomeOwner(ctx, r, 0); !ok {
 			return
@@ -106,7 +106,7 @@
 		}
 		var texts map[string]savedText
 		if err == nil && len(committed) < r.Total {
-			texts, err = readTexts(ctx, m.Store, r.ID, func(row kept.Row) {
+			texts, err = readTexts(ctx, m.Store, r.ID, func(row rowstore.Row) {
 				m.Events.Emit(event.RowUnreadable, event.Subject{Step: r.ID, Detail: row.String()})
 			})
 		}
@@ -126,8 +126,8 @@
 // the share of the texts that an early run has generated; 0 without an early run.
 func (m *Manager) becomeOwner(ctx context.Context, r stateRecord, generated float64) (owned stateRecord, ok bool) {
 	next := r.State
-	next.Owner, next.OwnerLife, next.Nonce = m.VM, m.Life, uuid.NewString()
-	next.Made = generated
+	next.Owner, next.OwnerIncarnation, next.Nonce = m.VM, m.Incarnation, uuid.NewString()
+	next.GeneratedShare = generated
 	next.Epoch++
 	owned, ok, err := m.replaceState(ctx, r, next)
 	if err != nil {
@@ -178,7 +178,7 @@
 	r.saveTexts(ctx, 1)
 	rec := r.current()
 	next := rec.State
-	next.Owner, next.OwnerLife, next.Nonce = "", "", uuid.NewString()
+	next.Owner, next.OwnerIncarnation, next.Nonce = "", "", uuid.NewString()
 	if _, replaced, err := m.replaceState(ctx, rec, next); err == nil && replaced {
 		m.Events.Emit(event.StepHandedOver, event.Subject{Step: rec.ID, Account: rec.Account, Epoch: uint64(rec.Epoch)})
 	}
--- a/internal/step/text.go
+++ b/internal/step/text.go
@@ -8,7 +8,7 @@
 
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/eventstream"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -101,7 +101,7 @@
 // is ignored: the next owner would generate the items again.
 func (r *run) saveTexts(ctx context.Context, events int64) {
 	rec := r.current()
-	txn := kept.Txn{Expected: []kept.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
+	txn := rowstore.Txn{Expected: []rowstore.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
 	size := 0
 	for i, text := range r.takeUnsaved(events) {
 		value, err := encodeRow(text)
@@ -110,7 +110,7 @@
 			continue
 		}
 		size += len(value)
-		txn.Puts = append(txn.Puts, kept.Put{Key: kept.Key{Table: textTable, Part: rec.ID, Name: r.items[i].ID}, Value: value})
+		txn.Puts = append(txn.Puts, rowstore.Put{Key: rowstore.Key{Table: textTable, Part: rec.ID, Name: r.items[i].ID}, Value: value})
 	}
 	if len(txn.Puts) == 0 {
 		return
@@ -133,13 +133,13 @@
 		p := &r.progress[i]
 		grew := p.partial.hasEvents && p.partial.lastEvent >= p.partial.savedEvent+events
 		becameComplete := p.partial.complete && !p.partial.savedComplete
-		failures := p.failures + p.scoreTries.Failures
+		failures := p.failures + p.scoreTries.NegativeAnswers
 		if p.phase == phaseDone || !grew && !becameComplete && failures == p.savedFailures {
 			continue
 		}
 		p.partial.savedEvent, p.partial.savedComplete, p.savedFailures = p.partial.lastEvent, p.partial.complete, failures
 		text := p.partial.toSaved()
-		text.Failures, text.ScoreFailures = p.failures, p.scoreTries.Failures
+		text.Failures, text.ScoreFailures = p.failures, p.scoreTries.NegativeAnswers
 		texts[i] = text
 	}
 	return texts
@@ -147,8 +147,8 @@
 
 // readTexts reads the saved texts of a step by item ID. It calls unreadable for each row
 // that can't be decoded; the item of such a row is generated again.
-func readTexts(ctx context.Context, store kept.Store, id string, unreadable func(kept.Row)) (map[string]savedText, error) {
-	rows, err := kept.ReadAll(ctx, store, textTable, id)
+func readTexts(ctx context.Context, store rowstore.Store, id string, unreadable func(rowstore.Row)) (map[string]savedText, error) {
+	rows, err := rowstore.ReadAll(ctx, store, textTable, id)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/target/call.go
+++ b/internal/target/call.go
@@ -16,13 +16,13 @@
 	// Header holds the caller's header fields that are forwarded.
 	Header http.Header
 	Body   []byte
-	// Left is the time until the request's deadline; 0 means no deadline.
-	Left time.Duration
+	// Remaining is the time until the request's deadline; 0 means no deadline.
+	Remaining time.Duration
 	// Account is the client account that the request runs for.
 	Account string
-	// ResumeAfter is the ID of the last event that was received; the upstream
+	// LastEventID is the ID of the last event that was received; the upstream
 	// continues the stream after it. Empty starts a new stream.
-	ResumeAfter string
+	LastEventID string
 }
 
 // Response is an upstream's response to one attempt, up to the end of its header.
@@ -48,10 +48,10 @@
 	VersionField string
 }
 
-// Caller sends attempts to upstreams. Call fails with *fault.UpstreamFailed;
+// Transport sends attempts to upstreams. Call fails with *fault.UpstreamFailed;
 // fault.ExecutionOf says whether the request may have run. A response that belongs
 // to another request, or that reports success without the upstream's digest, is a
 // failure.
-type Caller interface {
+type Transport interface {
 	Call(ctx context.Context, e *Entry, request *Request) (*Response, error)
 }
--- a/internal/target/choose.go
+++ b/internal/target/choose.go
@@ -22,8 +22,8 @@
 	coldCost = 1.0
 )
 
-// Want holds the criteria by which an upstream is chosen for a plain request.
-type Want struct {
+// Criteria holds the criteria by which an upstream is chosen for a plain request.
+type Criteria struct {
 	Service string
 	// Domain is the failure domain of this VM.
 	Domain string
@@ -36,9 +36,9 @@
 // Choose returns the upstream with the lowest cost for a plain request, or nil if there
 // is none. A suspect upstream is chosen only when no other is left: it may still serve the
 // request, which would otherwise be refused.
-func (r *Roster) Choose(w Want, now time.Time) *Entry {
+func (r *Roster) Choose(w Criteria, now time.Time) *Entry {
 	usable := r.Usable(w.Service, now)
-	median := MedianSpeed(usable, now)
+	median := MedianUnitTime(usable, now)
 	var best *Entry
 	var least float64
 	for _, e := range usable {
@@ -55,7 +55,7 @@
 // Reserve chooses an upstream as Choose does and counts the request as in flight, like
 // TryBegin. If concurrent requests have used up the upstream's admission limit since it was
 // chosen, Reserve chooses again without it.
-func (r *Roster) Reserve(w Want) *Entry {
+func (r *Roster) Reserve(w Criteria) *Entry {
 	for {
 		e := r.Choose(w, time.Now())
 		if e == nil || e.TryBegin() {
@@ -66,7 +66,7 @@
 }
 
 func costOf(e *Entry, domain string, median time.Duration, now time.Time) float64 {
-	cost := float64(e.InFlight()+e.Foreign(now)) / float64(e.Slots())
+	cost := float64(e.InFlight()+e.OthersInFlight(now)) / float64(e.Slots())
 	if e.Info().FailureDomain != domain {
 		cost += otherDomainCost
 	}
--- a/internal/target/evacuation.go
+++ b/internal/target/evacuation.go
@@ -61,5 +61,5 @@
 	return n
 }
 
-// EvacuatedDomains returns the number of evacuated failure domains.
-func (r *Roster) EvacuatedDomains() int { return len(*r.evacuated.Load()) }
+// EvacuatedDomainCount returns the number of evacuated failure domains.
+func (r *Roster) EvacuatedDomainCount() int { return len(*r.evacuated.Load()) }
--- a/internal/target/evacuation_test.go
+++ b/internal/target/evacuation_test.go
@@ -21,7 +21,7 @@
 	if got := usableIDs(r); !slices.Equal(got, []string{"b"}) {
 		t.Fatalf("usable upstreams: %v, want only b", got)
 	}
-	if e := r.Reserve(Want{Service: "desk", Domain: "x"}); e == nil || e.Info().ID != "b" {
+	if e := r.Reserve(Criteria{Service: "desk", Domain: "x"}); e == nil || e.Info().ID != "b" {
 		t.Error("the upstream of the other domain was not chosen")
 	}
 	r.Restore("x")
@@ -36,7 +36,7 @@
 	r := newTestRoster(newInstance("a", "x"))
 	r.Evacuate("x")
 	r.Evacuate("nowhere")
-	r.Apply(Listed(newInstance("b", "x")))
+	r.Apply(ListedChange(newInstance("b", "x")))
 	if got := usableIDs(r); len(got) != 0 {
 		t.Errorf("usable upstreams: %v, want none", got)
 	}
--- a/internal/target/instance.go
+++ b/internal/target/instance.go
@@ -125,17 +125,17 @@
 // Suspect reports whether the backoff after a failed attempt has not ended yet.
 func (e *Entry) Suspect(now time.Time) bool { return now.UnixNano() < e.suspectUntil.Load() }
 
-// Failed records that the upstream failed an attempt, and returns how long the
+// NoteFailure records that the upstream failed an attempt, and returns how long the
 // upstream is suspect.
-func (e *Entry) Failed(now time.Time) time.Duration {
+func (e *Entry) NoteFailure(now time.Time) time.Duration {
 	n := e.failures.Add(1)
 	backoff := min(suspectBackoff<<min(n-1, 4), maxSuspectBackoff)
 	e.suspectUntil.Store(now.Add(backoff).UnixNano())
 	return backoff
 }
 
-// Succeeded records a successful attempt. The upstream is no longer suspect.
-func (e *Entry) Succeeded() {
+// NoteSuccess records a successful attempt. The upstream is no longer suspect.
+func (e *Entry) NoteSuccess() {
 	now := time.Now()
 	e.mu.Lock()
 	e.admission.noteAnswered(now)
@@ -144,9 +144,9 @@
 	e.suspectUntil.Store(0)
 }
 
-// Misaddressed records that another upstream answered at the entry's address. The
+// NoteMisaddressed records that another upstream answered at the entry's address. The
 // entry counts as unlisted, without a grace period.
-func (e *Entry) Misaddressed() {
+func (e *Entry) NoteMisaddressed() {
 	e.graceUntil.Store(0)
 	e.unlisted.Store(true)
 }
@@ -171,9 +171,9 @@
 	return !e.loadAt.IsZero() && now.Sub(e.loadAt) <= loadTTL
 }
 
-// Foreign estimates the number of other VMs' requests at the upstream; 0 when its load
+// OthersInFlight estimates the number of other VMs' requests at the upstream; 0 when its load
 // is unknown.
-func (e *Entry) Foreign(now time.Time) int {
+func (e *Entry) OthersInFlight(now time.Time) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.loadKnownLocked(now) {
@@ -191,14 +191,14 @@
 	return 1
 }
 
-// Free returns the number of free slots. It is negative when requests exceed the slots.
-func (e *Entry) Free(now time.Time) int {
-	return e.Slots() - e.InFlight() - e.Foreign(now)
+// FreeSlots returns the number of free slots. It is negative when requests exceed the slots.
+func (e *Entry) FreeSlots(now time.Time) int {
+	return e.Slots() - e.InFlight() - e.OthersInFlight(now)
 }
 
-// NoteSpeed records the measured duration of one unit of work: a complete plain
+// NoteUnitTime records the measured duration of one unit of work: a complete plain
 // request, or one event of a stream.
-func (e *Entry) NoteSpeed(took time.Duration, now time.Time) {
+func (e *Entry) NoteUnitTime(took time.Duration, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.longTermUnitTime == 0 {
@@ -213,8 +213,8 @@
 	e.unitTimeAt = now
 }
 
-// Speed returns the short-term average duration of a unit of work; 0 when unknown.
-func (e *Entry) Speed(now time.Time) time.Duration {
+// UnitTime returns the short-term average duration of a unit of work; 0 when unknown.
+func (e *Entry) UnitTime(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now.Sub(e.unitTimeAt) > unitTimeTTL {
@@ -223,9 +223,9 @@
 	return time.Duration(e.unitTime)
 }
 
-// Pace returns the expected duration of a unit of work: the short-term average, or the
+// ExpectedUnitTime returns the expected duration of a unit of work: the short-term average, or the
 // long-term average when there was no recent measurement; 0 when neither is known.
-func (e *Entry) Pace(now time.Time) time.Duration {
+func (e *Entry) ExpectedUnitTime(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if now.Sub(e.unitTimeAt) <= unitTimeTTL {
@@ -253,32 +253,32 @@
 	}
 }
 
-// NoteSwap records that the upstream is to get no requests for a model until a time:
+// NoteModelUnavailable records that the upstream is to get no requests for a model until a time:
 // it is loading a weight version, or has refused a request.
-func (e *Entry) NoteSwap(model string, until time.Time) {
+func (e *Entry) NoteModelUnavailable(model string, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.unavailableUntil[model] = until
 }
 
-// Swapping reports whether the upstream gets no requests for a model for now, as set by
-// NoteSwap.
-func (e *Entry) Swapping(model string, now time.Time) bool {
+// ModelUnavailable reports whether the upstream gets no requests for a model for now, as set by
+// NoteModelUnavailable.
+func (e *Entry) ModelUnavailable(model string, now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return now.Before(e.unavailableUntil[model])
 }
 
-// MedianSpeed returns the lower median of the known values of Speed; 0 when there are
+// MedianUnitTime returns the lower median of the known values of Speed; 0 when there are
 // none.
-func MedianSpeed(entries []*Entry, now time.Time) time.Duration {
-	return median(entries, func(e *Entry) time.Duration { return e.Speed(now) })
+func MedianUnitTime(entries []*Entry, now time.Time) time.Duration {
+	return median(entries, func(e *Entry) time.Duration { return e.UnitTime(now) })
 }
 
-// MedianPace returns the lower median of the known values of Pace; 0 when there are
+// MedianExpectedUnitTime returns the lower median of the known values of Pace; 0 when there are
 // none.
-func MedianPace(entries []*Entry, now time.Time) time.Duration {
-	return median(entries, func(e *Entry) time.Duration { return e.Pace(now) })
+func MedianExpectedUnitTime(entries []*Entry, now time.Time) time.Duration {
+	return median(entries, func(e *Entry) time.Duration { return e.ExpectedUnitTime(now) })
 }
 
 func median(entries []*Entry, value func(*Entry) time.Duration) time.Duration {
@@ -298,7 +298,7 @@
 // slowness returns the ratio of the upstream's duration of a unit of work to the
 // median, at least 1.
 func slowness(e *Entry, median time.Duration, now time.Time) float64 {
-	unitTime := e.Speed(now)
+	unitTime := e.UnitTime(now)
 	if median == 0 || unitTime == 0 {
 		return 1
 	}
--- a/internal/target/roster.go
+++ b/internal/target/roster.go
@@ -42,32 +42,32 @@
 	info *Instance
 }
 
-// Listed returns the change that adds an upstream or replaces its information.
-func Listed(info Instance) Change { return Change{id: info.ID, info: &info} }
+// ListedChange returns the change that adds an upstream or replaces its information.
+func ListedChange(info Instance) Change { return Change{id: info.ID, info: &info} }
 
-// Unlisted returns the change that removes an upstream.
-func Unlisted(id string) Change { return Change{id: id} }
+// UnlistedChange returns the change that removes an upstream.
+func UnlistedChange(id string) Change { return Change{id: id} }
 
 // NewRoster returns an empty roster.
 func NewRoster(events *event.Recorder) *Roster {
 	r := &Roster{events: events, incarnations: make(map[string][]*Entry), unlisted: make(map[*Entry]bool)}
 	r.current.Store(&map[string][]*Entry{})
 	r.evacuated.Store(&map[string]bool{})
-	r.Reached()
+	r.NoteListRead()
 	return r
 }
 
-// Reached records that the platform's list was read and the roster is up to date.
-func (r *Roster) Reached() { r.listReadAt.Store(time.Now().UnixNano()) }
+// NoteListRead records that the platform's list was read and the roster is up to date.
+func (r *Roster) NoteListRead() { r.listReadAt.Store(time.Now().UnixNano()) }
 
 // stale reports whether the list was last read more than staleAfter ago.
 func (r *Roster) stale(now time.Time) bool {
 	return now.UnixNano()-r.listReadAt.Load() > int64(staleAfter)
 }
 
-// TakeTurns sets the function that reports whether this VM may send requests to a cold
+// SetColdSender sets the function that reports whether this VM may send requests to a cold
 // upstream; without one it may. It must be called before the roster is used.
-func (r *Roster) TakeTurns(coldSender func(*Entry) bool) { r.coldSender.Store(&coldSender) }
+func (r *Roster) SetColdSender(coldSender func(*Entry) bool) { r.coldSender.Store(&coldSender) }
 
 func (r *Roster) isColdSender(e *Entry) bool {
 	coldSender := r.coldSender.Load()
@@ -96,13 +96,13 @@
 	changes := make([]Change, 0, len(list))
 	for _, info := range list {
 		listed[info.ID] = true
-		changes = append(changes, Listed(info))
+		changes = append(changes, ListedChange(info))
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id := range r.incarnations {
 		if !listed[id] {
-			changes = append(changes, Unlisted(id))
+			changes = append(changes, UnlistedChange(id))
 		}
 	}
 	r.apply(changes)
@@ -181,7 +181,7 @@
 		return
 	}
 	for _, earlier := range r.incarnations[info.ID] {
-		earlier.Misaddressed()
+		earlier.NoteMisaddressed()
 		r.unlisted[earlier] = true
 	}
 	e := newEntry(r, info)
@@ -263,8 +263,8 @@
 
 func byID(a, b *Entry) int { return strings.Compare(a.Info().ID, b.Info().ID) }
 
-// Life returns the entry of one incarnation of an upstream, or nil.
-func (r *Roster) Life(id string, started int64) *Entry {
+// Incarnation returns the entry of one incarnation of an upstream, or nil.
+func (r *Roster) Incarnation(id string, started int64) *Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.incarnations[id] {
@@ -275,18 +275,18 @@
 	return nil
 }
 
-// Service returns the upstreams of a service, including those that are leaving or
+// Upstreams returns the upstreams of a service, including those that are leaving or
 // unlisted.
-func (r *Roster) Service(name string) []*Entry { return (*r.current.Load())[name] }
+func (r *Roster) Upstreams(name string) []*Entry { return (*r.current.Load())[name] }
 
-// Known reports whether the roster has any upstream.
-func (r *Roster) Known() bool { return len(*r.current.Load()) > 0 }
+// HasUpstreams reports whether the roster has any upstream.
+func (r *Roster) HasUpstreams() bool { return len(*r.current.Load()) > 0 }
 
 // Usable returns the upstreams of a service that may get requests. Unlisted ones are
 // returned only when no listed one is usable, since an upstream that disappeared from the
 // list has most likely crashed. Upstreams of evacuated failure domains are left out.
 func (r *Roster) Usable(service string, now time.Time) []*Entry {
-	all := r.Service(service)
+	all := r.Upstreams(service)
 	listed := make([]*Entry, 0, len(all))
 	var unlisted []*Entry
 	for _, e := range all {
--- a/internal/target/roster_test.go
+++ b/internal/target/roster_test.go
@@ -21,12 +21,12 @@
 	list := newInstances(100)
 	r := newTestRoster(list...)
 	before := r.current.Load()
-	r.Apply(Listed(list[7]))
+	r.Apply(ListedChange(list[7]))
 	r.Replace(list)
 	if r.current.Load() != before {
 		t.Error("unchanged entries led to new lists")
 	}
-	cost := testing.AllocsPerRun(100, func() { r.Apply(Listed(list[7])) })
+	cost := testing.AllocsPerRun(100, func() { r.Apply(ListedChange(list[7])) })
 	if limit := 4.0; cost > limit {
 		t.Errorf("an unchanged entry takes %.0f allocations, at most %.0f are allowed", cost, limit)
 	}
@@ -42,10 +42,10 @@
 			r := newTestRoster(list[:known]...)
 			changes := make([]Change, 0, page)
 			for _, info := range list[known:] {
-				changes = append(changes, Listed(info))
+				changes = append(changes, ListedChange(info))
 			}
 			r.Apply(changes...)
-			if n := len(r.Service("desk")); n != known+page {
+			if n := len(r.Upstreams("desk")); n != known+page {
 				t.Fatalf("%d upstreams are listed, want %d", n, known+page)
 			}
 		}) - testing.AllocsPerRun(5, func() { newTestRoster(list[:known]...) })
@@ -61,9 +61,9 @@
 	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
 	moved := newInstance("a", "x")
 	moved.Service = "lookup"
-	r.Apply(Listed(moved))
-	if len(r.Service("desk")) != 1 || len(r.Service("lookup")) != 1 {
-		t.Errorf("desk has %d upstreams and lookup %d, want 1 each", len(r.Service("desk")), len(r.Service("lookup")))
+	r.Apply(ListedChange(moved))
+	if len(r.Upstreams("desk")) != 1 || len(r.Upstreams("lookup")) != 1 {
+		t.Errorf("desk has %d upstreams and lookup %d, want 1 each", len(r.Upstreams("desk")), len(r.Upstreams("lookup")))
 	}
 }
 
@@ -73,24 +73,24 @@
 	moved := newInstance("a", "x")
 	moved.Service = "lookup"
 	r := newTestRoster(newInstance("b", "x"))
-	r.Apply(Listed(newInstance("a", "x")), Listed(moved))
-	if len(r.Service("desk")) != 1 || len(r.Service("lookup")) != 1 {
-		t.Errorf("desk has %d upstreams and lookup %d, want 1 each", len(r.Service("desk")), len(r.Service("lookup")))
+	r.Apply(ListedChange(newInstance("a", "x")), ListedChange(moved))
+	if len(r.Upstreams("desk")) != 1 || len(r.Upstreams("lookup")) != 1 {
+		t.Errorf("desk has %d upstreams and lookup %d, want 1 each", len(r.Upstreams("desk")), len(r.Upstreams("lookup")))
 	}
-	r.Apply(Listed(newInstance("a", "x")), Listed(moved), Listed(newInstance("a", "x")))
-	if len(r.Service("desk")) != 2 || len(r.Service("lookup")) != 0 {
-		t.Errorf("desk has %d upstreams and lookup %d, want 2 and 0", len(r.Service("desk")), len(r.Service("lookup")))
+	r.Apply(ListedChange(newInstance("a", "x")), ListedChange(moved), ListedChange(newInstance("a", "x")))
+	if len(r.Upstreams("desk")) != 2 || len(r.Upstreams("lookup")) != 0 {
+		t.Errorf("desk has %d upstreams and lookup %d, want 2 and 0", len(r.Upstreams("desk")), len(r.Upstreams("lookup")))
 	}
 }
 
 // Guards against a leak: entries of upstreams that never return must be removed.
 func TestUnlistedIdleEntriesAreEvicted(t *testing.T) {
 	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
-	unlisted := r.Life("a", 0)
-	r.Apply(Unlisted("a"))
+	unlisted := r.Incarnation("a", 0)
+	r.Apply(UnlistedChange("a"))
 	unlisted.graceUntil.Store(time.Now().Add(-time.Second).UnixNano())
-	r.Apply(Listed(newInstance("b", "x")))
-	if r.Life("a", 0) != nil || len(r.Service("desk")) != 1 {
+	r.Apply(ListedChange(newInstance("b", "x")))
+	if r.Incarnation("a", 0) != nil || len(r.Upstreams("desk")) != 1 {
 		t.Error("an unlisted upstream without requests is still known")
 	}
 }
@@ -104,7 +104,7 @@
 			for b.Loop() {
 				r := newTestRoster()
 				for _, info := range list {
-					r.Apply(Listed(info))
+					r.Apply(ListedChange(info))
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(n), "us/upstream")
@@ -119,7 +119,7 @@
 			list := newInstances(n)
 			r := newTestRoster(list...)
 			for i := 0; b.Loop(); i++ {
-				r.Apply(Listed(list[i%n]))
+				r.Apply(ListedChange(list[i%n]))
 			}
 		})
 	}
--- a/internal/target/slowstart.go
+++ b/internal/target/slowstart.go
@@ -193,17 +193,17 @@
 	e.admission.setColdFor(coldFor, now)
 }
 
-// NoAnswer records an attempt that got no complete answer: the upstream may be restarting.
-func (e *Entry) NoAnswer() {
+// NoteUnanswered records an attempt that got no complete answer: the upstream may be restarting.
+func (e *Entry) NoteUnanswered() {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admission.noteUnanswered(now)
 }
 
-// RunsOn records that an attempt that began at the given time is still being answered: the
+// NoteRunningSince records that an attempt that began at the given time is still being answered: the
 // upstream has not restarted since then, even if other attempts got no answer.
-func (e *Entry) RunsOn(began time.Time) {
+func (e *Entry) NoteRunningSince(began time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if began.Before(e.admission.unansweredSince) {
--- a/internal/target/slowstart_test.go
+++ b/internal/target/slowstart_test.go
@@ -22,7 +22,7 @@
 	info.ColdFor = coldFor
 	r := newTestRoster(info)
 	r.SetSlowStarts(map[string]SlowStart{"desk": {PerSecond: testBound, Warmup: testWarmup}})
-	return r, r.Service("desk")[0]
+	return r, r.Upstreams("desk")[0]
 }
 
 // sendUntilRefused begins requests until no more are admitted, and returns their number.
@@ -47,7 +47,7 @@
 			t.Error("no request was admitted in the next second")
 		}
 		time.Sleep(testWarmup)
-		r.Reached()
+		r.NoteListRead()
 		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
 			t.Errorf("a warm upstream got only %d requests", n)
 		}
@@ -58,11 +58,11 @@
 func TestColdUpstreamIsUsedByOneVM(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, e := newSlowStartUpstream(testWarmup)
-		r.TakeTurns(func(*Entry) bool { return false })
+		r.SetColdSender(func(*Entry) bool { return false })
 		if n := sendUntilRefused(e); n != 0 {
 			t.Errorf("%d requests of a VM that may not use the cold upstream were admitted", n)
 		}
-		if chosen := r.Reserve(Want{Service: "desk", Domain: "x"}); chosen != nil {
+		if chosen := r.Reserve(Criteria{Service: "desk", Domain: "x"}); chosen != nil {
 			t.Error("the cold upstream was chosen")
 		}
 	})
@@ -74,16 +74,16 @@
 func TestUnansweredAttemptMakesUpstreamUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, e := newSlowStartUpstream(0)
-		e.NoAnswer()
+		e.NoteUnanswered()
 		if n := sendUntilRefused(e); n > testBound/uncertainDivisor {
 			t.Errorf("%d requests to an uncertain upstream were admitted", n)
 		}
 		time.Sleep(admissionWindow)
-		e.Succeeded()
+		e.NoteSuccess()
 		if n := sendUntilRefused(e); n > testBound/uncertainDivisor {
 			t.Errorf("%d requests were admitted right after its first answer", n)
 		}
-		r.Apply(Listed(newInstance("a", "x")))
+		r.Apply(ListedChange(newInstance("a", "x")))
 		time.Sleep(admissionWindow)
 		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
 			t.Errorf("only %d requests were admitted after its entry reported it as warm", n)
@@ -101,7 +101,7 @@
 			t.Errorf("%d requests were admitted with a stale list", n)
 		}
 		time.Sleep(admissionWindow)
-		r.Reached()
+		r.NoteListRead()
 		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
 			t.Errorf("only %d requests were admitted with a fresh list", n)
 		}
@@ -113,7 +113,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r, e := newSlowStartUpstream(0)
 		r.SetSlowStarts(nil)
-		e.NoAnswer()
+		e.NoteUnanswered()
 		if n := sendUntilRefused(e); n != 10*testBound {
 			t.Errorf("only %d requests were admitted without a bound", n)
 		}
@@ -134,7 +134,7 @@
 		}
 		info := newInstance("a", "x")
 		info.ColdFor = -time.Hour
-		r.Apply(Listed(info))
+		r.Apply(ListedChange(info))
 		if e.Cold(time.Now()) {
 			t.Error("an upstream with a negative warm-up is cold")
 		}
@@ -172,13 +172,13 @@
 			if v.listedAt > at-tick && v.listedAt <= at {
 				info := newInstance("a", "x")
 				info.ColdFor = testWarmup
-				v.roster.Apply(Listed(info))
+				v.roster.Apply(ListedChange(info))
 			}
 			frozen := at >= v.frozenFrom && at < v.frozenFrom+v.frozenFor
 			if at < v.listedAt || frozen {
 				continue
 			}
-			v.roster.Reached()
+			v.roster.NoteListRead()
 			for v.entry.TryBegin() {
 				v.entry.End()
 				f.arrived = append(f.arrived, time.Now().Add(v.networkDelay))
@@ -225,7 +225,7 @@
 						v.frozenFrom, v.frozenFor = time.Duration(f.rng.IntN(2000))*time.Millisecond, time.Duration(f.rng.IntN(2000))*time.Millisecond
 					}
 					v.roster, v.entry = newSlowStartUpstream(testWarmup)
-					v.roster.TakeTurns(func(e *Entry) bool {
+					v.roster.SetColdSender(func(e *Entry) bool {
 						first, _ := lease.First("cold/"+e.Info().ID, v.members)
 						return first == v.name
 					})
@@ -249,7 +249,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, e := newSlowStartUpstream(0)
 		e.NoteLoad(Load{Running: 4, Slots: 4}, time.Now())
-		e.Failed(time.Now())
+		e.NoteFailure(time.Now())
 		if n := sendUntilRefused(e); n <= testBound/coldDivisor {
 			t.Errorf("only %d requests were admitted", n)
 		}
@@ -263,16 +263,16 @@
 		_, e := newSlowStartUpstream(0)
 		began := time.Now()
 		time.Sleep(100 * time.Millisecond)
-		e.NoAnswer()
+		e.NoteUnanswered()
 		time.Sleep(100 * time.Millisecond)
 		later := time.Now()
-		e.RunsOn(later)
+		e.NoteRunningSince(later)
 		if n := e.Admissible(later); n > testBound/uncertainDivisor {
 			t.Errorf("%d requests are admitted because of an attempt that began after the lost one", n)
 		}
-		e.Succeeded()
-		e.NoAnswer()
-		e.RunsOn(began)
+		e.NoteSuccess()
+		e.NoteUnanswered()
+		e.NoteRunningSince(began)
 		if n := e.Admissible(later); n <= testBound/coldDivisor {
 			t.Errorf("only %d requests are admitted although a stream continues", n)
 		}
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -28,11 +28,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
 		r.Replace(nil)
-		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e == nil {
+		if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, time.Now()); e == nil {
 			t.Fatal("no upstream right after the entries expired")
 		}
 		time.Sleep(unlistedGracePeriod)
-		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e != nil {
+		if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, time.Now()); e != nil {
 			t.Errorf("%s still gets requests %s after its removal", e.Info().ID, unlistedGracePeriod)
 		}
 	})
@@ -42,9 +42,9 @@
 // entry has expired, while others are listed.
 func TestUnlistedUpstreamIsNotChosenOverListedOnes(t *testing.T) {
 	r := newTestRoster(newInstance("a", "x"), newInstance("b", "x"))
-	r.Apply(Unlisted("a"))
+	r.Apply(UnlistedChange("a"))
 	for range 10 {
-		if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e.Info().ID != "b" {
+		if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, time.Now()); e.Info().ID != "b" {
 			t.Fatalf("%s was chosen", e.Info().ID)
 		}
 	}
@@ -54,8 +54,8 @@
 	r := newTestRoster(newInstance("a", "x"))
 	leaving := newInstance("a", "x")
 	leaving.Leaving = true
-	r.Apply(Listed(leaving))
-	if e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now()); e != nil {
+	r.Apply(ListedChange(leaving))
+	if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, time.Now()); e != nil {
 		t.Errorf("%s was chosen", e.Info().ID)
 	}
 }
@@ -66,12 +66,12 @@
 	first := newInstance("a", "x")
 	first.Started, first.Versions = 1, map[string]int64{"m": 1}
 	r := newTestRoster(first)
-	old := r.Service("desk")[0]
+	old := r.Upstreams("desk")[0]
 	old.NoteVersion("m", 7)
 	second := first
 	second.Started = 2
-	r.Apply(Listed(second))
-	e := r.Choose(Want{Service: "desk", Domain: "x"}, time.Now())
+	r.Apply(ListedChange(second))
+	e := r.Choose(Criteria{Service: "desk", Domain: "x"}, time.Now())
 	if e == old || e.Version("m") != 1 {
 		t.Errorf("the new incarnation has version %d", e.Version("m"))
 	}
@@ -80,37 +80,37 @@
 func TestChooseWeighsDomainLoadAndFailures(t *testing.T) {
 	now := time.Now()
 	r := newTestRoster(newInstance("near", "x"), newInstance("far", "y"))
-	near, far := r.Service("desk")[1], r.Service("desk")[0]
-	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != near {
+	near, far := r.Upstreams("desk")[1], r.Upstreams("desk")[0]
+	if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, now); e != near {
 		t.Errorf("idle: %s", e.Info().ID)
 	}
 	near.Begin()
 	near.Begin()
-	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != far {
+	if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, now); e != far {
 		t.Errorf("near upstream half busy: %s", e.Info().ID)
 	}
-	far.Failed(now)
-	if e := r.Choose(Want{Service: "desk", Domain: "x"}, now); e != near {
+	far.NoteFailure(now)
+	if e := r.Choose(Criteria{Service: "desk", Domain: "x"}, now); e != near {
 		t.Errorf("far upstream failed: %s", e.Info().ID)
 	}
-	if e := r.Choose(Want{Service: "desk", Domain: "x", Skip: []*Entry{near}}, now); e != far {
+	if e := r.Choose(Criteria{Service: "desk", Domain: "x", Skip: []*Entry{near}}, now); e != far {
 		t.Error("a suspect upstream is better than none")
 	}
 }
 
 func TestSuspectBackoffGrowsAndEnds(t *testing.T) {
 	r := newTestRoster(newInstance("a", "x"))
-	e, now := r.Service("desk")[0], time.Now()
-	if first, second := e.Failed(now), e.Failed(now); second != 2*first {
+	e, now := r.Upstreams("desk")[0], time.Now()
+	if first, second := e.NoteFailure(now), e.NoteFailure(now); second != 2*first {
 		t.Errorf("backoffs of %s and %s, want the second to be twice the first", first, second)
 	}
 	for range 10 {
-		e.Failed(now)
+		e.NoteFailure(now)
 	}
 	if !e.Suspect(now.Add(maxSuspectBackoff-1)) || e.Suspect(now.Add(maxSuspectBackoff)) {
 		t.Error("the backoff does not reach its maximum and end there")
 	}
-	e.Succeeded()
+	e.NoteSuccess()
 	if e.Suspect(now) {
 		t.Error("a success does not end the backoff")
 	}
@@ -118,16 +118,16 @@
 
 func TestLoadOfOtherVMsExpires(t *testing.T) {
 	r := newTestRoster(newInstance("a", "x"))
-	e, now := r.Service("desk")[0], time.Now()
+	e, now := r.Upstreams("desk")[0], time.Now()
 	e.Begin()
 	e.NoteLoad(Load{Running: 3, Waiting: 1, Slots: 4}, now)
-	if got := e.Foreign(now); got != 3 {
+	if got := e.OthersInFlight(now); got != 3 {
 		t.Errorf("Foreign = %d, want 3", got)
 	}
-	if got := e.Free(now); got != 0 {
+	if got := e.FreeSlots(now); got != 0 {
 		t.Errorf("Free = %d, want 0", got)
 	}
-	if got := e.Foreign(now.Add(loadTTL + 1)); got != 0 {
+	if got := e.OthersInFlight(now.Add(loadTTL + 1)); got != 0 {
 		t.Errorf("Foreign = %d after loadTTL, want 0", got)
 	}
 }
@@ -136,15 +136,15 @@
 // all upstreams inside it are busy, failing or not listed.
 func TestReserveRespectsResidency(t *testing.T) {
 	r := newTestRoster(newInstance("away", "n"), newInstance("home", "s"))
-	want := Want{Service: "desk", Domain: "n", Residency: route.ResideIn([]string{"s"})}
+	want := Criteria{Service: "desk", Domain: "n", Residency: route.NewResidency([]string{"s"})}
 	for range 5 {
 		e := r.Reserve(want)
 		if e == nil || e.Info().ID != "home" {
 			t.Fatalf("the request is sent to %v", e)
 		}
-		e.Failed(time.Now())
+		e.NoteFailure(time.Now())
 	}
-	want.Skip = slices.DeleteFunc(slices.Clone(r.Service("desk")), func(e *Entry) bool { return e.Info().ID == "away" })
+	want.Skip = slices.DeleteFunc(slices.Clone(r.Upstreams("desk")), func(e *Entry) bool { return e.Info().ID == "away" })
 	if e := r.Reserve(want); e != nil {
 		t.Errorf("the request is sent to %s", e.Info().ID)
 	}
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"dogwoodpond/internal/engine"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Report is an engine's load report and when it came.
@@ -70,7 +70,7 @@
 
 // LoadReader asks an engine for its load.
 type LoadReader interface {
-	Load(ctx context.Context, address string) (engine.Load, error)
+	LoadReport(ctx context.Context, address string) (engine.Load, error)
 }
 
 // Poller keeps the reports of the watched engines current.
@@ -80,11 +80,11 @@
 	period time.Duration
 	// watched returns the engines that this VM may send work to. It is few
 	// however large the fleet is.
-	watched func() []platform.Upstream
+	watched func() []platformapi.Upstream
 }
 
 // NewPoller returns a poller that asks each watched engine once a period.
-func NewPoller(reader LoadReader, loads *Loads, period time.Duration, watched func() []platform.Upstream) *Poller {
+func NewPoller(reader LoadReader, loads *Loads, period time.Duration, watched func() []platformapi.Upstream) *Poller {
 	return &Poller{reader: reader, loads: loads, period: period, watched: watched}
 }
 
@@ -106,13 +106,13 @@
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, u platform.Upstream) {
+func (p *Poller) ask(ctx context.Context, u platformapi.Upstream) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(rand.N(p.period)):
 	}
-	load, err := p.reader.Load(ctx, u.Address)
+	load, err := p.reader.LoadReport(ctx, u.Address)
 	if err != nil {
 		p.loads.missed(u.ID)
 		return
--- a/internal/upstream/loads_test.go
+++ b/internal/upstream/loads_test.go
@@ -11,13 +11,13 @@
 
 	"dogwoodpond/internal/engine"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // flakyEngine answers load polls until it is told not to.
 type flakyEngine struct{ down atomic.Bool }
 
-func (e *flakyEngine) Load(context.Context, string) (engine.Load, error) {
+func (e *flakyEngine) LoadReport(context.Context, string) (engine.Load, error) {
 	if e.down.Load() {
 		return engine.Load{}, errors.WithStack(&fault.UpstreamFailed{Upstream: "e1", Reason: "no load report"})
 	}
@@ -33,7 +33,7 @@
 		defer cancel()
 		e := &flakyEngine{}
 		loads := NewLoads()
-		watched := func() []platform.Upstream { return []platform.Upstream{{ID: "e1"}} }
+		watched := func() []platformapi.Upstream { return []platformapi.Upstream{{ID: "e1"}} }
 		go NewPoller(e, loads, time.Second, watched).Run(ctx)
 		time.Sleep(2 * time.Second)
 		e.down.Store(true)
--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -10,15 +10,15 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Closer closes windows and hands their reports to billing. At most one runs at
 // a time under a lease; two at once could still not insert different reports,
 // since the rows forbid it.
 type Closer struct {
-	tables  platform.Tables
-	billing platform.Billing
+	tables  platformapi.Tables
+	billing platformapi.Billing
 	events  *event.Recorder
 	config  CloserConfig
 	// silence remembers when each unsealed row was last seen to change.
@@ -55,7 +55,7 @@
 }
 
 // NewCloser returns a closer.
-func NewCloser(tables platform.Tables, billing platform.Billing, events *event.Recorder, config CloserConfig) *Closer {
+func NewCloser(tables platformapi.Tables, billing platformapi.Billing, events *event.Recorder, config CloserConfig) *Closer {
 	return &Closer{tables: tables, billing: billing, events: events, config: config, silence: make(map[string]sighting)}
 }
 
@@ -123,17 +123,17 @@
 	return w, c.config.Now().After(end.Add(c.config.Grace)), nil
 }
 
-func (c *Closer) setCursor(ctx context.Context, cursor cursorRow, at platform.Row) error {
-	return platform.CommitSurely(ctx, c.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: cursorKey, Version: at.Version}},
-		Writes:        []platform.Write{{Key: cursorKey, Value: platform.EncodeValue(cursor)}},
+func (c *Closer) setCursor(ctx context.Context, cursor cursorRow, at platformapi.Row) error {
+	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: cursorKey, Version: at.Version}},
+		Writes:        []platformapi.Write{{Key: cursorKey, Value: platformapi.EncodeValue(cursor)}},
 	})
 }
 
 // pass goes on to the window behind a reported one and sweeps rows that are
 // old enough.
-func (c *Closer) pass(ctx context.Context, cursor cursorRow, at platform.Row, w Window) error {
+func (c *Closer) pass(ctx context.Context, cursor cursorRow, at platformapi.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := c.sweep(ctx, cursor)
 	if err != nil {
@@ -158,13 +158,13 @@
 	if err != nil {
 		return cursor.Swept, err
 	}
-	txn := platform.Txn{Nonce: platform.NewNonce()}
+	txn := platformapi.Txn{Nonce: platformapi.NewNonce()}
 	for _, row := range rows {
 		if w, ok := windowOf(row.Key); !ok || w >= end {
 			break
 		}
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
-		txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Delete: true})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: row.Key, Version: row.Version})
+		txn.Writes = append(txn.Writes, platformapi.Write{Key: row.Key, Delete: true})
 	}
 	if len(txn.Writes) == 0 {
 		return max(cursor.Swept, end), nil
@@ -175,8 +175,8 @@
 const scanPage = 512
 
 // scan returns all rows with a prefix.
-func scan(ctx context.Context, tables platform.Tables, prefix string) ([]platform.Row, error) {
-	var all []platform.Row
+func scan(ctx context.Context, tables platformapi.Tables, prefix string) ([]platformapi.Row, error) {
+	var all []platformapi.Row
 	after := prefix
 	for {
 		page, err := tables.Scan(ctx, prefix, after, scanPage)
@@ -193,7 +193,7 @@
 
 // close inserts the reports once every row is final or its VM is dead. It
 // reports false while it has to wait.
-func (c *Closer) close(ctx context.Context, w Window, windowAt platform.Row) (bool, error) {
+func (c *Closer) close(ctx context.Context, w Window, windowAt platformapi.Row) (bool, error) {
 	kept, err := scan(ctx, c.tables, windowRows(w))
 	if err != nil {
 		return false, err
@@ -215,7 +215,7 @@
 }
 
 // waits reports whether some row may still be sealed by its VM.
-func (c *Closer) waits(kept []platform.Row, rows []Row) bool {
+func (c *Closer) waits(kept []platformapi.Row, rows []Row) bool {
 	waiting := false
 	for i, row := range kept {
 		if !rows[i].final() && !c.dead(row, rows[i], rows) {
@@ -227,7 +227,7 @@
 
 // dead reports whether an unsealed row's VM counts as dead. Being wrong costs a
 // correction in a later window, never a wrong figure.
-func (c *Closer) dead(row platform.Row, r Row, all []Row) bool {
+func (c *Closer) dead(row platformapi.Row, r Row, all []Row) bool {
 	now := c.config.Elapsed()
 	seen, ok := c.silence[row.Key]
 	if !ok || seen.version != row.Version {
@@ -253,31 +253,31 @@
 }
 
 // insert closes the window: all rows as they were read, or nothing.
-func (c *Closer) insert(ctx context.Context, w Window, windowAt platform.Row, kept []platform.Row, rows []Row) error {
-	txn := platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
-		Writes:        []platform.Write{{Key: windowAt.Key, Value: platform.EncodeValue(windowRow{Phase: phaseClosed})}},
+func (c *Closer) insert(ctx context.Context, w Window, windowAt platformapi.Row, kept []platformapi.Row, rows []Row) error {
+	txn := platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
+		Writes:        []platformapi.Write{{Key: windowAt.Key, Value: platformapi.EncodeValue(windowRow{Phase: phaseClosed})}},
 	}
 	for i, row := range kept {
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: row.Key, Version: row.Version})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: row.Key, Version: row.Version})
 		if !rows[i].final() {
 			closed := rows[i]
 			closed.Closed = true
-			txn.Writes = append(txn.Writes, platform.Write{Key: row.Key, Value: platform.EncodeValue(closed)})
+			txn.Writes = append(txn.Writes, platformapi.Write{Key: row.Key, Value: platformapi.EncodeValue(closed)})
 		}
 	}
 	for _, report := range Reports(w, rows, c.config.Accounts()) {
 		key := reportKey(w, report.Account)
-		txn.Preconditions = append(txn.Preconditions, platform.Precondition{Key: key})
-		txn.Writes = append(txn.Writes, platform.Write{Key: key, Value: platform.EncodeValue(report)})
+		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: key})
+		txn.Writes = append(txn.Writes, platformapi.Write{Key: key, Value: platformapi.EncodeValue(report)})
 	}
-	return platform.CommitSurely(ctx, c.tables, txn)
+	return platformapi.CommitConfirmed(ctx, c.tables, txn)
 }
 
 // report hands every report row of the window to billing, exactly as inserted.
 // A repeat after a lost reply or by a successor sends the same figures.
-func (c *Closer) report(ctx context.Context, guard fence.Guard, w Window, windowAt platform.Row) error {
+func (c *Closer) report(ctx context.Context, guard fence.Guard, w Window, windowAt platformapi.Row) error {
 	kept, err := scan(ctx, c.tables, reportPrefix(w))
 	if err != nil {
 		return err
@@ -291,10 +291,10 @@
 			return err
 		}
 	}
-	return platform.CommitSurely(ctx, c.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
-		Writes:        []platform.Write{{Key: windowAt.Key, Value: platform.EncodeValue(windowRow{Phase: phaseReported})}},
+	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: windowAt.Key, Version: windowAt.Version}},
+		Writes:        []platformapi.Write{{Key: windowAt.Key, Value: platformapi.EncodeValue(windowRow{Phase: phaseReported})}},
 	})
 }
 
@@ -305,7 +305,7 @@
 		return err
 	}
 	start := int64(r.Window) * int64(c.config.Length/time.Second)
-	err := c.billing.Report(fence.Context(ctx, guard), platform.UsageReport{
+	err := c.billing.Report(fence.WithGuard(ctx, guard), platformapi.UsageReport{
 		Window:             start,
 		Account:            string(r.Account),
 		Requests:           r.Figures.Requests,
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/faultinject"
 )
 
 // The figures of the matrix: two VMs serve during servedWindows, and everything
@@ -33,21 +33,21 @@
 
 // scene is one run of the matrix.
 type scene struct {
-	world   *platformtest.World
+	world   *faultinject.Cluster
 	billing *matrixBilling
 	meters  []*Meter
-	vms     []*platformtest.Process
+	vms     []*faultinject.Process
 	used    []Figures
 }
 
 // matrixBilling accepts reports and notes contradictions.
 type matrixBilling struct {
 	mu       sync.Mutex
-	accepted map[string]platform.UsageReport
+	accepted map[string]platformapi.UsageReport
 	changed  []string
 }
 
-func (b *matrixBilling) accept(r platform.UsageReport) {
+func (b *matrixBilling) accept(r platformapi.UsageReport) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.Epoch = 0
@@ -61,11 +61,11 @@
 
 // port is billing as one process reaches it.
 type port struct {
-	process *platformtest.Process
+	process *faultinject.Process
 	billing *matrixBilling
 }
 
-func (p port) Report(ctx context.Context, r platform.UsageReport) error {
+func (p port) Report(ctx context.Context, r platformapi.UsageReport) error {
 	return p.process.Call(ctx, "report", r.Account, true, func() error {
 		p.billing.accept(r)
 		return nil
@@ -74,10 +74,10 @@
 
 // play runs the scene with a script of faults to its end. It must be called in
 // a bubble.
-func play(t *testing.T, script platformtest.Script) *scene {
+func play(t *testing.T, script faultinject.Script) *scene {
 	s := &scene{
-		world:   platformtest.NewWorld(script),
-		billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)},
+		world:   faultinject.NewCluster(script),
+		billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)},
 		used:    make([]Figures, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -114,7 +114,7 @@
 	flushing.Go(func() { meter.Run(ctx, func() time.Duration { return flushPeriod }) })
 	for range 3 * servedWindows {
 		time.Sleep(windowLength / 3)
-		if process.Dead() {
+		if process.Killed() {
 			break
 		}
 		f := Figures{Requests: 1, Tokens: int64(10 * (i + 1))}
@@ -134,7 +134,7 @@
 func (s *scene) listed(vm string) bool {
 	for _, p := range s.vms {
 		if p.Name == vm {
-			return !p.Dead()
+			return !p.Killed()
 		}
 	}
 	return false
@@ -154,7 +154,7 @@
 	incomplete, killed := false, false
 	for i, p := range s.vms {
 		used = used.Add(s.used[i])
-		killed = killed || p.Dead()
+		killed = killed || p.Killed()
 	}
 	for _, r := range s.billing.accepted {
 		if contract.Account(r.Account) == berry {
@@ -177,10 +177,10 @@
 	}
 }
 
-func faultOf(kind platformtest.Kind) platformtest.Fault {
-	f := platformtest.Fault{Kind: kind, For: faultLength}
-	if kind == platformtest.Late {
-		f.For = lateBy
+func faultOf(kind faultinject.Kind) faultinject.Fault {
+	f := faultinject.Fault{Kind: kind, Duration: faultLength}
+	if kind == faultinject.DelayEffect {
+		f.Duration = lateBy
 	}
 	return f
 }
@@ -189,17 +189,17 @@
 type hit struct {
 	process string
 	index   int
-	kind    platformtest.Kind
+	kind    faultinject.Kind
 }
 
-func script(hits ...hit) platformtest.Script {
-	return func(step platformtest.Step) platformtest.Fault {
+func script(hits ...hit) faultinject.Script {
+	return func(step faultinject.Step) faultinject.Fault {
 		for _, h := range hits {
 			if step.Process == h.process && step.Index == h.index {
 				return faultOf(h.kind)
 			}
 		}
-		return platformtest.Fault{}
+		return faultinject.Fault{}
 	}
 }
 
@@ -208,9 +208,9 @@
 // that counts a request twice, lacks one without saying so, or comes with two
 // different figures.
 func TestMatrixUsage(t *testing.T) {
-	var steps []platformtest.Step
+	var steps []faultinject.Step
 	synctest.Test(t, func(t *testing.T) {
-		s := play(t, platformtest.NoFaults)
+		s := play(t, faultinject.NoFaults)
 		if err := s.check(); err != nil {
 			t.Fatalf("without faults: %v", err)
 		}
@@ -218,7 +218,7 @@
 	})
 	var cases [][]hit
 	for _, step := range steps {
-		for _, kind := range platformtest.Kinds {
+		for _, kind := range faultinject.Kinds {
 			cases = append(cases, []hit{{step.Process, step.Index, kind}})
 		}
 	}
@@ -239,7 +239,7 @@
 		}
 	})
 	t.Logf("matrix: usage: %d steps x %d faults, %d cases run (%d of them pairs), %d cases failed",
-		len(steps), len(platformtest.Kinds), len(cases), pairCases, failed.Load())
+		len(steps), len(faultinject.Kinds), len(cases), pairCases, failed.Load())
 }
 
 // runCase plays one case and returns how many failed.
@@ -258,12 +258,12 @@
 // which of the two comes first.
 func TestReportAtTheInstantOfTheVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{billing: &matrixBilling{accepted: make(map[string]platform.UsageReport)}}
+		s := &scene{billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)}}
 		const delay = time.Second
 		for window := range int64(4) {
 			go func() {
 				time.Sleep(delay)
-				s.billing.accept(platform.UsageReport{Window: window, Account: string(berry)})
+				s.billing.accept(platformapi.UsageReport{Window: window, Account: string(berry)})
 			}()
 		}
 		time.Sleep(delay)
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -9,7 +9,7 @@
 
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Meter counts what this VM incarnation served and flushes the totals. Usage
@@ -17,7 +17,7 @@
 // seals the last in one transaction. While the store is down the last window
 // stays open, so that nothing is counted where nobody would look for it.
 type Meter struct {
-	tables      platform.Tables
+	tables      platformapi.Tables
 	events      *event.Recorder
 	vm          string
 	incarnation string
@@ -47,7 +47,7 @@
 
 // MeterConfig holds what a Meter is built from.
 type MeterConfig struct {
-	Tables platform.Tables
+	Tables platformapi.Tables
 	Events *event.Recorder
 	VM     string
 	// Incarnation is unique for each process.
@@ -173,13 +173,13 @@
 	m.opening, m.pending = window, true
 	figures, corrections, _ := m.take()
 	key := rowKey(window, m.vm, m.incarnation)
-	err = platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	err = platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: key},
 			{Key: cursorKey, Version: at.Version},
 		},
-		Writes: []platform.Write{{Key: key, Value: platform.EncodeValue(m.row(figures, corrections, false))}},
+		Writes: []platformapi.Write{{Key: key, Value: platformapi.EncodeValue(m.row(figures, corrections, false))}},
 	})
 	if err != nil {
 		m.markChanged()
@@ -219,10 +219,10 @@
 		return nil
 	}
 	key := rowKey(m.window, m.vm, m.incarnation)
-	err := platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce:         platform.NewNonce(),
-		Preconditions: []platform.Precondition{{Key: key, Version: m.version}},
-		Writes:        []platform.Write{{Key: key, Value: platform.EncodeValue(m.row(figures, corrections, sealed))}},
+	err := platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce:         platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{{Key: key, Version: m.version}},
+		Writes:        []platformapi.Write{{Key: key, Value: platformapi.EncodeValue(m.row(figures, corrections, sealed))}},
 	})
 	if err != nil {
 		m.markChanged()
@@ -249,16 +249,16 @@
 	sealed.Next = next
 	oldKey := rowKey(m.window, m.vm, m.incarnation)
 	newKey := rowKey(next, m.vm, m.incarnation)
-	err = platform.CommitSurely(ctx, m.tables, platform.Txn{
-		Nonce: platform.NewNonce(),
-		Preconditions: []platform.Precondition{
+	err = platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
+		Nonce: platformapi.NewNonce(),
+		Preconditions: []platformapi.Precondition{
 			{Key: oldKey, Version: m.version},
 			{Key: newKey},
 			{Key: cursorKey, Version: at.Version},
 		},
-		Writes: []platform.Write{
-			{Key: oldKey, Value: platform.EncodeValue(sealed)},
-			{Key: newKey, Value: platform.EncodeValue(m.row(Totals{}, Totals{}, false))},
+		Writes: []platformapi.Write{
+			{Key: oldKey, Value: platformapi.EncodeValue(sealed)},
+			{Key: newKey, Value: platformapi.EncodeValue(m.row(Totals{}, Totals{}, false))},
 		},
 	})
 	if err != nil {
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"dogwoodpond/internal/contract"
-	"dogwoodpond/internal/platform"
+	"dogwoodpond/internal/platformapi"
 )
 
 // Prefixes of the rows in the table service. ReportPrefix is exported for the
@@ -68,7 +68,7 @@
 }
 
 // readCursor returns the cursor and its row; before the first window it is zero.
-func readCursor(ctx context.Context, tables platform.Tables) (cursorRow, platform.Row, error) {
+func readCursor(ctx context.Context, tables platformapi.Tables) (cursorRow, platformapi.Row, error) {
 	row, err := tables.Get(ctx, cursorKey)
 	if err != nil {
 		return cursorRow{}, row, err
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -13,8 +13,8 @@
 	"dogwoodpond/internal/contract"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/platform"
-	"dogwoodpond/internal/platform/memory"
+	"dogwoodpond/internal/platformapi"
+	"dogwoodpond/internal/platformapi/memtables"
 )
 
 const (
@@ -26,10 +26,10 @@
 // unreliable loses a share of the replies before or after the effect, and lets
 // a share of the commits take effect only later.
 type unreliable struct {
-	platform.Tables
+	platformapi.Tables
 	random  *rand.Rand
 	percent int
-	late    []platform.Txn
+	late    []platformapi.Txn
 	// meanwhile, if set, runs another actor now and then in the middle of a
 	// caller's sequence of calls.
 	meanwhile func()
@@ -48,16 +48,16 @@
 
 func (u *unreliable) hit() bool { return u.random.IntN(100) < u.percent }
 
-func (u *unreliable) Get(ctx context.Context, key string) (platform.Row, error) {
+func (u *unreliable) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	u.interleave()
 	u.land(ctx)
 	if u.hit() {
-		return platform.Row{}, errors.WithStack(&fault.StoreUnavailable{Operation: "get"})
+		return platformapi.Row{}, errors.WithStack(&fault.StoreUnavailable{Operation: "get"})
 	}
 	return u.Tables.Get(ctx, key)
 }
 
-func (u *unreliable) Commit(ctx context.Context, txn platform.Txn) error {
+func (u *unreliable) Commit(ctx context.Context, txn platformapi.Txn) error {
 	u.interleave()
 	u.land(ctx)
 	if !u.hit() {
@@ -85,11 +85,11 @@
 // billing counts what was accepted and refuses other figures for a window.
 type billing struct {
 	t        *testing.T
-	accepted map[string]platform.UsageReport
+	accepted map[string]platformapi.UsageReport
 	lose     func() bool
 }
 
-func (b *billing) Report(_ context.Context, r platform.UsageReport) error {
+func (b *billing) Report(_ context.Context, r platformapi.UsageReport) error {
 	key := time.Unix(r.Window, 0).UTC().String() + r.Account
 	r.Epoch = 0
 	if first, ok := b.accepted[key]; ok && first != r {
@@ -125,7 +125,7 @@
 	return event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
 }
 
-func newMeter(tables platform.Tables, vm string) *Meter {
+func newMeter(tables platformapi.Tables, vm string) *Meter {
 	return NewMeter(MeterConfig{
 		Tables:      tables,
 		Events:      newEvents(),
@@ -136,7 +136,7 @@
 	})
 }
 
-func newCloser(tables platform.Tables, b platform.Billing, listed func(string) bool) *Closer {
+func newCloser(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Closer {
 	started := time.Now()
 	return NewCloser(tables, b, newEvents(), CloserConfig{
 		Length:    windowLength,
@@ -151,7 +151,7 @@
 }
 
 func newBilling(t *testing.T) *billing {
-	return &billing{t: t, accepted: make(map[string]platform.UsageReport), lose: func() bool { return false }}
+	return &billing{t: t, accepted: make(map[string]platformapi.UsageReport), lose: func() bool { return false }}
 }
 
 // drive runs the closer until it has nothing more to do at the present time.
@@ -181,7 +181,7 @@
 
 func TestWindowOfTwoVMsIsReportedOnceAndWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		one, two := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, one, two)
 		one.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -204,7 +204,7 @@
 // customer's bill must not pass as whole.
 func TestReportOfKilledVMSaysIncomplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		killed, other := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, killed, other)
 		killed.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -232,7 +232,7 @@
 // would be a second, different bill; the rest must come as a correction.
 func TestCutOffVMCorrectsTheNextWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		cut := newMeter(tables, "vm-1")
 		flush(t, cut)
 		cut.Add(berry, Figures{Requests: 1, Tokens: 10})
@@ -265,7 +265,7 @@
 // VM would not know; the customer would never be billed for it.
 func TestSealBetweenScanAndInsertIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		paused := newMeter(tables, "vm-1")
 		flush(t, paused)
 		time.Sleep(windowLength)
@@ -289,7 +289,7 @@
 // the same usage would stand in both windows once the slow commit takes effect.
 func TestUnansweredOpenIsNotCountedTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := &holding{Tables: memory.NewTables(), hold: true}, newBilling(t)
+		tables, b := &holding{Tables: memtables.NewTables(), hold: true}, newBilling(t)
 		one := newMeter(tables, "vm-1")
 		one.Add(berry, Figures{Requests: 1, Tokens: 10})
 		if err := one.Flush(t.Context()); err == nil {
@@ -316,12 +316,12 @@
 
 // holding takes commits without an answer until they land.
 type holding struct {
-	platform.Tables
+	platformapi.Tables
 	hold bool
-	held []platform.Txn
+	held []platformapi.Txn
 }
 
-func (h *holding) Commit(ctx context.Context, txn platform.Txn) error {
+func (h *holding) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if !h.hold {
 		return h.Tables.Commit(ctx, txn)
 	}
@@ -339,11 +339,11 @@
 
 // hooked runs a function once before the next commit.
 type hooked struct {
-	platform.Tables
+	platformapi.Tables
 	beforeCommit func()
 }
 
-func (h *hooked) Commit(ctx context.Context, txn platform.Txn) error {
+func (h *hooked) Commit(ctx context.Context, txn platformapi.Txn) error {
 	if hook := h.beforeCommit; hook != nil {
 		h.beforeCommit = nil
 		hook()
@@ -355,7 +355,7 @@
 // would never be billed, so the window must be refused and a later one taken.
 func TestReportedWindowCanNotBeOpened(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tables, b := memory.NewTables(), newBilling(t)
+		tables, b := memtables.NewTables(), newBilling(t)
 		one := newMeter(tables, "vm-1")
 		flush(t, one)
 		time.Sleep(windowLength)
@@ -393,7 +393,7 @@
 
 func billOverUnreliableStore(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	tables := &unreliable{Tables: memory.NewTables(), random: random, percent: 20}
+	tables := &unreliable{Tables: memtables.NewTables(), random: random, percent: 20}
 	b := newBilling(t)
 	b.lose = func() bool { return random.IntN(5) == 0 }
 	listed := func(string) bool { return random.IntN(2) == 0 }
--- a/internal/window/clock.go
+++ b/internal/usagewindow/clock.go
@@ -1,10 +1,10 @@
-// Package window counts the requests of client accounts in usage windows and reports
+// Package usagewindow counts the requests of client accounts in usage windows and reports
 // each window to billing. Windows are intervals of fleet time, which is the same on
 // all VMs (see Clock). Every VM writes its own totals of a window to a row of its own.
 // The holder of a lease adds the totals up, stores the sum in another row, which never
 // changes, and only then reports it. A repeated report therefore has the same counts,
 // also when another VM sends it.
-package window
+package usagewindow
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 )
 
 // The tables and row names of usage. totalsTable has one partition per window with
@@ -28,13 +28,13 @@
 	clockName   = "offset"
 )
 
-// Clock returns fleet time: the store's monotonic clock plus an offset that is the
+// FleetClock returns fleet time: the store's monotonic clock plus an offset that is the
 // same on all VMs. The first VM that starts sets the offset by its time of day, once for
 // the fleet. A VM's own clocks are not used because its time of day may jump by seconds,
 // and its monotonic clock loses time while the VM is frozen; requests would then be
 // counted in the wrong windows.
-type Clock struct {
-	store  kept.Clock
+type FleetClock struct {
+	store  rowstore.Clock
 	offset atomic.Int64
 	since  atomic.Int64
 	agreed atomic.Bool
@@ -49,11 +49,11 @@
 }
 
 // NewClock returns a clock that uses this VM's time of day until Agree succeeds.
-func NewClock(store kept.Clock) *Clock { return &Clock{store: store} }
+func NewClock(store rowstore.Clock) *FleetClock { return &FleetClock{store: store} }
 
-// Agree reads the fleet's offset from the store, or sets it if there is none yet.
-func (c *Clock) Agree(ctx context.Context, store kept.Store) error {
-	key := kept.Key{Table: clockTable, Name: clockName}
+// SyncOffset reads the fleet's offset from the store, or sets it if there is none yet.
+func (c *FleetClock) SyncOffset(ctx context.Context, store rowstore.Store) error {
+	key := rowstore.Key{Table: clockTable, Name: clockName}
 	page, err := store.Read(ctx, clockTable, "", clockName, "")
 	if err != nil {
 		return err
@@ -68,11 +68,11 @@
 	if err != nil {
 		return err
 	}
-	_, err = kept.CommitSurely(ctx, store, kept.Txn{
-		Expected: []kept.Expectation{{Key: key}},
-		Puts:     []kept.Put{{Key: key, Value: value}},
+	_, err = rowstore.CommitConfirmed(ctx, store, rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: key}},
+		Puts:     []rowstore.Put{{Key: key, Value: value}},
 	})
-	var conflict *kept.Conflict
+	var conflict *rowstore.Conflict
 	if errors.As(err, &conflict) {
 		return c.applyRow(conflict.Row(key))
 	}
@@ -82,7 +82,7 @@
 	return err
 }
 
-func (c *Clock) applyRow(row kept.Row) error {
+func (c *FleetClock) applyRow(row rowstore.Row) error {
 	var value clockRow
 	// Earlier releases stored the offset alone, as a number.
 	if json.Unmarshal(row.Value, &value.Offset) != nil {
@@ -94,22 +94,22 @@
 	return nil
 }
 
-func (c *Clock) set(value clockRow) {
+func (c *FleetClock) set(value clockRow) {
 	c.offset.Store(value.Offset)
 	c.since.Store(value.Since)
 	c.agreed.Store(true)
 }
 
-// Since returns the fleet time at which the offset was set, in Unix milliseconds. It
+// OffsetSetAt returns the fleet time at which the offset was set, in Unix milliseconds. It
 // returns 0 until Agree succeeds, and if an earlier release stored the offset.
-func (c *Clock) Since() int64 { return c.since.Load() }
+func (c *FleetClock) OffsetSetAt() int64 { return c.since.Load() }
 
-// Agreed reports whether the fleet's offset is known.
-func (c *Clock) Agreed() bool { return c.agreed.Load() }
+// HasOffset reports whether the fleet's offset is known.
+func (c *FleetClock) HasOffset() bool { return c.agreed.Load() }
 
-// Millis converts at, a reading of this VM's clock, to fleet time in Unix
+// FleetMillis converts at, a reading of this VM's clock, to fleet time in Unix
 // milliseconds. Until Agree succeeds, it returns the VM's time of day.
-func (c *Clock) Millis(at time.Time) int64 {
+func (c *FleetClock) FleetMillis(at time.Time) int64 {
 	if now, ok := c.store.StoreNow(); ok && c.agreed.Load() {
 		return now + c.offset.Load() - time.Since(at).Milliseconds()
 	}
--- a/internal/window/closer.go
+++ b/internal/usagewindow/closer.go
@@ -1,4 +1,4 @@
-package window
+package usagewindow
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/kept"
 	"dogwoodpond/internal/lease"
+	"dogwoodpond/internal/rowstore"
 )
 
 const (
@@ -56,32 +56,32 @@
 	ReportUsage(ctx context.Context, report Report) error
 }
 
-// Closer closes windows and reports them to billing while its VM holds the lease.
-type Closer struct {
-	VM      string
-	Length  time.Duration // of a window
-	Clock   *Clock
-	Store   kept.Store
-	Billing Billing
-	Leases  *lease.Manager
-	Calls   *budget.Budget // determines the flush interval of the meters
-	Events  *event.Recorder
+// Reporter closes windows and reports them to billing while its VM holds the lease.
+type Reporter struct {
+	VM           string
+	WindowLength time.Duration // of a window
+	Clock        *FleetClock
+	Store        rowstore.Store
+	Billing      Billing
+	Leases       *lease.Manager
+	CallBudget   *budget.Budget // determines the flush interval of the meters
+	Events       *event.Recorder
 	// Accounts returns the client accounts of the configuration in force.
 	Accounts func() []string
-	// AllHeard reports whether no VM has to be awaited: each one has written its status
+	// NoneAwaited reports whether no VM has to be awaited: each one has written its status
 	// row recently or is known to be dead.
-	AllHeard func() bool
+	NoneAwaited func() bool
 }
 
 // Run campaigns for the lease until ctx ends.
-func (c *Closer) Run(ctx context.Context) {
+func (c *Reporter) Run(ctx context.Context) {
 	c.Leases.Serve(ctx, leaseName, c.reportWindows)
 }
 
 // reportWindows closes and reports windows in order until ctx ends. A report that fails
 // is repeated at the next check, unless billing refused it permanently.
-func (c *Closer) reportWindows(ctx context.Context, guard lease.Guard) error {
-	if err := lease.Settle(ctx, guard, reportTimeout); err != nil {
+func (c *Reporter) reportWindows(ctx context.Context, guard lease.Guard) error {
+	if err := lease.WaitOrderGracePeriod(ctx, guard, reportTimeout); err != nil {
 		return err
 	}
 	next, err := c.firstWindow(ctx)
@@ -113,7 +113,7 @@
 
 // refused reports whether billing refused a window permanently, and emits an event if
 // it did. Later windows must not wait for such a window.
-func (c *Closer) refused(err error, window int64) bool {
+func (c *Reporter) refused(err error, window int64) bool {
 	var refused *fault.PlatformRefused
 	if !errors.As(err, &refused) {
 		return false
@@ -124,7 +124,7 @@
 
 // firstWindow returns the first window to report: the one after the newest reported
 // window or, if none was reported, the oldest window.
-func (c *Closer) firstWindow(ctx context.Context) (int64, error) {
+func (c *Reporter) firstWindow(ctx context.Context) (int64, error) {
 	page, err := c.Store.Read(ctx, reportTable, "", lastReportedName, lastReportedName+"\x00")
 	if err != nil {
 		return 0, err
@@ -145,12 +145,12 @@
 // died before it reported. If it began with the current window, earlier requests would
 // never be billed. Stored totals alone don't show the oldest window, since VMs may not
 // have written theirs yet.
-func (c *Closer) oldestWindow(ctx context.Context) (int64, error) {
-	since := c.Clock.Since()
+func (c *Reporter) oldestWindow(ctx context.Context) (int64, error) {
+	since := c.Clock.OffsetSetAt()
 	if since == 0 {
-		since = c.Clock.Millis(time.Now()) - c.Length.Milliseconds()
+		since = c.Clock.FleetMillis(time.Now()) - c.WindowLength.Milliseconds()
 	}
-	oldest := since / c.Length.Milliseconds()
+	oldest := since / c.WindowLength.Milliseconds()
 	for after := ""; ; {
 		parts, more, err := c.Store.Parts(ctx, totalsTable, after)
 		if err != nil {
@@ -169,17 +169,17 @@
 }
 
 // isDue reports whether a window may be closed.
-func (c *Closer) isDue(window int64) bool {
-	if !c.Clock.Agreed() {
+func (c *Reporter) isDue(window int64) bool {
+	if !c.Clock.HasOffset() {
 		return false
 	}
-	sinceEnd := time.Duration(c.Clock.Millis(time.Now())-(window+1)*c.Length.Milliseconds()) * time.Millisecond
-	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(c.Calls)+closeDelay && c.AllHeard()
+	sinceEnd := time.Duration(c.Clock.FleetMillis(time.Now())-(window+1)*c.WindowLength.Milliseconds()) * time.Millisecond
+	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(c.CallBudget)+closeDelay && c.NoneAwaited()
 }
 
 // close stores the counts of a window, reports them, and records that the window is
 // reported.
-func (c *Closer) close(ctx context.Context, guard lease.Guard, window int64) error {
+func (c *Reporter) close(ctx context.Context, guard lease.Guard, window int64) error {
 	counts, err := c.finalCounts(ctx, window)
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 	if err := guard.Check(); err != nil {
 		return err
 	}
-	callCtx, cancel := context.WithTimeout(fence.Context(ctx, guard), reportTimeout)
+	callCtx, cancel := context.WithTimeout(fence.WithGuard(ctx, guard), reportTimeout)
 	defer cancel()
 	report := Report{Window: window, Counts: counts, Holder: c.VM, Epoch: guard.Epoch()}
 	if err := c.Billing.ReportUsage(callCtx, report); err != nil {
@@ -197,17 +197,17 @@
 	return c.storeLastReported(ctx, window)
 }
 
-func (c *Closer) storeLastReported(ctx context.Context, window int64) error {
-	key := kept.Key{Table: reportTable, Name: lastReportedName}
-	_, err := c.Store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: []byte(strconv.FormatInt(window, 10))}}})
+func (c *Reporter) storeLastReported(ctx context.Context, window int64) error {
+	key := rowstore.Key{Table: reportTable, Name: lastReportedName}
+	_, err := c.Store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: []byte(strconv.FormatInt(window, 10))}}})
 	return err
 }
 
 // finalCounts adds up the totals of a window, stores the sum and returns it. If a sum is
 // already stored, it returns that one instead, since stored sums never change.
-func (c *Closer) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
+func (c *Reporter) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
 	name := windowName(window)
-	rows, err := kept.ReadAll(ctx, c.Store, totalsTable, name)
+	rows, err := rowstore.ReadAll(ctx, c.Store, totalsTable, name)
 	if err != nil {
 		return nil, err
 	}
@@ -230,19 +230,19 @@
 
 // storeCounts stores the counts of a window unless counts are already stored, and returns
 // the stored ones. name is the window's name as returned by windowName.
-func (c *Closer) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
+func (c *Reporter) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
 	value, err := json.Marshal(counts)
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "usage of window " + name})
 	}
-	key := kept.Key{Table: reportTable, Name: "w" + name}
+	key := rowstore.Key{Table: reportTable, Name: "w" + name}
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err = kept.CommitSurely(callCtx, c.Store, kept.Txn{
-		Expected: []kept.Expectation{{Key: key}},
-		Puts:     []kept.Put{{Key: key, Value: value}},
+	_, err = rowstore.CommitConfirmed(callCtx, c.Store, rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: key}},
+		Puts:     []rowstore.Put{{Key: key, Value: value}},
 	})
-	var conflict *kept.Conflict
+	var conflict *rowstore.Conflict
 	if !errors.As(err, &conflict) {
 		return counts, err
 	}
--- a/internal/window/matrix_test.go
+++ b/internal/usagewindow/matrix_test.go
@@ -1,4 +1,4 @@
-package window
+package usagewindow
 
 import (
 	"context"
@@ -12,11 +12,11 @@
 
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/lease"
 	"dogwoodpond/internal/member"
-	"dogwoodpond/internal/platform/platformtest"
+	"dogwoodpond/internal/platformapi/faultinject"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 const (
@@ -45,7 +45,7 @@
 
 // billingClient sends the reports of one process to billing, through the fault injector.
 type billingClient struct {
-	process     *platformtest.Process
+	process     *faultinject.Process
 	fakeBilling *fakeBilling
 }
 
@@ -55,21 +55,21 @@
 
 // runVM runs one incarnation of a VM. It counts requests until the given time, and reports
 // until the process ends.
-func (s *scenario) runVM(p *platformtest.Process, name string, until time.Time) {
-	store := p.Kept(s.rows)
+func (s *scenario) runVM(p *faultinject.Process, name string, until time.Time) {
+	store := p.OpenStore(s.rows)
 	events := event.NewRecorder(name, 16, event.NewClock(time.Now), zap.NewNop())
 	clock := NewClock(store)
-	for p.Context.Err() == nil && clock.Agree(p.Context, store) != nil {
+	for p.Context.Err() == nil && clock.SyncOffset(p.Context, store) != nil {
 		time.Sleep(countInterval)
 	}
-	members := member.New(member.VM{ID: name, FailureDomain: "x", Life: name}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
+	members := member.New(member.VM{ID: name, FailureDomain: "x", Incarnation: name}, []string{"x"}, store, func() bool { return false }, budget.New(budget.Rates{}), events)
 	meter := NewMeter(clock, store, name, windowLength, budget.New(budget.Rates{}), events)
-	closer := &Closer{
-		Calls: budget.New(budget.Rates{}),
-		VM:    name, Length: windowLength, Clock: clock, Store: store, Billing: billingClient{p, s.fakeBilling}, Events: events,
-		Leases:   lease.NewManager(kept.NewTables(store, "lease"), name, 3*time.Second, events),
-		Accounts: func() []string { return []string{"acc"} },
-		AllHeard: members.AllHeard,
+	closer := &Reporter{
+		CallBudget: budget.New(budget.Rates{}),
+		VM:         name, WindowLength: windowLength, Clock: clock, Store: store, Billing: billingClient{p, s.fakeBilling}, Events: events,
+		Leases:      lease.NewManager(rowstore.NewTables(store, "lease"), name, 3*time.Second, events),
+		Accounts:    func() []string { return []string{"acc"} },
+		NoneAwaited: members.NoneAwaited,
 	}
 	var loops sync.WaitGroup
 	loops.Go(func() { members.Run(p.Context) })
@@ -77,14 +77,14 @@
 	loops.Go(func() { closer.Run(p.Context) })
 	for time.Now().Before(until) && p.Context.Err() == nil {
 		at := time.Now()
-		meter.Began("acc", at)
+		meter.CountRun("acc", at)
 		s.mu.Lock()
-		s.counted[clock.Millis(at)/windowLength.Milliseconds()]++
+		s.counted[clock.FleetMillis(at)/windowLength.Milliseconds()]++
 		s.mu.Unlock()
 		time.Sleep(countInterval)
 	}
 	loops.Wait()
-	if p.Dead() {
+	if p.Killed() {
 		s.mu.Lock()
 		s.killed = true
 		s.mu.Unlock()
@@ -125,18 +125,18 @@
 
 // hasTotals reports whether a VM wrote totals of a window.
 func (s *scenario) hasTotals(window int64) bool {
-	rows, err := kept.ReadAll(context.Background(), s.rows, totalsTable, windowName(window))
+	rows, err := rowstore.ReadAll(context.Background(), s.rows, totalsTable, windowName(window))
 	return err != nil || len(rows) > 0
 }
 
-func runScenario(w *platformtest.World) error {
+func runScenario(w *faultinject.Cluster) error {
 	s := &scenario{fakeBilling: &fakeBilling{}, rows: memory.New(), counted: make(map[int64]int64)}
 	ctx, stop := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	until := time.Now().Add(countDuration)
 	for _, name := range []string{"vm-1", "vm-2"} {
 		incarnation := 0
-		w.Supervise(ctx, &group, name, func(p *platformtest.Process) {
+		w.Supervise(ctx, &group, name, func(p *faultinject.Process) {
 			incarnation++
 			s.runVM(p, name+"/"+string(rune('0'+incarnation)), until)
 		})
@@ -146,21 +146,21 @@
 	group.Wait()
 	// Late effects must end before the synctest bubble does.
 	time.Sleep(2 * faultDuration)
-	return s.check(w.Struck())
+	return s.check(w.FaultCount())
 }
 
 // Guards against two different reports of one window, requests that are billed twice, and
 // requests that are missing although no VM was killed. Two VMs count requests and report
 // them, while each kind of fault is injected at each call, alone and in pairs.
 func TestMatrixWindows(t *testing.T) {
-	platformtest.RunMatrix(t, platformtest.Protocol{
+	faultinject.RunMatrix(t, faultinject.Protocol{
 		Name: "windows of usage",
-		Lasts: map[platformtest.Kind]time.Duration{
-			platformtest.Late:        effectDelay,
-			platformtest.PauseBefore: faultDuration, platformtest.PauseAfter: faultDuration,
-			platformtest.StoreDown: faultDuration, platformtest.CutOff: faultDuration,
+		Durations: map[faultinject.Kind]time.Duration{
+			faultinject.DelayEffect: effectDelay,
+			faultinject.PauseBefore: faultDuration, faultinject.PauseAfter: faultDuration,
+			faultinject.StoreDown: faultDuration, faultinject.CutOff: faultDuration,
 		},
-		Run:   runScenario,
-		Pairs: 800,
+		Run:      runScenario,
+		MaxPairs: 800,
 	})
 }
--- a/internal/window/meter.go
+++ b/internal/usagewindow/meter.go
@@ -1,4 +1,4 @@
-package window
+package usagewindow
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/wait"
 )
 
@@ -30,8 +30,8 @@
 // Meter counts the requests that upstreams began to execute for this VM, by window and
 // client account, and writes the totals to the store. It is safe for concurrent use.
 type Meter struct {
-	clock      *Clock
-	store      kept.Store
+	clock      *FleetClock
+	store      rowstore.Store
 	rowName    string
 	length     time.Duration
 	callBudget *budget.Budget
@@ -52,23 +52,23 @@
 
 // NewMeter returns a meter that writes to the row rowName. The name must be unique for
 // each process, so that no process overwrites another one's totals.
-func NewMeter(clock *Clock, store kept.Store, rowName string, length time.Duration, callBudget *budget.Budget, events *event.Recorder) *Meter {
+func NewMeter(clock *FleetClock, store rowstore.Store, rowName string, length time.Duration, callBudget *budget.Budget, events *event.Recorder) *Meter {
 	return &Meter{clock: clock, store: store, rowName: rowName, length: length, callBudget: callBudget, events: events, windows: make(map[int64]*totals)}
 }
 
-// Began counts a request of the account that an upstream began to execute at the given
+// CountRun counts a request of the account that an upstream began to execute at the given
 // time. Requests without an account are not counted.
-func (m *Meter) Began(account string, at time.Time) { m.add(account, at, 1) }
+func (m *Meter) CountRun(account string, at time.Time) { m.add(account, at, 1) }
 
-// Refused subtracts a request that was counted when it was sent but that the upstream
+// UncountRun subtracts a request that was counted when it was sent but that the upstream
 // did not execute. at is the time that was given to Began.
-func (m *Meter) Refused(account string, at time.Time) { m.add(account, at, -1) }
+func (m *Meter) UncountRun(account string, at time.Time) { m.add(account, at, -1) }
 
 func (m *Meter) add(account string, at time.Time, n int64) {
 	if account == "" {
 		return
 	}
-	window := m.clock.Millis(at) / m.length.Milliseconds()
+	window := m.clock.FleetMillis(at) / m.length.Milliseconds()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.windows[window]
@@ -92,7 +92,7 @@
 // flushInterval returns the interval at which each VM writes changed totals. It grows
 // with the size of the fleet.
 func flushInterval(callBudget *budget.Budget) time.Duration {
-	return callBudget.Period(budget.Totals, minFlushInterval)
+	return callBudget.Interval(budget.UsageTotals, minFlushInterval)
 }
 
 // flush writes the totals that have changed. Totals are absolute numbers, so a write with
@@ -102,7 +102,7 @@
 func (m *Meter) flush(ctx context.Context) {
 	for window, t := range m.takeChanged() {
 		version, err := m.writeTotals(ctx, window, t)
-		var conflict *kept.Conflict
+		var conflict *rowstore.Conflict
 		if errors.As(err, &conflict) {
 			// Only this process writes the row, so an earlier write with an unknown
 			// outcome took effect. The next flush writes the totals.
@@ -114,8 +114,8 @@
 	}
 }
 
-func (m *Meter) rowKey(window int64) kept.Key {
-	return kept.Key{Table: totalsTable, Part: windowName(window), Name: m.rowName}
+func (m *Meter) rowKey(window int64) rowstore.Key {
+	return rowstore.Key{Table: totalsTable, Part: windowName(window), Name: m.rowName}
 }
 
 func (m *Meter) writeTotals(ctx context.Context, window int64, t totals) (int64, error) {
@@ -125,9 +125,9 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	version, err := m.store.Commit(callCtx, kept.Txn{
-		Expected: []kept.Expectation{{Key: m.rowKey(window), Version: t.version}},
-		Puts:     []kept.Put{{Key: m.rowKey(window), Value: value}},
+	version, err := m.store.Commit(callCtx, rowstore.Txn{
+		Expected: []rowstore.Expectation{{Key: m.rowKey(window), Version: t.version}},
+		Puts:     []rowstore.Put{{Key: m.rowKey(window), Value: value}},
 	})
 	if err != nil {
 		return t.version, err
--- a/internal/window/window_test.go
+++ b/internal/usagewindow/window_test.go
@@ -1,4 +1,4 @@
-package window
+package usagewindow
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/lease"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 )
 
 const windowLength = 5 * time.Second
@@ -58,23 +58,23 @@
 // vm is one VM, which runs a meter and a closer until kill is called.
 type vm struct {
 	meter *Meter
-	clock *Clock
+	clock *FleetClock
 	kill  context.CancelFunc
 }
 
 func startVM(t *testing.T, store *memory.Store, b *fakeBilling, name string) vm {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
 	clock := NewClock(store)
-	if err := clock.Agree(t.Context(), store); err != nil {
+	if err := clock.SyncOffset(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
 	meter := NewMeter(clock, store, name+"/1", windowLength, budget.New(budget.Rates{}), events)
-	closer := &Closer{
-		Calls: budget.New(budget.Rates{}),
-		VM:    name, Length: windowLength, Clock: clock, Store: store, Billing: b, Events: events,
-		Leases:   lease.NewManager(kept.NewTables(store, "lease"), name, 3*time.Second, events),
-		Accounts: func() []string { return []string{"acc", "idle"} },
-		AllHeard: func() bool { return true },
+	closer := &Reporter{
+		CallBudget: budget.New(budget.Rates{}),
+		VM:         name, WindowLength: windowLength, Clock: clock, Store: store, Billing: b, Events: events,
+		Leases:      lease.NewManager(rowstore.NewTables(store, "lease"), name, 3*time.Second, events),
+		Accounts:    func() []string { return []string{"acc", "idle"} },
+		NoneAwaited: func() bool { return true },
 	}
 	ctx, kill := context.WithCancel(t.Context())
 	go meter.Run(ctx)
@@ -85,7 +85,7 @@
 
 // waitForNextWindow waits until the next window begins and returns its number.
 func (v vm) waitForNextWindow() int64 {
-	now := v.clock.Millis(time.Now())
+	now := v.clock.FleetMillis(time.Now())
 	window := now/windowLength.Milliseconds() + 1
 	time.Sleep(time.Duration(window*windowLength.Milliseconds()-now)*time.Millisecond + time.Millisecond)
 	return window
@@ -97,9 +97,9 @@
 		a, c := startVM(t, store, b, "a"), startVM(t, store, b, "c")
 		window := a.waitForNextWindow()
 		for range 3 {
-			a.meter.Began("acc", time.Now())
+			a.meter.CountRun("acc", time.Now())
 		}
-		c.meter.Began("acc", time.Now())
+		c.meter.CountRun("acc", time.Now())
 		time.Sleep(windowLength + 6*time.Second)
 		reports := b.reportsOf(window)
 		if len(reports) != 1 || reports[0].Counts["acc"] != 4 || len(reports[0].Counts) != 2 {
@@ -119,13 +119,13 @@
 		b.mu.Lock()
 		b.lost[window] = true
 		b.mu.Unlock()
-		a.meter.Began("acc", time.Now())
+		a.meter.CountRun("acc", time.Now())
 		time.Sleep(windowLength + 4*time.Second)
 		if len(b.reportsOf(window)) == 0 {
 			t.Fatal("the window is not reported yet")
 		}
 		a.kill()
-		late := kept.Key{Table: totalsTable, Part: "", Name: "late"}
+		late := rowstore.Key{Table: totalsTable, Part: "", Name: "late"}
 		late.Part = windowName(window)
 		store.Set(late, `{"acc":5}`)
 		b.mu.Lock()
@@ -153,12 +153,12 @@
 		store, b := memory.New(), &fakeBilling{}
 		a := startVM(t, store, b, "a")
 		window := a.waitForNextWindow()
-		a.meter.Began("acc", time.Now())
+		a.meter.CountRun("acc", time.Now())
 		time.Sleep(minFlushInterval + 10*time.Millisecond)
-		store.SetFate(func(kept.Txn) memory.Fate { return memory.Refused })
+		store.SetFault(func(rowstore.Txn) memory.Fault { return memory.Refused })
 		a.kill()
 		time.Sleep(time.Second)
-		store.SetFate(nil)
+		store.SetFault(nil)
 		startVM(t, store, b, "c")
 		time.Sleep(windowLength + 9*time.Second)
 		if reports := b.reportsOf(window); len(reports) != 1 || reports[0].Counts["acc"] != 1 {
@@ -191,7 +191,7 @@
 		store, b := memory.New(), &fakeBilling{}
 		a := startVM(t, store, b, "a")
 		window := a.waitForNextWindow()
-		a.meter.Began("acc", time.Now())
+		a.meter.CountRun("acc", time.Now())
 		store.SetDown(true)
 		time.Sleep(windowLength + 5*time.Second)
 		store.SetDown(false)
@@ -209,16 +209,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
 		first := NewClock(store)
-		if err := first.Agree(t.Context(), store); err != nil {
+		if err := first.SyncOffset(t.Context(), store); err != nil {
 			t.Fatal(err)
 		}
-		want := first.Millis(time.Now())
-		store.Set(kept.Key{Table: clockTable, Name: clockName}, "3600000")
+		want := first.FleetMillis(time.Now())
+		store.Set(rowstore.Key{Table: clockTable, Name: clockName}, "3600000")
 		second := NewClock(store)
-		if err := second.Agree(t.Context(), store); err != nil {
+		if err := second.SyncOffset(t.Context(), store); err != nil {
 			t.Fatal(err)
 		}
-		if got := second.Millis(time.Now()); got == want || got < 3600000 {
+		if got := second.FleetMillis(time.Now()); got == want || got < 3600000 {
 			t.Errorf("the clock uses the VM's time of day: %d", got)
 		}
 	})
@@ -232,18 +232,18 @@
 		store, b := memory.New(), &fakeBilling{}
 		v := startVM(t, store, b, "a")
 		window := v.waitForNextWindow()
-		v.meter.Began("acc", time.Now())
-		store.SetFate(func(txn kept.Txn) memory.Fate {
+		v.meter.CountRun("acc", time.Now())
+		store.SetFault(func(txn rowstore.Txn) memory.Fault {
 			if txn.Puts[0].Key.Table == totalsTable {
-				return memory.EffectLate
+				return memory.EffectDelayed
 			}
-			return memory.Normal
+			return memory.NoFault
 		})
 		time.Sleep(minFlushInterval + 100*time.Millisecond)
-		store.SetFate(nil)
-		v.meter.Began("acc", time.Now())
+		store.SetFault(nil)
+		v.meter.CountRun("acc", time.Now())
 		time.Sleep(2 * minFlushInterval)
-		store.RunLate()
+		store.RunDelayed()
 		time.Sleep(2 * windowLength)
 		got := b.reportsOf(window)
 		if len(got) == 0 || got[0].Counts["acc"] != 2 {
@@ -255,10 +255,10 @@
 // agreeFleetClock sets the fleet's clock and returns the current window.
 func agreeFleetClock(t *testing.T, store *memory.Store) int64 {
 	clock := NewClock(store)
-	if err := clock.Agree(t.Context(), store); err != nil {
+	if err := clock.SyncOffset(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
-	return clock.Millis(time.Now()) / windowLength.Milliseconds()
+	return clock.FleetMillis(time.Now()) / windowLength.Milliseconds()
 }
 
 // Guards against windows that are never billed: because of two outages of the store, no
@@ -286,7 +286,7 @@
 		store, b := memory.New(), &fakeBilling{}
 		window := agreeFleetClock(t, store)
 		for n := range int64(4) {
-			store.Set(kept.Key{Table: totalsTable, Part: windowName(window + n), Name: "gone/1"}, `{"acc":3}`)
+			store.Set(rowstore.Key{Table: totalsTable, Part: windowName(window + n), Name: "gone/1"}, `{"acc":3}`)
 		}
 		time.Sleep(5 * windowLength)
 		startVM(t, store, b, "a")
--- a/internal/loading/loader.go
+++ b/internal/weightload/loader.go
@@ -1,4 +1,4 @@
-package loading
+package weightload
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
 	"dogwoodpond/internal/fence"
-	"dogwoodpond/internal/kept"
 	"dogwoodpond/internal/lease"
+	"dogwoodpond/internal/rowstore"
 	"dogwoodpond/internal/target"
 	"dogwoodpond/internal/wait"
 )
@@ -58,17 +58,17 @@
 const (
 	// Accepted means that the engine executes the order.
 	Accepted Reply = iota
-	// Holds means that the engine already has the version.
-	Holds
-	// Moved means that the engine's sequence number is not the expected one, since it
+	// AlreadyLoaded means that the engine already has the version.
+	AlreadyLoaded
+	// SequenceMismatch means that the engine's sequence number is not the expected one, since it
 	// accepted another order first. Its state must be read again.
-	Moved
+	SequenceMismatch
 	// Rejected means that the engine can't execute the order.
 	Rejected
 )
 
-// Command is one order as it is sent to an engine.
-type Command struct {
+// Order is one order as it is sent to an engine.
+type Order struct {
 	Model   string
 	Version int64
 	// KeepRunning lets running requests continue with the new weights. Without it
@@ -85,7 +85,7 @@
 // *fault.UpstreamFailed; an order that failed may still be executed later.
 type Engines interface {
 	Report(ctx context.Context, e *target.Entry) (Report, error)
-	Order(ctx context.Context, e *target.Entry, order Command) (Reply, error)
+	Order(ctx context.Context, e *target.Entry, order Order) (Reply, error)
 }
 
 // Demands reports the demand for the models, in a fixed order.
@@ -105,7 +105,7 @@
 	Roster  *target.Roster
 	Engines Engines
 	Demands Demands
-	Store   kept.Store
+	Store   rowstore.Store
 	Events  *event.Recorder
 	Leases  *lease.Manager
 
@@ -123,14 +123,14 @@
 func (l *Loader) Run(ctx context.Context) {
 	l.busy = make(map[*target.Entry]bool)
 	l.suspectUntil = make(map[*target.Entry]time.Time)
-	l.Leases.Serve(ctx, lease.InDomain(leaseDuty, l.Domain), l.serveTerm)
+	l.Leases.Serve(ctx, lease.NameInDomain(leaseDuty, l.Domain), l.serveTerm)
 }
 
 // serveTerm orders weight loads during one lease term, until ctx ends. It first waits
 // until no order of the previous holder can arrive any more, since these engines don't
 // compare epochs.
 func (l *Loader) serveTerm(ctx context.Context, guard lease.Guard) error {
-	if err := lease.Settle(ctx, guard, orderTimeout); err != nil {
+	if err := lease.WaitOrderGracePeriod(ctx, guard, orderTimeout); err != nil {
 		return err
 	}
 	ticker := time.NewTicker(planInterval)
@@ -223,7 +223,7 @@
 // order without a reply may be executed seconds later. It is sent again with the
 // same sequence number: the first copy that the engine accepts raises the number,
 // and the engine refuses the other copies.
-func (l *Loader) load(ctx context.Context, guard lease.Guard, planned Order) {
+func (l *Loader) load(ctx context.Context, guard lease.Guard, planned PlannedLoad) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	subject := event.Subject{Upstream: planned.Engine.Info().ID, Epoch: guard.Epoch(), Count: planned.Version, Detail: planned.Model}
@@ -255,7 +255,7 @@
 		}
 		if err == nil && reply == Accepted {
 			l.Events.Emit(event.OrderGiven, subject)
-			planned.Engine.NoteSwap(planned.Model, time.Now().Add(expectedLoadTime))
+			planned.Engine.NoteModelUnavailable(planned.Model, time.Now().Add(expectedLoadTime))
 			l.publish(ctx, planned, true)
 			wait.For(ctx, expectedLoadTime)
 		}
@@ -276,13 +276,13 @@
 	return l.Engines.Report(ctx, e)
 }
 
-func (l *Loader) sendOrder(ctx context.Context, guard lease.Guard, planned Order, sequence int64) (Reply, error) {
+func (l *Loader) sendOrder(ctx context.Context, guard lease.Guard, planned PlannedLoad, sequence int64) (Reply, error) {
 	if err := guard.Check(); err != nil {
 		return Rejected, err
 	}
-	ctx, cancel := context.WithTimeout(fence.Context(ctx, guard), orderTimeout)
+	ctx, cancel := context.WithTimeout(fence.WithGuard(ctx, guard), orderTimeout)
 	defer cancel()
-	return l.Engines.Order(ctx, planned.Engine, Command{
+	return l.Engines.Order(ctx, planned.Engine, Order{
 		Model:       planned.Model,
 		Version:     planned.Version,
 		KeepRunning: l.Demands.KeepRunning(planned.Model),
@@ -310,22 +310,22 @@
 
 // publish writes a weight load to the store, where the other VMs read it. A failure
 // only delays them until the platform's list shows the load.
-func (l *Loader) publish(ctx context.Context, planned Order, loading bool) {
+func (l *Loader) publish(ctx context.Context, planned PlannedLoad, loading bool) {
 	info := planned.Engine.Info()
 	value, err := json.Marshal(loadRecord{Upstream: info.ID, Started: info.Started, Model: planned.Model, Version: planned.Version, Loading: loading})
 	if err == nil {
-		key := kept.Key{Table: table, Part: l.Domain, Name: info.ID + "/" + planned.Model}
-		_, err = l.Store.Commit(ctx, kept.Txn{Puts: []kept.Put{{Key: key, Value: value}}})
+		key := rowstore.Key{Table: table, Part: l.Domain, Name: info.ID + "/" + planned.Model}
+		_, err = l.Store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: value}}})
 	}
 	if err != nil {
 		l.Events.Emit(event.OrderFailed, event.Subject{Upstream: info.ID, Detail: "not published: " + err.Error()})
 	}
 }
 
-// Follow watches the weight loads that the loaders of all failure domains publish and
+// WatchLoads watches the weight loads that the loaders of all failure domains publish and
 // records them in the roster, until ctx ends. It calls changed after each update.
-func Follow(ctx context.Context, store kept.Store, roster *target.Roster, calls *budget.Budget, events *event.Recorder, changed func()) {
-	apply := func(rows []kept.Row) {
+func WatchLoads(ctx context.Context, store rowstore.Store, roster *target.Roster, calls *budget.Budget, events *event.Recorder, changed func()) {
+	apply := func(rows []rowstore.Row) {
 		for _, row := range rows {
 			if !row.Deleted {
 				applyRow(row, roster, events)
@@ -333,29 +333,29 @@
 		}
 		changed()
 	}
-	pollInterval := func() time.Duration { return calls.Period(budget.Loads, minPollInterval) }
-	retryBackoff := func() time.Duration { return calls.Retry(budget.Loads, minPollInterval) }
-	watcher := kept.Watcher{
-		Store: store, Table: table, AllParts: true, Wait: pollTimeout, Replace: apply, Apply: apply, Pace: pollInterval, Retry: retryBackoff,
-		Lost: events.Lost("loads of weights"), Regained: events.Regained("loads of weights"),
+	pollInterval := func() time.Duration { return calls.Interval(budget.WeightLoads, minPollInterval) }
+	retryBackoff := func() time.Duration { return calls.RetryBackoff(budget.WeightLoads, minPollInterval) }
+	watcher := rowstore.Watcher{
+		Store: store, Table: table, AllParts: true, PollTimeout: pollTimeout, Replace: apply, Apply: apply, MinPollInterval: pollInterval, RetryBackoff: retryBackoff,
+		OnOutage: events.Lost("loads of weights"), OnRecovery: events.Regained("loads of weights"),
 	}
 	watcher.Run(ctx)
 }
 
-func applyRow(row kept.Row, roster *target.Roster, events *event.Recorder) {
+func applyRow(row rowstore.Row, roster *target.Roster, events *event.Recorder) {
 	var record loadRecord
 	if err := json.Unmarshal(row.Value, &record); err != nil {
 		events.Emit(event.RowUnreadable, event.Subject{Detail: row.String()})
 		return
 	}
-	e := roster.Life(record.Upstream, record.Started)
+	e := roster.Incarnation(record.Upstream, record.Started)
 	if e == nil {
 		return
 	}
 	if record.Loading {
-		e.NoteSwap(record.Model, time.Now().Add(expectedLoadTime))
+		e.NoteModelUnavailable(record.Model, time.Now().Add(expectedLoadTime))
 		return
 	}
-	e.NoteSwap(record.Model, time.Time{})
+	e.NoteModelUnavailable(record.Model, time.Time{})
 	e.NoteVersion(record.Model, record.Version)
 }
--- a/internal/loading/loading_test.go
+++ b/internal/weightload/loading_test.go
@@ -1,4 +1,4 @@
-package loading
+package weightload
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"dogwoodpond/internal/budget"
 	"dogwoodpond/internal/event"
 	"dogwoodpond/internal/fault"
-	"dogwoodpond/internal/kept"
-	"dogwoodpond/internal/kept/memory"
 	"dogwoodpond/internal/lease"
+	"dogwoodpond/internal/rowstore"
+	"dogwoodpond/internal/rowstore/memory"
 	"dogwoodpond/internal/target"
 )
 
@@ -34,12 +34,12 @@
 	delayOrders, dropOrders int
 }
 
-func (e *fakeEngine) execute(c Command) Reply {
+func (e *fakeEngine) execute(c Order) Reply {
 	switch {
 	case c.Expected != e.sequence || time.Now().Before(e.loadingUntil):
-		return Moved
+		return SequenceMismatch
 	case e.versions[c.Model] == c.Version:
-		return Holds
+		return AlreadyLoaded
 	}
 	e.sequence++
 	e.loads++
@@ -81,11 +81,11 @@
 	defer f.mu.Unlock()
 	for i := range f.demands {
 		if f.demands[i].Model == model {
-			f.demands[i].Named = version
+			f.demands[i].AnnouncedVersion = version
 			return
 		}
 	}
-	f.demands = append(f.demands, Demand{Model: model, Named: version, Slack: 1, Work: 1})
+	f.demands = append(f.demands, Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: 1, ExpectedTokens: 1})
 }
 
 func (f *fleet) Models(string) []Demand {
@@ -109,7 +109,7 @@
 	return Report{Sequence: e.sequence, Busy: time.Now().Before(e.loadingUntil), Versions: versions}, nil
 }
 
-func (f *fleet) Order(_ context.Context, t *target.Entry, c Command) (Reply, error) {
+func (f *fleet) Order(_ context.Context, t *target.Entry, c Order) (Reply, error) {
 	e := f.engines[t.Info().ID]
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,7 +136,7 @@
 	events := event.NewRecorder(vm, 64, event.NewClock(time.Now), zap.NewNop())
 	l := &Loader{
 		VM: vm, Domain: "x", Roster: f.roster, Engines: f, Demands: f, Store: f.store, Events: events,
-		Leases: lease.NewManager(kept.NewTables(f.store, "lease"), vm, 3*time.Second, events),
+		Leases: lease.NewManager(rowstore.NewTables(f.store, "lease"), vm, 3*time.Second, events),
 	}
 	ctx, kill := context.WithCancel(t.Context())
 	go l.Run(ctx)
@@ -321,7 +321,7 @@
 // Each model must get its share of the engines by demand for any number of engines, and
 // at least one engine if there are enough.
 func TestSharesFollowDemand(t *testing.T) {
-	demands := []Demand{{Model: "m", Work: 300}, {Model: "n", Work: 700}}
+	demands := []Demand{{Model: "m", ExpectedTokens: 300}, {Model: "n", ExpectedTokens: 700}}
 	total := [2]int{}
 	preceding := 0
 	for _, engines := range []int{4, 4, 3} {
@@ -339,7 +339,7 @@
 	for engines := range 30 {
 		for _, work := range []float64{0, 1, 5, 1000} {
 			sum := 0
-			for _, n := range engineCounts([]Demand{{Work: work}, {Work: 5}, {Work: 5}}, 7, engines) {
+			for _, n := range engineCounts([]Demand{{ExpectedTokens: work}, {ExpectedTokens: 5}, {ExpectedTokens: 5}}, 7, engines) {
 				if n < 0 {
 					t.Errorf("%d engines: a negative count", engines)
 				}
@@ -356,8 +356,8 @@
 // last model would wait for seconds although one engine is enough to begin its step.
 func TestEachModelGetsOneLoadFirst(t *testing.T) {
 	f := newFleet(9)
-	list := f.roster.Service("lm")
-	demands := []Demand{{Model: "m", Named: 9, Slack: 1, Work: 1}, {Model: "n", Named: 9, Slack: 1, Work: 1}, {Model: "o", Named: 9, Slack: 1, Work: 1}}
+	list := f.roster.Upstreams("lm")
+	demands := []Demand{{Model: "m", AnnouncedVersion: 9, MaxVersionLag: 1, ExpectedTokens: 1}, {Model: "n", AnnouncedVersion: 9, MaxVersionLag: 1, ExpectedTokens: 1}, {Model: "o", AnnouncedVersion: 9, MaxVersionLag: 1, ExpectedTokens: 1}}
 	models := map[string]bool{}
 	for _, planned := range planLoads(list, demands, engineCounts(demands, 0, 9), nil, 3) {
 		models[planned.Model] = true
@@ -371,8 +371,8 @@
 // weight load.
 func TestEnginesKeepTheirModel(t *testing.T) {
 	f := newFleet(6)
-	list := f.roster.Service("lm")
-	demands := []Demand{{Model: "m", Named: 5, Slack: 1, Work: 1}, {Model: "n", Named: 9, Slack: 1, Work: 1}}
+	list := f.roster.Upstreams("lm")
+	demands := []Demand{{Model: "m", AnnouncedVersion: 5, MaxVersionLag: 1, ExpectedTokens: 1}, {Model: "n", AnnouncedVersion: 9, MaxVersionLag: 1, ExpectedTokens: 1}}
 	for i, e := range list {
 		if i%2 == 0 {
 			e.NoteVersion("m", 5)
@@ -393,22 +393,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, other := newFleet(2), newFleet(2)
 		events := event.NewRecorder("b", 16, event.NewClock(time.Now), zap.NewNop())
-		go Follow(t.Context(), f.store, other.roster, budget.New(budget.Rates{}), events, func() {})
+		go WatchLoads(t.Context(), f.store, other.roster, budget.New(budget.Rates{}), events, func() {})
 		f.startLoader(t, "a")
 		time.Sleep(2 * time.Second)
 		f.announceVersion("m", 2)
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
 		loading := 0
-		for _, e := range other.roster.Service("lm") {
-			if e.Swapping("m", time.Now()) {
+		for _, e := range other.roster.Upstreams("lm") {
+			if e.ModelUnavailable("m", time.Now()) {
 				loading++
 			}
 		}
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
 		newest := int64(0)
-		for _, e := range other.roster.Service("lm") {
+		for _, e := range other.roster.Upstreams("lm") {
 			newest = max(newest, e.Version("m"))
 		}
 		if loading != 1 || newest != 2 {
--- a/internal/loading/plan.go
+++ b/internal/weightload/plan.go
@@ -1,4 +1,4 @@
-// Package loading brings the engines to the weight versions that trainers announce.
+// Package weightload brings the engines to the weight versions that trainers announce.
 // Under a lease, one VM at a time sends the orders of a failure domain, so that each
 // engine gets orders from a single sender.
 //
@@ -7,7 +7,7 @@
 // takes no requests of that model. Each model therefore gets a share of the engines by
 // its demand, and only half of that share loads a version. The other half still has
 // the version before, which steps allow, and loads the next version.
-package loading
+package weightload
 
 import (
 	"math"
@@ -21,13 +21,13 @@
 // Demand is the demand for one model.
 type Demand struct {
 	Model string
-	// Named is the announced version: the latest version that the model's trainer asked for.
-	Named int64
-	// Slack is how many versions older than the announced one a step may still use.
-	Slack int64
-	// Work is the expected output of the model's latest steps, in tokens; only the
+	// AnnouncedVersion is the announced version: the latest version that the model's trainer asked for.
+	AnnouncedVersion int64
+	// MaxVersionLag is how many versions older than the announced one a step may still use.
+	MaxVersionLag int64
+	// ExpectedTokens is the expected output of the model's latest steps, in tokens; only the
 	// ratio between models matters.
-	Work float64
+	ExpectedTokens float64
 }
 
 // minShare is the smallest share of a model, before all shares are divided by their sum.
@@ -38,14 +38,14 @@
 func shares(demands []Demand) []float64 {
 	total := 0.0
 	for _, d := range demands {
-		total += d.Work
+		total += d.ExpectedTokens
 	}
 	out := make([]float64, len(demands))
 	sum := 0.0
 	for i, d := range demands {
 		out[i] = 1 / float64(len(demands))
 		if total > 0 {
-			out[i] = math.Max(d.Work/total, minShare)
+			out[i] = math.Max(d.ExpectedTokens/total, minShare)
 		}
 		sum += out[i]
 	}
@@ -128,7 +128,7 @@
 	var candidates []candidate
 	for _, e := range engines {
 		for _, d := range demands {
-			candidates = append(candidates, candidate{e, d.Model, d.Named - e.Version(d.Model)})
+			candidates = append(candidates, candidate{e, d.Model, d.AnnouncedVersion - e.Version(d.Model)})
 		}
 	}
 	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].lag < candidates[j].lag })
@@ -142,8 +142,8 @@
 	return out
 }
 
-// Order is a weight load that is due.
-type Order struct {
+// PlannedLoad is a weight load that is due.
+type PlannedLoad struct {
 	Engine  *target.Entry
 	Model   string
 	Version int64
@@ -154,7 +154,7 @@
 // as up to date. Engines that are too old for the next step come first, one of each model
 // before the second of any, so that a model with a single usable engine can at least begin
 // its step. The other loads follow until half of a model's engines have the announced version.
-func planLoads(engines []*target.Entry, demands []Demand, counts []int, busy map[*target.Entry]bool, limit int) []Order {
+func planLoads(engines []*target.Entry, demands []Demand, counts []int, busy map[*target.Entry]bool, limit int) []PlannedLoad {
 	assigned := assignEngines(engines, demands, counts)
 	var due []rankedLoad
 	for _, d := range demands {
@@ -167,16 +167,16 @@
 		due = append(due, dueLoads(d, modelEngines, busy)...)
 	}
 	sort.SliceStable(due, func(i, j int) bool { return due[i].precedes(due[j]) })
-	var planned []Order
+	var planned []PlannedLoad
 	for _, r := range due[:min(len(due), max(limit, 0))] {
-		planned = append(planned, r.Order)
+		planned = append(planned, r.PlannedLoad)
 	}
 	return planned
 }
 
 // rankedLoad is a weight load with the properties that decide its rank.
 type rankedLoad struct {
-	Order
+	PlannedLoad
 	// urgent means that the engine is too old for the next step of its model.
 	urgent bool
 	// usable is the number of engines that the model's next step can use without this
@@ -196,10 +196,10 @@
 	upToDate, usable := 0, 0
 	for _, e := range engines {
 		version := e.Version(d.Model)
-		if busy[e] || version >= d.Named {
+		if busy[e] || version >= d.AnnouncedVersion {
 			upToDate++
 		}
-		if busy[e] || version >= d.Named-d.Slack {
+		if busy[e] || version >= d.AnnouncedVersion-d.MaxVersionLag {
 			usable++
 		}
 	}
@@ -208,14 +208,14 @@
 	var due []rankedLoad
 	for _, e := range engines {
 		version := e.Version(d.Model)
-		if busy[e] || version >= d.Named || !e.Listed() {
+		if busy[e] || version >= d.AnnouncedVersion || !e.Listed() {
 			continue
 		}
-		urgent := version < d.Named-d.Slack
+		urgent := version < d.AnnouncedVersion-d.MaxVersionLag
 		if !urgent && upToDate >= (len(engines)+1)/2 {
 			continue
 		}
-		due = append(due, rankedLoad{Order{Engine: e, Model: d.Model, Version: d.Named}, urgent, usable})
+		due = append(due, rankedLoad{PlannedLoad{Engine: e, Model: d.Model, Version: d.AnnouncedVersion}, urgent, usable})
 		upToDate++
 		if urgent {
 			usable++
--- a/internal/weights/updater.go
+++ b/internal/weightupdate/updater.go
@@ -1,4 +1,4 @@
-package weights
+package weightupdate
 
 import (
 	"context"
@@ -18,14 +18,14 @@
 
 // Engines sends requests to model engines. *engine.Client implements it.
 type Engines interface {
-	// Load returns an engine's load report: its model, weight version and requests.
-	Load(ctx context.Context, address string) (engine.Load, error)
+	// LoadReport returns an engine's load report: its model, weight version and requests.
+	LoadReport(ctx context.Context, address string) (engine.Load, error)
 	// Order sends an order. An engine executes orders with the same ID only once.
 	Order(ctx context.Context, address string, order engine.Order) error
 }
 
-// Roller orders the weight loads of one failure domain.
-type Roller struct {
+// Updater orders the weight loads of one failure domain.
+type Updater struct {
 	engines Engines
 	events  *event.Recorder
 	// limiter limits the weight loads per second, since each of them reads from the
@@ -37,10 +37,10 @@
 	running sync.WaitGroup
 }
 
-// NewRoller returns an updater that starts at most loadsPerSecond weight loads a second.
-func NewRoller(engines Engines, events *event.Recorder, loadsPerSecond float64) *Roller {
+// NewUpdater returns an updater that starts at most loadsPerSecond weight loads a second.
+func NewUpdater(engines Engines, events *event.Recorder, loadsPerSecond float64) *Updater {
 	burst := max(1, int(loadsPerSecond))
-	return &Roller{
+	return &Updater{
 		engines: engines,
 		events:  events,
 		limiter: rate.NewLimiter(rate.Limit(loadsPerSecond), burst),
@@ -51,8 +51,8 @@
 // Tick starts the weight loads that are due, given the current state of the engines.
 // engines must not contain an engine without a report, since an order depends on its
 // version and incarnation. Tick does not wait for the loads to end; Wait does.
-func (u *Roller) Tick(ctx context.Context, guard fence.Guard, engines []Engine, latest map[string]int64) {
-	for _, planned := range Next(u.markLoading(engines), latest) {
+func (u *Updater) Tick(ctx context.Context, guard fence.Guard, engines []Engine, latest map[string]int64) {
+	for _, planned := range NextLoads(u.markLoading(engines), latest) {
 		if !u.limiter.Allow() {
 			return
 		}
@@ -65,11 +65,11 @@
 }
 
 // Wait waits for the weight loads that Tick started.
-func (u *Roller) Wait() { u.running.Wait() }
+func (u *Updater) Wait() { u.running.Wait() }
 
 // markLoading returns a copy of engines in which Loading is set for those with an order
 // in progress.
-func (u *Roller) markLoading(engines []Engine) []Engine {
+func (u *Updater) markLoading(engines []Engine) []Engine {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	marked := slices.Clone(engines)
@@ -79,7 +79,7 @@
 	return marked
 }
 
-func (u *Roller) setLoading(id string, loading bool) {
+func (u *Updater) setLoading(id string, loading bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.loading[id] = loading
@@ -93,7 +93,7 @@
 // load orders one engine to load a version. When the answer leaves the outcome unknown,
 // load reads the engine's report before it repeats the order with the same ID. If the
 // engine still serves the old version at the end, a later Tick starts another load.
-func (u *Roller) load(ctx context.Context, guard fence.Guard, planned Target) {
+func (u *Updater) load(ctx context.Context, guard fence.Guard, planned PlannedLoad) {
 	e := planned.Engine
 	order := engine.Order{
 		ID:      fmt.Sprintf("weights/%s/%s/%d", e.ID, e.Incarnation, planned.Version),
@@ -107,7 +107,7 @@
 			return
 		}
 		u.events.Emit(event.OrderGiven, subject)
-		err := u.engines.Order(fence.Context(ctx, guard), e.Address, order)
+		err := u.engines.Order(fence.WithGuard(ctx, guard), e.Address, order)
 		if err == nil || u.serves(ctx, planned) {
 			u.events.Emit(event.WeightsLoaded, subject)
 			return
@@ -121,7 +121,7 @@
 	}
 }
 
-func (u *Roller) serves(ctx context.Context, planned Target) bool {
-	load, err := u.engines.Load(ctx, planned.Engine.Address)
+func (u *Updater) serves(ctx context.Context, planned PlannedLoad) bool {
+	load, err := u.engines.LoadReport(ctx, planned.Engine.Address)
 	return err == nil && load.Model == planned.Engine.Model && load.WeightVersion >= planned.Version
 }
--- a/internal/weights/weights.go
+++ b/internal/weightupdate/weights.go
@@ -1,7 +1,7 @@
-// Package weights brings new weight versions to the engines of a failure domain. It loads
+// Package weightupdate brings new weight versions to the engines of a failure domain. It loads
 // as many engines concurrently as the present requests leave free, within the rate limit
 // of the weight store, and runs under the failure domain's lease.
-package weights
+package weightupdate
 
 import (
 	"cmp"
@@ -16,15 +16,15 @@
 	Incarnation string
 	// Version is the weight version that the engine serves.
 	Version int64
-	// Busy is the number of requests that the engine runs or has queued, Slots the number
+	// Requests is the number of requests that the engine runs or has queued, Slots the number
 	// that it can run at once.
-	Busy, Slots int
+	Requests, Slots int
 	// Loading is true while an order for the engine is in progress.
 	Loading bool
 }
 
-// Target is a weight load that should start: an engine and the version that it loads.
-type Target struct {
+// PlannedLoad is a weight load that should start: an engine and the version that it loads.
+type PlannedLoad struct {
 	Engine  Engine
 	Version int64
 }
@@ -33,22 +33,22 @@
 // busy pool would not get new weights in time and its samples would become stale.
 const maxWaves = 4
 
-// Next returns the weight loads that should start now. latest holds the newest version of
+// NextLoads returns the weight loads that should start now. latest holds the newest version of
 // each model. The result depends only on the arguments.
-func Next(engines []Engine, latest map[string]int64) []Target {
+func NextLoads(engines []Engine, latest map[string]int64) []PlannedLoad {
 	pools := make(map[string][]Engine)
 	for _, e := range engines {
 		pools[e.Model] = append(pools[e.Model], e)
 	}
-	var loads []Target
+	var loads []PlannedLoad
 	for model, pool := range pools {
 		loads = append(loads, nextInPool(pool, latest[model])...)
 	}
-	slices.SortFunc(loads, func(a, b Target) int { return cmp.Compare(a.Engine.ID, b.Engine.ID) })
+	slices.SortFunc(loads, func(a, b PlannedLoad) int { return cmp.Compare(a.Engine.ID, b.Engine.ID) })
 	return loads
 }
 
-func nextInPool(pool []Engine, version int64) []Target {
+func nextInPool(pool []Engine, version int64) []PlannedLoad {
 	allowed := maxConcurrentLoads(pool)
 	var outdated []Engine
 	for _, e := range pool {
@@ -61,11 +61,11 @@
 	}
 	// The least busy engines first: loading them takes the least capacity from the pool.
 	slices.SortFunc(outdated, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(a.Busy, b.Busy), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.Requests, b.Requests), cmp.Compare(a.ID, b.ID))
 	})
-	var loads []Target
+	var loads []PlannedLoad
 	for _, e := range outdated[:min(max(allowed, 0), len(outdated))] {
-		loads = append(loads, Target{Engine: e, Version: version})
+		loads = append(loads, PlannedLoad{Engine: e, Version: version})
 	}
 	return loads
 }
@@ -75,7 +75,7 @@
 func maxConcurrentLoads(pool []Engine) int {
 	busy, slots := 0, 0
 	for _, e := range pool {
-		busy += e.Busy
+		busy += e.Requests
 		slots += e.Slots
 	}
 	wave := (len(pool) + maxWaves - 1) / maxWaves
--- a/internal/weights/weights_test.go
+++ b/internal/weightupdate/weights_test.go
@@ -1,4 +1,4 @@
-package weights
+package weightupdate
 
 import (
 	"context"
@@ -49,14 +49,14 @@
 			Model:       "berry-1",
 			Incarnation: "1",
 			Version:     version,
-			Busy:        p.busy,
+			Requests:    p.busy,
 			Slots:       8,
 		})
 	}
 	return list
 }
 
-func (p *fakePool) Load(_ context.Context, address string) (engine.Load, error) {
+func (p *fakePool) LoadReport(_ context.Context, address string) (engine.Load, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return engine.Load{Model: "berry-1", WeightVersion: p.versions[address], Incarnation: "1", Running: p.busy}, nil
@@ -108,14 +108,14 @@
 func (*fakeGuard) Epoch() uint64       { return 7 }
 func (*fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
-func newTestUpdater(p *fakePool) *Roller {
+func newTestUpdater(p *fakePool) *Updater {
 	events := event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
-	return NewRoller(p, events, 100)
+	return NewUpdater(p, events, 100)
 }
 
 // updateAll calls Tick until every engine serves version 2 and returns how long that took.
 // It stops after a minute.
-func updateAll(t *testing.T, u *Roller, p *fakePool, guard *fakeGuard) time.Duration {
+func updateAll(t *testing.T, u *Updater, p *fakePool, guard *fakeGuard) time.Duration {
 	t.Helper()
 	started := time.Now()
 	for time.Since(started) < time.Minute && !p.allServe(2) {
