--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -20,16 +20,19 @@
 )
 
 const (
-	// domainPeriod is the time between two looks at the failure domain; it is a
-	// part of the time in which new weights must be on all engines.
-	domainPeriod = time.Second
-	// closeParts is how often the closer looks in the length of a window.
-	closeParts = 10
-	// deadParts of a window is how long a row must be silent before its VM, when
-	// it is not listed, counts as dead.
-	deadParts = 2
-	// giveUpWindows is how many windows a listed but silent VM is waited for.
-	giveUpWindows = 2
+	// domainInterval is the interval between two rounds of orders for the failure domain. It
+	// counts towards the time within which a new weight version must be on all engines.
+	domainInterval = time.Second
+	// closeDivisor divides the length of a usage window. The result is the interval between
+	// checks for windows to close, and the grace period before a window is closed.
+	closeDivisor = 10
+	// deadDivisor divides the length of a usage window. The result is how long the row of an
+	// unlisted VM, or of one with another incarnation in the window, must not change before
+	// the VM is considered dead.
+	deadDivisor = 2
+	// maxWaitWindows is the number of usage windows for which the closer waits for a listed
+	// VM whose row does not change.
+	maxWaitWindows = 2
 )
 
 func newEngines(s settings.Daemon) *engine.Client {
@@ -44,7 +47,7 @@
 	return enginepool.NewMover(engines, events)
 }
 
-// newElapsed returns the monotonic time since the start of the process.
+// newElapsed returns a monotonic clock that starts at 0.
 func newElapsed() func() time.Duration {
 	started := time.Now()
 	return func() time.Duration { return time.Since(started) }
@@ -59,11 +62,11 @@
 		Length:    s.UsageWindow(),
 		Now:       time.Now,
 		Elapsed:   newElapsed(),
-		Grace:     s.UsageWindow() / closeParts,
-		DeadAfter: s.UsageWindow() / deadParts,
-		GiveUp:    s.UsageWindow() * giveUpWindows,
+		Grace:     s.UsageWindow() / closeDivisor,
+		DeadAfter: s.UsageWindow() / deadDivisor,
+		GiveUp:    s.UsageWindow() * maxWaitWindows,
 		Accounts:  func() []contract.Account { return accountsOf(view.Load()) },
-		Listed:    func(vm string) bool { return listed(gossip.VMs(), vm) },
+		Listed:    func(vm string) bool { return isListed(gossip.VMs(), vm) },
 	})
 }
 
@@ -75,7 +78,7 @@
 	return accounts
 }
 
-func listed(vms []platformapi.VM, id string) bool {
+func isListed(vms []platformapi.VM, id string) bool {
 	for _, vm := range vms {
 		if vm.ID == id {
 			return true
@@ -109,8 +112,8 @@
 		Mover:          mover,
 		Provisioner:    provisioner,
 		Closer:         closer,
-		DomainInterval: domainPeriod,
-		CloseInterval:  s.UsageWindow() / closeParts,
+		DomainInterval: domainInterval,
+		CloseInterval:  s.UsageWindow() / closeDivisor,
 		OrderTimeout:   s.OrderTimeout(),
 		ReportTimeout:  platformapi.CallTimeout,
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles dogwoodpondd and runs its life: start, serve, drain.
+// Package daemon assembles dogwoodpondd from its settings and runs it until it has drained.
 package daemon
 
 import (
@@ -29,7 +29,7 @@
 	"dogwoodpond/internal/usage"
 )
 
-// Daemon is one VM's process.
+// Daemon is the process of one VM.
 type Daemon struct {
 	settings   settings.Daemon
 	log        *zap.Logger
@@ -52,24 +52,23 @@
 }
 
 const (
-	// listPeriod is the shortest period of the poll of the platform's lists, and
-	// listPollsPerSecond bounds the polls of the whole fleet.
-	listPeriod         = 500 * time.Millisecond
-	listPollsPerSecond = 200
+	// minListPollInterval is the shortest interval between polls of the platform's lists.
+	// maxListPollsPerSecond limits the polls of the whole fleet.
+	minListPollInterval   = 500 * time.Millisecond
+	maxListPollsPerSecond = 200
 	// readHeaderTimeout ends connections that never send a request.
 	readHeaderTimeout = 10 * time.Second
-	// balancerNotice is how long /readyz answers 503 before the listener
-	// closes, so that the balancer has seen it.
-	balancerNotice = 2 * time.Second
+	// unreadyGracePeriod is how long /readyz answers 503 before new requests are refused
+	// and the listener closes, so that the load balancer has polled it by then.
+	unreadyGracePeriod = 2 * time.Second
 )
 
-// servers are the open listeners of a daemon.
+// servers holds the HTTP servers of a daemon.
 type servers struct {
 	callers, operators *http.Server
 }
 
-// Run serves until stop ends, then drains. It returns nil after a graceful
-// shutdown.
+// Run serves until stop is cancelled, then drains. It returns nil after a graceful stop.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -81,11 +80,11 @@
 	loops.Go(func() { d.syncer.Run(ctx) })
 	loops.Go(func() { d.gossip.Run(ctx) })
 	loops.Go(func() { d.pollLists(ctx) })
-	loops.Go(func() { d.meter.Run(ctx, d.flushPeriod) })
+	loops.Go(func() { d.meter.Run(ctx, d.flushInterval) })
 	loops.Go(func() { d.controller.Run(ctx) })
 	loops.Go(func() { d.scheduler.Run(ctx) })
 	loops.Go(func() { d.poller.Run(ctx) })
-	loops.Go(func() { d.history.Run(ctx, stepSearchPeriod(d.gossip)) })
+	loops.Go(func() { d.history.Run(ctx, stepSearchInterval(d.gossip)) })
 	loops.Go(func() { d.rollouts.Run(ctx) })
 	d.events.Emit(event.ProcessStarted, event.Subject{Detail: "dogwoodpondd"})
 
@@ -125,8 +124,8 @@
 	return open, nil
 }
 
-// bind listens on the address of a setting. A port that another process uses is
-// a fault of that setting.
+// bind listens on the address of a setting. It fails with *fault.SettingsInvalid, which
+// contains the setting, for example if another process uses the port.
 func bind(setting, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -137,12 +136,12 @@
 	return listener, nil
 }
 
-// drain tells the balancer, then takes no new work, waits for the running
-// requests and stops the loops.
+// drain answers readiness polls with 503 for unreadyGracePeriod, then refuses new requests,
+// waits for the running ones and closes the rollouts and the listeners.
 func (d *Daemon) drain(open servers) error {
 	d.events.Emit(event.DrainStarted, event.Subject{})
 	d.entry.Drain()
-	time.Sleep(balancerNotice)
+	time.Sleep(unreadyGracePeriod)
 	d.entry.Refuse()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain())
 	defer cancel()
@@ -154,33 +153,34 @@
 	return open.operators.Shutdown(ctx)
 }
 
-// flushesPerSecond bounds the usage flushes of the whole fleet.
-const flushesPerSecond = 80
+// maxFlushesPerSecond limits the usage flushes of the whole fleet.
+const maxFlushesPerSecond = 80
 
-// flushPeriod grows with the fleet, so that the store's load does not.
-func (d *Daemon) flushPeriod() time.Duration {
-	return fleetPeriod(d.settings.UsageFlush(), len(d.gossip.VMs()), flushesPerSecond)
+// flushInterval returns the interval between usage flushes. It grows with the fleet, so that
+// the load of the store does not.
+func (d *Daemon) flushInterval() time.Duration {
+	return fleetInterval(d.settings.UsageFlush(), len(d.gossip.VMs()), maxFlushesPerSecond)
 }
 
 const (
-	sealTries  = 5
-	sealPeriod = 200 * time.Millisecond
+	sealAttempts = 5
+	sealBackoff  = 200 * time.Millisecond
 )
 
-// sealUsage makes the usage final after the last request. When the store does
-// not answer, the window's report will say that it is incomplete.
+// sealUsage makes this VM's usage row final after the last request. If all attempts fail,
+// the report of the window is marked incomplete.
 func (d *Daemon) sealUsage() {
-	for range sealTries {
+	for range sealAttempts {
 		if d.meter.Seal(context.Background()) == nil {
 			return
 		}
-		time.Sleep(sealPeriod)
+		time.Sleep(sealBackoff)
 	}
 	d.events.Emit(event.UsageIncomplete, event.Subject{Detail: "not sealed"})
 }
 
-// pollLists keeps the lists of VMs and upstreams current. While the platform
-// does not answer, the last lists stay in force.
+// pollLists polls the platform's lists of VMs and upstreams until ctx ends. During an outage
+// of the platform the last lists remain in use.
 func (d *Daemon) pollLists(ctx context.Context) {
 	for {
 		if vms, err := d.platform.VMs(ctx); err == nil {
@@ -192,18 +192,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(fleetPeriod(listPeriod, len(d.gossip.VMs()), listPollsPerSecond)):
+		case <-time.After(fleetInterval(minListPollInterval, len(d.gossip.VMs()), maxListPollsPerSecond)):
 		}
 	}
 }
 
-// fleetPeriod returns the period of something that every VM does, so that the
-// whole fleet does it at most perSecond times a second.
-func fleetPeriod(shortest time.Duration, vms, perSecond int) time.Duration {
-	return max(shortest, time.Duration(vms)*time.Second/time.Duration(perSecond))
+// fleetInterval returns the interval of an action that every VM takes, at least minimum, so
+// that the whole fleet takes it at most perSecond times per second.
+func fleetInterval(minimum time.Duration, vms, perSecond int) time.Duration {
+	return max(minimum, time.Duration(vms)*time.Second/time.Duration(perSecond))
 }
 
-// newLogger writes JSON lines to standard error.
+// newLogger returns a logger that writes JSON lines to standard error.
 func newLogger(s settings.Daemon) (*zap.Logger, error) {
 	c := zap.NewProductionConfig()
 	level, err := zap.ParseAtomicLevel(s.LogLevel)
--- a/internal/daemon/metrics_page_test.go
+++ b/internal/daemon/metrics_page_test.go
@@ -13,12 +13,12 @@
 	"dogwoodpond/internal/settings"
 )
 
-// described matches the text of a prometheus.Desc, which has no other accessors.
-var described = regexp.MustCompile(`fqName: "(dogwoodpond_[a-z_]+)", help: "(.*?)", (?:unit: ".*", )?constLabels: {}, variableLabels: {(.*)}}`)
+// descPattern matches the string of a prometheus.Desc, which has no accessors for its parts.
+var descPattern = regexp.MustCompile(`fqName: "(dogwoodpond_[a-z_]+)", help: "(.*?)", (?:unit: ".*", )?constLabels: {}, variableLabels: {(.*)}}`)
 
-// registered lists all metrics of the project that a registry knows, also
-// vectors that have no value yet, as rows of a table.
-func registered(t *testing.T, registry *prometheus.Registry) []string {
+// registeredMetrics returns a table row for each metric of the project in a registry,
+// including vectors without values.
+func registeredMetrics(t *testing.T, registry *prometheus.Registry) []string {
 	t.Helper()
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
@@ -27,10 +27,10 @@
 	}()
 	var rows []string
 	for d := range descriptions {
-		parts := described.FindStringSubmatch(d.String())
+		parts := descPattern.FindStringSubmatch(d.String())
 		if parts == nil {
 			if strings.Contains(d.String(), "dogwoodpond_") {
-				t.Errorf("can't read %s", d)
+				t.Errorf("can't parse the metric description %s", d)
 			}
 			continue
 		}
@@ -41,15 +41,15 @@
 	return rows
 }
 
-// A metric that the page does not name is found by nobody, and one that only the
-// page names makes a chart that is empty for ever.
-func TestMetricsPageIsWhatADaemonExposes(t *testing.T) {
+// Operators do not find a metric that is missing from the page, and a chart of a metric that
+// is only on the page stays empty.
+func TestMetricsPageListsDaemonMetrics(t *testing.T) {
 	s := settings.Default()
 	s.VM, s.FailureDomain, s.PlatformURL = "vm-1", "a", "http://127.0.0.1:1"
 	d, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := "| metric | labels | meaning |\n|---|---|---|\n" + strings.Join(registered(t, d.registry), "")
+	page := "| metric | labels | meaning |\n|---|---|---|\n" + strings.Join(registeredMetrics(t, d.registry), "")
 	doccheck.Section(t, "docs/METRICS.md", "metrics", page)
 }
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -30,8 +30,8 @@
 	"dogwoodpond/internal/usage"
 )
 
-// hooks break the cycles between parts that call each other back. They are
-// filled in once all parts exist, before any loop runs.
+// hooks break the dependency cycles between components that call each other. The providers
+// of the components set the fields, before any loop runs.
 type hooks struct {
 	gossip *peer.Gossip
 	entry  *entry.Server
@@ -40,14 +40,14 @@
 
 func (h *hooks) draining() bool { return h.entry.Draining() }
 
-func (h *hooks) poke() { h.syncer.Poke() }
+func (h *hooks) notifySyncer() { h.syncer.Poke() }
 
 func (h *hooks) revoke(s *contract.Snapshot) { h.entry.Revoke(s) }
 
 // Age implements peer.Ager.
 func (h *hooks) Age() time.Duration { return h.syncer.Age() }
 
-// members returns the VMs that share the engines.
+// members returns the VMs that share the engines, including this one.
 func (h *hooks) members() []dispatch.Member { return h.gossip.Members() }
 
 func newHooks() *hooks { return &hooks{} }
@@ -66,7 +66,8 @@
 
 func newPlatform(s settings.Daemon) *platformapi.Client { return platformapi.NewClient(s.PlatformURL) }
 
-// newMetrics comes before every part that emits events, so that all are counted.
+// newMetrics registers the observer of events before any component emits one, so that all
+// events are counted.
 func newMetrics(s settings.Daemon, events *event.Recorder, registry *prometheus.Registry, directory *upstream.Directory) *metrics.Metrics {
 	m := metrics.New(registry, s.UsageWindow())
 	metrics.RegisterUpstreams(registry, directory.Load)
@@ -95,7 +96,7 @@
 	return dispatch.NewScheduler(c)
 }
 
-// newDispatcher measures the dispatcher that the settings choose.
+// newDispatcher returns the dispatcher that the settings choose, with metrics.
 func newDispatcher(s settings.Daemon, scheduler *dispatch.Scheduler, directory *upstream.Directory, m *metrics.Metrics) *metrics.Dispatcher {
 	if s.DispatchPolicy == settings.PolicyFIFO {
 		return metrics.NewDispatcher(dispatch.NewFIFO(directory), m)
@@ -103,11 +104,11 @@
 	return metrics.NewDispatcher(scheduler, m)
 }
 
-// loadPeriod is the period of the polls of an engine's load.
-const loadPeriod = time.Second
+// loadPollInterval is the interval between polls of an engine's load.
+const loadPollInterval = time.Second
 
 func newPoller(engines *engine.Client, loads *upstream.Loads, scheduler *dispatch.Scheduler) *upstream.Poller {
-	return upstream.NewPoller(engines, loads, loadPeriod, scheduler.PolledEngines)
+	return upstream.NewPoller(engines, loads, loadPollInterval, scheduler.PolledEngines)
 }
 
 func newRunner(view *contract.View, dispatcher *metrics.Dispatcher, engines *engine.Client, retries *retry.Policy, events *event.Recorder) *generate.Local {
@@ -123,7 +124,7 @@
 		View:        view,
 		Client:      client,
 		Draining:    h.draining,
-		OnRevision:  h.poke,
+		OnRevision:  h.notifySyncer,
 		Age:         h.Age,
 		Demand:      scheduler.Demand,
 		Unreachable: scheduler.Unreachable,
@@ -190,12 +191,12 @@
 		View:           view,
 		Events:         events,
 		Registerer:     registry,
-		SearchInterval: stepSearchPeriod(gossip),
+		SearchInterval: stepSearchInterval(gossip),
 	})
 }
 
-// newLeases returns the VM's campaigns. Ranks come from the platform's list of
-// VMs; while it is empty the VM ranks first, which costs the store a few reads.
+// newLeases returns the manager of this VM's leases. VMs are ranked by the platform's list
+// of VMs. While the list is empty, this VM ranks first, which costs the store a few reads.
 func newLeases(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, events *event.Recorder) *lease.Manager {
 	rank := func(name string) int {
 		var live []string
@@ -209,7 +210,7 @@
 	return lease.NewManager(tables, s.VM, s.LeaseTerm(), events, lease.WithRanker(rank))
 }
 
-// stepLeases gives the owners of steps their leases.
+// stepLeases adapts a lease manager to rollout.Leases.
 type stepLeases struct {
 	leases *lease.Manager
 }
@@ -221,15 +222,15 @@
 	})
 }
 
-// searchesPerSecond is how often all VMs together search the store for open
-// steps or read the weight store.
-const searchesPerSecond = 50
+// maxSearchesPerSecond limits the searches for open steps in the store, and likewise the
+// reads of the weight store, by all VMs together.
+const maxSearchesPerSecond = 50
 
-// stepSearchPeriod returns the period of one VM, which grows with the fleet so
-// that the load on the platform does not.
-func stepSearchPeriod(gossip *peer.Gossip) func() time.Duration {
+// stepSearchInterval returns the function for the interval of one VM's searches and reads.
+// The interval grows with the fleet, so that the load of the platform does not.
+func stepSearchInterval(gossip *peer.Gossip) func() time.Duration {
 	return func() time.Duration {
-		return fleetPeriod(time.Second, len(gossip.VMs()), searchesPerSecond)
+		return fleetInterval(time.Second, len(gossip.VMs()), maxSearchesPerSecond)
 	}
 }
 
@@ -279,6 +280,6 @@
 		Steps:       rows,
 		Usage:       rows,
 		Events:      events,
-		Advanced:    h.poke,
+		Advanced:    h.notifySyncer,
 	})
 }
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -12,48 +12,50 @@
 	"dogwoodpond/internal/weightload"
 )
 
-// Named holds the versions that trainers have named. It is safe for concurrent
-// use.
-type Named struct {
+// AnnouncedVersions holds the newest announced version of each model. It is safe for
+// concurrent use.
+type AnnouncedVersions struct {
 	mu       sync.Mutex
 	versions map[string]int64
 }
 
-// NewNamed returns an empty set.
-func NewNamed() *Named { return &Named{versions: make(map[string]int64)} }
+// NewAnnouncedVersions returns an AnnouncedVersions without any versions.
+func NewAnnouncedVersions() *AnnouncedVersions {
+	return &AnnouncedVersions{versions: make(map[string]int64)}
+}
 
-// Note takes a named version and reports whether it is newer than the last.
-func (n *Named) Note(model string, version int64) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if version <= n.versions[model] {
+// Update records an announced version and reports whether it is newer than those before.
+func (a *AnnouncedVersions) Update(model string, version int64) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if version <= a.versions[model] {
 		return false
 	}
-	n.versions[model] = version
+	a.versions[model] = version
 	return true
 }
 
-// Version returns the version named last; ok is false before the first.
-func (n *Named) Version(model string) (version int64, ok bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	version, ok = n.versions[model]
+// Version returns the announced version of a model; ok is false if there is none yet.
+func (a *AnnouncedVersions) Version(model string) (version int64, ok bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	version, ok = a.versions[model]
 	return version, ok
 }
 
-// Demands tells the loaders what is asked of the models. It implements
-// weightload.Demands and scaling.DesiredCounts.
+// Demands derives the demand for models and upstreams from the steps that this VM knows. It
+// implements weightload.Demands and scaling.DesiredCounts.
 type Demands struct {
-	named *Named
-	view  *route.View
-	steps *step.Manager
-	// roster tells where the services run.
+	announced *AnnouncedVersions
+	view      *route.View
+	steps     *step.Manager
+	// roster holds the upstreams of the services, with their failure domains.
 	roster *target.Roster
 }
 
-// NewDemands returns the demands of the steps that this VM knows.
-func NewDemands(named *Named, view *route.View, steps *step.Manager, roster *target.Roster) *Demands {
-	return &Demands{named: named, view: view, steps: steps, roster: roster}
+// NewDemands returns the demands derived from a view and from the steps of a manager.
+func NewDemands(announced *AnnouncedVersions, view *route.View, steps *step.Manager, roster *target.Roster) *Demands {
+	return &Demands{announced: announced, view: view, steps: steps, roster: roster}
 }
 
 // EngineServices implements weightload.Demands.
@@ -81,29 +83,29 @@
 	demands := d.steps.ModelDemands()
 	var out []weightload.Demand
 	for _, model := range snapshot.Services[service].Engine.Models {
-		version, ok := d.named.Version(model)
+		version, ok := d.announced.Version(model)
 		if !ok {
 			continue
 		}
 		demand := demands[model]
-		out = append(out, weightload.Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: slack(version, demand), ExpectedTokens: demand.ExpectedTokens})
+		out = append(out, weightload.Demand{Model: model, AnnouncedVersion: version, MaxVersionLag: maxVersionLag(version, demand), ExpectedTokens: demand.ExpectedTokens})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Model < out[j].Model })
 	return out
 }
 
-// usualSlack is how far behind the named version a step may be when no step of
-// the model is known.
-const usualSlack = 1
+// defaultMaxVersionLag is the maximum version lag of the next step if no step of the model
+// is known.
+const defaultMaxVersionLag = 1
 
-// slack returns how many versions behind the named one the next step may use. The
-// latest step may have been asked for under the version before, so the smaller
-// distance counts.
-func slack(named int64, demand step.ModelDemand) int64 {
+// maxVersionLag returns how many versions older than the announced one the next step may
+// use: the version lag that the latest step had when it was submitted. If a version has been
+// announced since then, the lag of that step is larger now; the smaller value is used.
+func maxVersionLag(announced int64, demand step.ModelDemand) int64 {
 	if demand.Steps == 0 {
-		return usualSlack
+		return defaultMaxVersionLag
 	}
-	return min(max(demand.VersionLag, 0), named)
+	return min(max(demand.VersionLag, 0), announced)
 }
 
 // KeepRunning implements weightload.Demands.
@@ -131,7 +133,7 @@
 	return out
 }
 
-// needOf adds up what the steps of an engine's models ask for.
+// needOf returns the total need of the steps of an engine's models.
 func (d *Demands) needOf(engine *route.Engine) scaling.Need {
 	demands := d.steps.ModelDemands()
 	need := scaling.Need{Slots: engine.Slots}
@@ -144,7 +146,7 @@
 	return need
 }
 
-// domainsOf returns the failure domains in which a service runs.
+// domainsOf returns the failure domains in which a service has upstreams or can order some.
 func (d *Demands) domainsOf(service string, scale *route.Scale) []string {
 	var domains []string
 	for domain := range scale.Prices {
--- a/internal/node/metrics_test.go
+++ b/internal/node/metrics_test.go
@@ -13,25 +13,27 @@
 	"dogwoodpond/internal/logsink"
 )
 
-func newMetrics() *Metrics { return NewMetrics(logsink.New(discard{}), NewLife()) }
+func newMetrics() *Metrics { return NewMetrics(logsink.New(discard{}), NewIncarnation()) }
 
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return io.Discard.Write(p) }
 
-// touch makes every metric appear.
-func touch(m *Metrics) {
+// observeSamples records values and registers the metrics of other components, since a vector
+// without values is not gathered. It omits dogwoodpond_score_calls_total and
+// dogwoodpond_evacuated_domains.
+func observeSamples(m *Metrics) {
 	m.Observe(event.Record{Number: event.RequestRefused, Subject: event.Subject{Detail: "code run"}})
 	m.Observe(event.Record{Number: event.AttemptFailed, Subject: event.Subject{Detail: "broke off after event 3"}})
 	m.Observe(event.Record{Number: event.SamplesCommitted, Subject: event.Subject{Count: 2, Detail: "6ms"}})
-	m.StoreCall("commit", "answered", time.Millisecond)
-	m.Feed("configuration")()
-	m.Budget(func() float64 { return 1 })
+	m.ObserveStoreCall("commit", "answered", time.Millisecond)
+	m.RegisterListAge("configuration")()
+	m.RegisterBackoffFactor(func() float64 { return 1 })
 }
 
-func TestMetricsPageListsThoseOfTheUsersPlatform(t *testing.T) {
+func TestMetricsPageListsNodeMetrics(t *testing.T) {
 	m := newMetrics()
-	touch(m)
+	observeSamples(m)
 	families, err := m.registry.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -51,9 +53,10 @@
 	doccheck.Section(t, "docs/METRICS.md", "host-metrics", "| metric | labels | meaning |\n|---|---|---|\n"+strings.Join(rows, "\n"))
 }
 
-// Details name upstreams and events. As labels they would make a new time series for
-// each, and fill the memory of whoever collects them.
-func TestReasonsAreFew(t *testing.T) {
+// The detail of a failed attempt contains the upstream or the number of an event. If the
+// reason label contained them too, each would add a time series, and the memory use of the
+// metrics server would grow without limit.
+func TestAttemptReasonLabelHasFewValues(t *testing.T) {
 	m := newMetrics()
 	for n := range 20 {
 		m.Observe(event.Record{Number: event.AttemptFailed, Subject: event.Subject{Detail: fmt.Sprintf("broke off after event %d", n)}})
@@ -65,7 +68,7 @@
 	}
 	for _, f := range families {
 		if f.GetName() == "dogwoodpond_attempts_failed_total" && len(f.GetMetric()) != 2 {
-			t.Errorf("%d reasons, want 2", len(f.GetMetric()))
+			t.Errorf("%d values of the reason label, want 2", len(f.GetMetric()))
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,82 +26,85 @@
 const (
 	// readHeaderTimeout ends connections that never send a request.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout closes kept connections of callers, long after the last time at
-	// which callers use one again.
+	// idleTimeout closes idle connections of callers. It is much longer than the time
+	// for which callers reuse an idle connection.
 	idleTimeout = 75 * time.Second
-	// maxHeader bounds a request's header in bytes.
-	maxHeader = 64 << 10
-	// rotationNotice is how long callers may still open connections after this VM
-	// has said that it is not ready: the balancer asks once a second and acts on
-	// the second miss.
-	rotationNotice = 2600 * time.Millisecond
-	// lastTime is what is left of the grace when the process stops in any case.
-	lastTime = 1200 * time.Millisecond
-	// handOverTime bounds the hand-over of steps and leases.
-	handOverTime = 3 * time.Second
-	// memoryShare is the part of the process's memory from which on the runtime
-	// collects garbage as hard as it can.
-	memoryShare = 0.7
-	// garbagePercent is by how many percent the heap may grow between collections. Less
-	// than the runtime's 100 lowers the peak of memory for a little processor time.
-	garbagePercent = 50
-	// openPoll is the period of looking whether open requests have ended.
-	openPoll = 50 * time.Millisecond
+	// maxHeaderBytes is the maximum size of a request's header.
+	maxHeaderBytes = 64 << 10
+	// unreadyGracePeriod is how long callers may still open connections after this VM has
+	// become unready: the load balancer polls readiness once a second and stops sending
+	// callers after the second failed poll.
+	unreadyGracePeriod = 2600 * time.Millisecond
+	// killMargin is the time before the end of the grace period, when the process is killed,
+	// at which the drain ends even if requests are still open.
+	killMargin = 1200 * time.Millisecond
+	// handoverTimeout is the timeout of the handover of steps and leases.
+	handoverTimeout = 3 * time.Second
+	// memoryLimitShare is the share of the process's memory that is the soft memory limit
+	// of the Go runtime. Close to the limit the runtime collects garbage more often.
+	memoryLimitShare = 0.7
+	// gcPercent is how far the heap may grow between two garbage collections. A value
+	// below the default of 100 lowers peak memory use and costs little CPU time.
+	gcPercent = 50
+	// pollInterval is the interval at which the drain checks for open requests. It is also
+	// the backoff before the first synchronization of the fleet's clock is retried.
+	pollInterval = 50 * time.Millisecond
 )
 
-// Reloader reads the settings again. changed lists the settings that differ and
-// are in force now; restart lists those that take a restart.
+// Reloader reads the settings file again. changed lists the settings that differed and
+// have been applied; restart lists those that differ and take effect at the next start.
 type Reloader func() (changed, restart []string, err error)
 
-// Loops follow something until ctx ends.
+// Loops are functions that run until ctx ends.
 type Loops []func(ctx context.Context)
 
-// Node is one VM's process.
+// Node is the process of one VM.
 type Node struct {
-	Settings Settings
-	Log      *zap.Logger
-	Events   *event.Recorder
-	Life     *Life
-	View     *route.View
-	Roster   *target.Roster
-	Members  *member.List
-	Steps    *step.Manager
-	Meter    *usagewindow.Meter
-	Reporter *usagewindow.Reporter
-	Loaders  []*weightload.Loader
-	Orderers []*scaling.Orderer
-	Callers  http.Handler
-	Metrics  http.Handler
-	Relay    relay.CallFunc
-	// Follow holds the loops that follow the platform's lists.
-	Follow Loops
-	// Clock agrees with the fleet on the time.
-	Clock func(ctx context.Context) error
-	// FlushLog waits a little for the last log lines.
+	Settings       Settings
+	Log            *zap.Logger
+	Events         *event.Recorder
+	Incarnation    *Incarnation
+	View           *route.View
+	Roster         *target.Roster
+	Members        *member.List
+	Steps          *step.Manager
+	Meter          *usagewindow.Meter
+	Reporter       *usagewindow.Reporter
+	Loaders        []*weightload.Loader
+	Orderers       []*scaling.Orderer
+	CallerHandler  http.Handler
+	MetricsHandler http.Handler
+	Relay          relay.CallFunc
+	// Background holds loops that run until the process ends: they watch the platform's
+	// tables and probe the store.
+	Background Loops
+	// SyncClock sets the fleet's clock: it reads or sets the offset in the store.
+	SyncClock func(ctx context.Context) error
+	// FlushLog waits briefly until the last log lines are written.
 	FlushLog func()
-	// Reload reads the settings again.
+	// Reload reads the settings file again and applies what needs no restart.
 	Reload Reloader
 }
 
-// Run serves until stop ends, then hands over and drains. It returns nil after a
-// graceful stop.
+// Run serves callers until stop is cancelled, then hands over steps and leases and drains. It
+// returns nil after a graceful stop.
 func (n *Node) Run(stop context.Context) error {
-	debug.SetGCPercent(garbagePercent)
-	debug.SetMemoryLimit(int64(float64(n.Settings.MemoryMB<<20) * memoryShare))
-	n.Events.Emit(event.ProcessStarted, event.Subject{Detail: n.Settings.FailureDomain + " life " + n.Life.ID()})
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(float64(n.Settings.MemoryMB<<20) * memoryLimitShare))
+	n.Events.Emit(event.ProcessStarted, event.Subject{Detail: n.Settings.FailureDomain + " life " + n.Incarnation.ID()})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	servers, err := n.listen(ctx)
 	if err != nil {
 		return err
 	}
-	// Duties end at once on a stop, so that a successor need not wait; what
-	// serves callers goes on until the end.
+	// Duties end as soon as stop is cancelled, so that new holders of their leases need not wait.
+	// The loops that serve callers run until the drain has ended.
 	duties, endDuties := context.WithCancel(ctx)
 	defer endDuties()
 	var loops, dutyLoops sync.WaitGroup
-	for _, follow := range n.Follow {
-		loops.Go(func() { follow(ctx) })
+	for _, loop := range n.Background {
+		loops.Go(func() { loop(ctx) })
 	}
 	loops.Go(func() { n.watchSettings(ctx) })
 	loops.Go(func() { n.Members.Run(ctx) })
@@ -110,35 +113,39 @@
 	n.startDuties(duties, &dutyLoops)
 
 	<-stop.Done()
-	killedAt := time.Now().Add(n.Settings.Grace)
+	killTime := time.Now().Add(n.Settings.GracePeriod)
 	n.leave(endDuties, &dutyLoops)
-	n.drain(killedAt.Add(-lastTime))
-	servers.shutDown()
+	n.drain(killTime.Add(-killMargin))
+	servers.shutdown()
 	cancel()
-	// What still waits for a store that does not answer would only be killed.
-	waitUntil(killedAt.Add(-lastTime/2), loops.Wait)
-	n.Events.Emit(event.ProcessStopped, event.Subject{Count: n.Life.Open()})
+	// A loop may still wait for an unresponsive store. The process ends without it, since
+	// it would be killed soon after.
+	waitUntil(killTime.Add(-killMargin/2), loops.Wait)
+	n.Events.Emit(event.ProcessStopped, event.Subject{Count: n.Incarnation.OpenRequests()})
 	n.FlushLog()
 	return nil
 }
 
-// waitUntil waits for something until a moment, and reports whether it came.
-func waitUntil(latest time.Time, wait func()) bool {
-	over := make(chan struct{})
+// waitUntil calls wait and reports whether it returned by the deadline. Otherwise wait
+// continues to run in its goroutine.
+func waitUntil(deadline time.Time, wait func()) bool {
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		wait()
 	}()
-	timer := time.NewTimer(time.Until(latest))
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
+// startDuties starts the loops that campaign for leases: weight loads, upstream orders and
+// usage reports.
 func (n *Node) startDuties(ctx context.Context, loops *sync.WaitGroup) {
 	for _, l := range n.Loaders {
 		loops.Go(func() { l.Run(ctx) })
@@ -150,55 +157,57 @@
 		return
 	}
 	loops.Go(func() {
-		for ctx.Err() == nil && n.Clock(ctx) != nil {
+		for ctx.Err() == nil && n.SyncClock(ctx) != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(openPoll):
+			case <-time.After(pollInterval):
 			}
 		}
 		n.Reporter.Run(ctx)
 	})
 }
 
-// leave makes the VM unready and hands over what it holds.
+// leave makes the VM unready, ends its duties, and hands over its steps and leases within
+// handoverTimeout.
 func (n *Node) leave(endDuties context.CancelFunc, duties *sync.WaitGroup) {
-	n.Life.Leave()
-	n.Events.Emit(event.DrainStarted, event.Subject{Count: n.Life.Open()})
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	n.Incarnation.Leave()
+	n.Events.Emit(event.DrainStarted, event.Subject{Count: n.Incarnation.OpenRequests()})
+	ctx, cancel := context.WithTimeout(context.Background(), handoverTimeout)
 	defer cancel()
 	endDuties()
-	var handOver sync.WaitGroup
-	handOver.Go(func() { n.Members.Leave(ctx) })
-	handOver.Go(func() { n.Steps.Leave(ctx) })
-	handOver.Go(duties.Wait)
-	waitUntil(time.Now().Add(handOverTime), handOver.Wait)
+	var handover sync.WaitGroup
+	handover.Go(func() { n.Members.Leave(ctx) })
+	handover.Go(func() { n.Steps.Leave(ctx) })
+	handover.Go(duties.Wait)
+	waitUntil(time.Now().Add(handoverTimeout), handover.Wait)
 }
 
-// drain waits until no caller opens connections any more and the open requests
-// have ended, or until the latest moment.
-func (n *Node) drain(latest time.Time) {
-	earliest := time.Now().Add(rotationNotice)
-	for time.Now().Before(latest) {
-		if time.Now().After(earliest) && n.Life.Open() == 0 {
+// drain waits until unreadyGracePeriod has passed and no request is open, or until the
+// deadline.
+func (n *Node) drain(deadline time.Time) {
+	unreadyEnd := time.Now().Add(unreadyGracePeriod)
+	for time.Now().Before(deadline) {
+		if time.Now().After(unreadyEnd) && n.Incarnation.OpenRequests() == 0 {
 			return
 		}
-		time.Sleep(openPoll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Ready reports whether the VM should get new connections.
+// Ready reports whether the VM accepts new connections: it is not stopping and knows its
+// configuration and upstreams.
 func (n *Node) Ready() bool {
-	return !n.Life.Leaving() && n.View.Load() != nil && n.Roster.HasUpstreams()
+	return !n.Incarnation.Leaving() && n.View.Load() != nil && n.Roster.HasUpstreams()
 }
 
-// servers are the open listeners.
+// servers holds the HTTP servers of the process. metrics is nil if metrics are not served.
 type servers struct {
 	callers, ready, metrics *http.Server
 }
 
-func (s *servers) shutDown() {
-	const shutDownTime = 300 * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), shutDownTime)
+func (s *servers) shutdown() {
+	const shutdownTimeout = 300 * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	for _, server := range []*http.Server{s.callers, s.ready, s.metrics} {
 		if server != nil {
@@ -223,8 +232,8 @@
 	errorLog := zap.NewStdLog(n.Log)
 	s := &servers{
 		callers: &http.Server{
-			Handler: n.Callers, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
-			MaxHeaderBytes: maxHeader, ErrorLog: errorLog,
+			Handler: n.CallerHandler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
+			MaxHeaderBytes: maxHeaderBytes, ErrorLog: errorLog,
 		},
 		ready: &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: errorLog},
 	}
@@ -242,7 +251,7 @@
 	if err != nil {
 		return err
 	}
-	s.metrics = &http.Server{Handler: n.Metrics, ReadHeaderTimeout: readHeaderTimeout}
+	s.metrics = &http.Server{Handler: n.MetricsHandler, ReadHeaderTimeout: readHeaderTimeout}
 	go func() { _ = s.metrics.Serve(listener) }()
 	return nil
 }
@@ -255,7 +264,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// bind listens on the address of a setting.
+// bind listens on the address of a setting. It fails with *fault.SettingsInvalid.
 func bind(setting, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,17 +11,17 @@
 	"dogwoodpond/internal/event"
 )
 
-// settingsPeriod is the period of looking whether the settings file has changed
-// without a signal. A look reads a file of some 2 KB.
-const settingsPeriod = 2 * time.Second
+// settingsPollInterval is the interval between checks for a settings file that changed
+// without a signal. Each check reads a file of about 2 KB.
+const settingsPollInterval = 2 * time.Second
 
-// watchSettings reads the settings again on SIGHUP, which would otherwise end the
-// process with all its requests, and when the file changes without a signal.
+// watchSettings reloads the settings on SIGHUP and when the file changes without a signal.
+// An unhandled SIGHUP would end the process and break its open requests.
 func (n *Node) watchSettings(ctx context.Context) {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 	defer signal.Stop(hangUp)
-	ticker := time.NewTicker(settingsPeriod)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -35,8 +35,8 @@
 	}
 }
 
-// reload puts changed settings in force. Without a signal an unchanged or
-// unreadable file is not worth a line: the platform may be writing it.
+// reload applies changed settings. Without a signal, it emits no event for an unchanged
+// file, nor for an unreadable one, which the platform may be writing.
 func (n *Node) reload(signalled bool) {
 	changed, restart, err := n.Reload()
 	switch {
@@ -47,6 +47,7 @@
 	}
 }
 
+// describe returns the detail of event.SettingsReloaded.
 func describe(changed, restart []string) string {
 	text := "in force: " + strings.Join(changed, ", ")
 	if len(changed) == 0 {
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node runs one VM's process on a platform that keeps everything: its
-// settings, its start, its readiness, and the order in which it stops.
+// Package node runs the process of one VM on a platform that stores all shared state: its
+// settings, metrics, start and readiness, and the order in which it stops.
 package node
 
 import (
@@ -13,47 +13,47 @@
 type Settings struct {
 	VM            string
 	FailureDomain string
-	// FailureDomains are all of the deployment, in order.
+	// FailureDomains are all failure domains of the deployment, sorted.
 	FailureDomains []string
 	// Regions holds the region of each failure domain.
 	Regions map[string]string
-	// CallerAddress serves callers, ReadyAddress the balancer's question whether
-	// this VM takes new connections, PeerAddress the other VMs.
+	// CallerAddress serves callers, ReadyAddress the readiness polls of the load balancer,
+	// and PeerAddress the other VMs.
 	CallerAddress, ReadyAddress, PeerAddress string
-	// MetricsAddress serves the metrics; empty serves none.
+	// MetricsAddress serves the metrics. If it is empty, they are not served.
 	MetricsAddress string
-	// Processor is how many cores the process may use, as a fraction.
-	Processor float64
-	// MemoryMB is the memory of the process in megabytes, above which it is killed.
+	// CPUCores is how many CPU cores the process may use. It may be a fraction.
+	CPUCores float64
+	// MemoryMB is the memory limit of the process in megabytes; above it, the process is
+	// killed.
 	MemoryMB int
-	// Grace is the time from the signal to stop until the process is killed.
-	Grace time.Duration
-	// LeaseTerm is the term of leases.
-	LeaseTerm time.Duration
-	// UsageWindow is the length of a window of usage.
+	// GracePeriod is the time from the stop signal until the process is killed.
+	GracePeriod time.Duration
+	LeaseTerm   time.Duration
+	// UsageWindow is the length of a usage window.
 	UsageWindow time.Duration
-	// ReportsUsage tells whether windows of usage are to be reported.
+	// ReportsUsage is true if the deployment has to report usage windows to billing.
 	ReportsUsage bool
-	// OrdersUpstreams tells whether upstreams are to be ordered.
+	// OrdersUpstreams is true if the deployment has to order upstreams.
 	OrdersUpstreams bool
-	// StoreRates are the calls a second that the store takes from all VMs together; what is
-	// 0 is not known.
+	// StoreRates are the calls per second that the store accepts from all VMs together. A
+	// rate of 0 is unknown.
 	StoreRates budget.Rates
-	// Cold is what the deployment allows to upstreams that warm up.
+	// Cold limits the requests to cold upstreams.
 	Cold ColdAllowance
-	// StepKeep is how long steps stay readable after their submission.
-	StepKeep time.Duration
+	// StepRetention is how long ended steps remain readable after their submission.
+	StepRetention time.Duration
 }
 
-// ColdAllowance is how far the requests to a cold upstream may exceed the rate that it
-// bears. The zero value sets no bound.
+// ColdAllowance is how far the requests to a cold upstream may exceed the rate that the
+// upstream sustains while it is cold. The zero value sets no limit.
 type ColdAllowance struct {
-	// Factor multiplies the rate; Extra is added for each second.
+	// Factor multiplies the rate; Extra is then added, in requests per second.
 	Factor, Extra float64
 }
 
-// PerSecond returns the most requests in any second to an upstream that bears a rate; 0
-// sets no bound.
+// PerSecond returns the maximum number of requests in any second to a cold upstream that
+// sustains the given rate. 0 means no limit.
 func (c ColdAllowance) PerSecond(rate float64) int {
 	if c.Factor <= 0 && c.Extra <= 0 {
 		return 0
