--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -40,7 +40,7 @@
 
 func (h *hooks) draining() bool { return h.entry.Draining() }
 
-func (h *hooks) notifySyncer() { h.syncer.Poke() }
+func (h *hooks) pollRevision() { h.syncer.Poke() }
 
 func (h *hooks) revoke(s *contract.Snapshot) { h.entry.Revoke(s) }
 
@@ -124,7 +124,7 @@
 		View:        view,
 		Client:      client,
 		Draining:    h.draining,
-		OnRevision:  h.notifySyncer,
+		OnRevision:  h.pollRevision,
 		Age:         h.Age,
 		Demand:      scheduler.Demand,
 		Unreachable: scheduler.Unreachable,
@@ -280,6 +280,6 @@
 		Steps:       rows,
 		Usage:       rows,
 		Events:      events,
-		Advanced:    h.notifySyncer,
+		Advanced:    h.pollRevision,
 	})
 }
