--- a/internal/entry/account_test.go
+++ b/internal/entry/account_test.go
@@ -14,11 +14,11 @@
 // If a VM confused the accounts, one would pay for the other's engines or
 // receive the answer to the other's deposit.
 func TestRequestRunsOnlyForTheAccountOfItsKey(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.complete() }))
-	desk := newChargingDesk(r)
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.complete() }))
+	desk := newChargingDesk(h)
 	works := make(chan dispatch.Work, 16)
-	r.dispatcher.hook = func(_ context.Context, work dispatch.Work) error {
+	h.dispatcher.hook = func(_ context.Context, work dispatch.Work) error {
 		works <- work
 		return nil
 	}
@@ -32,8 +32,8 @@
 			q.Header.Set("Idempotency-Key", "tree-17")
 		}
 		for _, got := range []answer{
-			r.call(http.MethodPost, "/v1/generate?account=strathallan", generateText, as),
-			r.call(http.MethodPost, "/v1/services/desk/deposit?account=strathallan", "tree 17", as),
+			h.call(http.MethodPost, "/v1/generate?account=strathallan", generateText, as),
+			h.call(http.MethodPost, "/v1/services/desk/deposit?account=strathallan", "tree 17", as),
 		} {
 			if got.status != http.StatusOK {
 				t.Errorf("%s: %d %s", c.account, got.status, got.body)
@@ -53,7 +53,7 @@
 	if runs := desk.count("tree 17"); runs != 2 {
 		t.Errorf("the deposits of two accounts ran %d times, want 2", runs)
 	}
-	if got := r.call(http.MethodPost, "/v1/generate", `{"model":"berry-1","prompt":"p","maxTokens":1,"account":"brazicod"}`); got.status != http.StatusBadRequest {
+	if got := h.call(http.MethodPost, "/v1/generate", `{"model":"berry-1","prompt":"p","maxTokens":1,"account":"brazicod"}`); got.status != http.StatusBadRequest {
 		t.Errorf("a body that names an account got %d %s", got.status, got.body)
 	}
 }
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -40,8 +40,8 @@
 		id := uuid.NewString()
 		w.Header().Set(headerRequestID, id)
 		if s.Draining() {
-			// A connection kept alive could be closed while the caller sends its
-			// next request.
+			// A connection that is kept alive could be closed by the stop while
+			// the caller sends its next request.
 			w.Header().Set("Connection", "close")
 		}
 		c, release, err := s.admit(id, r, w)
@@ -87,8 +87,8 @@
 }
 
 // checkedHeader is a request whose key is valid and whose body is not read yet.
-// presented is the key as sent; snapshot is the configuration it was checked
-// against.
+// presented is the key as sent; snapshot is the configuration against which the
+// key was checked.
 type checkedHeader struct {
 	clientCall
 	presented contract.Presented
@@ -141,7 +141,7 @@
 	ctx, end := s.sessions.begin(r.Request.Context(), c.key.ID)
 	defer end()
 	// The key may have been withdrawn after it was checked and before the
-	// session began. In this case Revoke did not see the session.
+	// session began. Revoke did not see the session then.
 	if s.View.Load().Keys[c.key.ID].Withdrawn {
 		return fault.WithExecution(errors.WithStack(&fault.KeyWithdrawn{KeyID: c.key.ID}), fault.NotRun)
 	}
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -17,9 +17,9 @@
 // one stream over loopback. Run it with -cpu 1 for requests per second on one
 // core.
 func BenchmarkGenerate(b *testing.B) {
-	r := newHarness(b, harnessOptions{quiet: true})
-	r.engine("e1", benchEngine)
-	handler := r.server.Handler()
+	h := newHarness(b, harnessOptions{quiet: true})
+	h.engine("e1", benchEngine)
+	handler := h.server.Handler()
 	b.ReportAllocs()
 	for b.Loop() {
 		request := httptest.NewRequest(http.MethodPost, "/v1/generate", bytes.NewReader([]byte(generateText)))
@@ -36,9 +36,9 @@
 // BenchmarkAdmit measures the checks before the dispatch: the key, the
 // contract, and the search for exposed keys in a body of 4 KB.
 func BenchmarkAdmit(b *testing.B) {
-	r := newHarness(b, harnessOptions{quiet: true})
+	h := newHarness(b, harnessOptions{quiet: true})
 	body := bytes.Repeat([]byte(`{"text":"a \"quoted\" line\n"}`), 200)[:4096]
-	handler := r.server.Handler()
+	handler := h.server.Handler()
 	b.ReportAllocs()
 	b.SetBytes(int64(len(body)))
 	for b.Loop() {
--- a/internal/entry/faulty_answers_test.go
+++ b/internal/entry/faulty_answers_test.go
@@ -19,9 +19,9 @@
 // shortTimeouts make attempts at unresponsive engines fail soon.
 var shortTimeouts = engine.Patience{First: 300 * time.Millisecond, Next: 300 * time.Millisecond}
 
-// faultyStreams are the faults that an engine's stream can have. The answer "a
-// b c d" must be completed by another engine after the tokens that arrived
-// before the fault.
+// faultyStreams are the faults that an engine's stream can have. Another engine
+// must complete the answer "abcd" after the tokens that arrived before the
+// fault.
 var faultyStreams = []struct {
 	name string
 	// beforeFault is the number of valid tokens before the fault.
@@ -62,10 +62,10 @@
 	for _, faulty := range faultyStreams {
 		t.Run(faulty.name, func(t *testing.T) {
 			t.Parallel()
-			r := newHarness(t, harnessOptions{timeouts: shortTimeouts})
-			r.engine("e1", scripted(faulty.play))
-			r.engine("e2", scripted(func(s *script) { s.complete() }))
-			got := r.call(http.MethodPost, "/v1/generate", generateText)
+			h := newHarness(t, harnessOptions{timeouts: shortTimeouts})
+			h.engine("e1", scripted(faulty.play))
+			h.engine("e2", scripted(func(s *script) { s.complete() }))
+			got := h.call(http.MethodPost, "/v1/generate", generateText)
 			var complete GenerateAnswer
 			if err := json.Unmarshal(got.body, &complete); err != nil || complete.Text != "abcd" || complete.Attempts != 2 {
 				t.Fatalf("got %d %s", got.status, got.body)
@@ -74,10 +74,10 @@
 		})
 		t.Run(faulty.name+", streamed", func(t *testing.T) {
 			t.Parallel()
-			r := newHarness(t, harnessOptions{timeouts: shortTimeouts})
-			r.engine("e1", scripted(faulty.play))
-			r.engine("e2", scripted(func(s *script) { s.complete() }))
-			got := r.call(http.MethodPost, "/v1/generate", streamText("16"))
+			h := newHarness(t, harnessOptions{timeouts: shortTimeouts})
+			h.engine("e1", scripted(faulty.play))
+			h.engine("e2", scripted(func(s *script) { s.complete() }))
+			got := h.call(http.MethodPost, "/v1/generate", streamText("16"))
 			tokens, end := readEvents(t, got.body)
 			var complete GenerateAnswer
 			if err := json.Unmarshal([]byte(end.Data), &complete); err != nil || end.Type != eventAnswer {
@@ -131,14 +131,14 @@
 	return strings.Join(tokens, ""), end
 }
 
-// The connection breaks between the last chunk and the terminal event. The
-// finish reason already says that the answer is complete; if it were resumed,
-// another engine would append tokens to it.
+// The connection fails between the last chunk and the terminal event. The
+// finish reason already says that the answer is complete; if the stream were
+// resumed, another engine would append tokens to the answer.
 func TestFinishedAnswerIsNotResumedAfterLostTerminalEvent(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.last(0, "a", "b", "c", "d"); s.disconnect() }))
-	second := r.engine("e2", scripted(func(s *script) { s.chunk(s.resume, "z") }))
-	got := r.call(http.MethodPost, "/v1/generate", generateText)
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.last(0, "a", "b", "c", "d"); s.disconnect() }))
+	second := h.engine("e2", scripted(func(s *script) { s.chunk(s.resume, "z") }))
+	got := h.call(http.MethodPost, "/v1/generate", generateText)
 	if !strings.Contains(string(got.body), `"abcd"`) || second.requests.Load() != 0 {
 		t.Errorf("got %s after %d requests elsewhere", got.body, second.requests.Load())
 	}
@@ -148,9 +148,9 @@
 // clear which chunks form the answer, so the caller must not get any of them as
 // a complete answer.
 func TestChunkAfterFinishReasonFailsTheCall(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.last(0, "a"); s.last(1, "b"); s.raw(engine.DoneEvent) }))
-	got := r.call(http.MethodPost, "/v1/generate", generateText)
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.last(0, "a"); s.last(1, "b"); s.raw(engine.DoneEvent) }))
+	got := h.call(http.MethodPost, "/v1/generate", generateText)
 	if got.refusal.Code != fault.CodeUpstreamFailed || got.refusal.Execution != fault.Ran {
 		t.Errorf("got %d %s", got.status, got.body)
 	}
@@ -160,15 +160,15 @@
 // The stream must end with an error event, so that the caller does not take the
 // partial answer for a complete one.
 func TestIncompleteStreamEndsWithAnError(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) {
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) {
 		s.header()
 		if s.resume == 0 {
 			s.chunk(0, "a")
 		}
 		s.disconnect()
 	}))
-	got := r.call(http.MethodPost, "/v1/generate", streamText("16"))
+	got := h.call(http.MethodPost, "/v1/generate", streamText("16"))
 	tokens, end := readEvents(t, got.body)
 	var refusal Refusal
 	if err := json.Unmarshal([]byte(end.Data), &refusal); err != nil || end.Type != eventError {
@@ -179,17 +179,18 @@
 	}
 }
 
-// A caller disconnects. If the engine were not cancelled, it would continue to
-// generate tokens that nobody reads and hold a slot that queued requests need.
+// A caller disconnects. If its request were not cancelled, the engine would
+// continue to generate tokens that nobody reads and hold a slot that queued
+// requests need.
 func TestEngineIsCancelledWhenCallerDisconnects(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	cancelled := make(chan struct{})
-	r.engine("e1", scripted(func(s *script) {
+	h.engine("e1", scripted(func(s *script) {
 		s.chunk(0, "a")
 		s.waitForCancel()
 		close(cancelled)
 	}))
-	request, err := http.NewRequest(http.MethodPost, r.serve()+"/v1/generate", strings.NewReader(streamText("16")))
+	request, err := http.NewRequest(http.MethodPost, h.serve()+"/v1/generate", strings.NewReader(streamText("16")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,10 +207,10 @@
 // blocked in a write that does not observe cancellation, so without a write
 // deadline the connection would stay open and a planned stop would wait for it.
 func TestKeyWithdrawalEndsCallOfCallerThatDoesNotRead(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	cancelled := make(chan struct{})
 	full := make(chan struct{}, 1)
-	r.engine("e1", scripted(func(s *script) {
+	h.engine("e1", scripted(func(s *script) {
 		defer close(cancelled)
 		long := strings.Repeat("x", 64<<10)
 		for n := 0; s.r.Context().Err() == nil; n++ {
@@ -222,7 +223,7 @@
 			}
 		}
 	}))
-	request, err := http.NewRequest(http.MethodPost, r.serve()+"/v1/generate", strings.NewReader(streamText("131072")))
+	request, err := http.NewRequest(http.MethodPost, h.serve()+"/v1/generate", strings.NewReader(streamText("131072")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,20 +239,20 @@
 		// On some machines the network buffers are full earlier; the
 		// handler is then already blocked in its write.
 	}
-	r.withdraw("k1")
+	h.withdraw("k1")
 	<-cancelled
 	// Half the write timeout is far above lastWriteTimeout and far below the
 	// time after which a slow write would fail anyway.
-	r.awaitIdle(defaultWriteTimeout / 2)
+	h.awaitIdle(defaultWriteTimeout / 2)
 }
 
 // awaitIdle waits until no request is running.
-func (r *harness) awaitIdle(timeout time.Duration) {
-	r.t.Helper()
+func (h *harness) awaitIdle(timeout time.Duration) {
+	h.t.Helper()
 	deadline := time.Now().Add(timeout)
-	for r.server.sessions.count() > 0 {
+	for h.server.sessions.count() > 0 {
 		if time.Now().After(deadline) {
-			r.t.Fatal("a request is still running")
+			h.t.Fatal("a request is still running")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -262,10 +263,10 @@
 // the drain time has passed.
 func TestCallerThatDoesNotReadIsDisconnected(t *testing.T) {
 	for _, path := range []string{"/v1/services/desk/fields", "/v1/generate"} {
-		r := newHarness(t, harnessOptions{writeTimeout: 100 * time.Millisecond})
+		h := newHarness(t, harnessOptions{writeTimeout: 100 * time.Millisecond})
 		large := strings.Repeat("x", 8<<20)
-		r.service("s1", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) })
-		r.engine("e1", scripted(func(s *script) {
+		h.service("s1", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, large) })
+		h.engine("e1", scripted(func(s *script) {
 			for n := range 40 {
 				s.chunk(n, large[:1<<19])
 			}
@@ -273,7 +274,7 @@
 			s.raw(engine.DoneEvent)
 		}))
 		body := strings.Replace(generateText, `"maxTokens":16`, `"maxTokens":64`, 1)
-		request, err := http.NewRequest(http.MethodPost, r.serve()+path, strings.NewReader(body))
+		request, err := http.NewRequest(http.MethodPost, h.serve()+path, strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,7 +283,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.awaitIdle(defaultWriteTimeout / 2)
+		h.awaitIdle(defaultWriteTimeout / 2)
 		if _, err := io.Copy(io.Discard, response.Body); err == nil {
 			t.Errorf("%s: the truncated answer ended without an error", path)
 		}
@@ -330,25 +331,26 @@
 	},
 }
 
-// A service truncates its answer or answers another caller's request. If it
-// were delivered, the caller would read a booking that it does not have.
+// A service truncates its answer or sends the answer to another caller's
+// request. If the answer were delivered, the caller would read a booking that
+// it does not have.
 func TestFaultyServiceAnswerIsNotDelivered(t *testing.T) {
 	for name, handler := range faultyAnswers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newHarness(t, harnessOptions{})
-			faulty := r.service("s1", handler)
-			r.service("s2", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
-			got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
+			h := newHarness(t, harnessOptions{})
+			faulty := h.service("s1", handler)
+			h.service("s2", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })
+			got := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
 			if got.status != http.StatusBadGateway || got.refusal.Execution != fault.Unknown {
 				t.Errorf("POST got %d %s", got.status, got.body)
 			}
-			if runs := r.metered[0].requests.Load() + r.metered[1].requests.Load(); runs != 1 {
+			if runs := h.metered[0].requests.Load() + h.metered[1].requests.Load(); runs != 1 {
 				t.Errorf("the services got the POST %d times", runs)
 			}
 			faulty.requests.Store(0)
 			for range 2 {
-				got = r.call(http.MethodGet, "/v1/services/desk/fields", "")
+				got = h.call(http.MethodGet, "/v1/services/desk/fields", "")
 				if got.status != http.StatusOK || string(got.body) != "whole" {
 					t.Errorf("GET got %d %s", got.status, got.body)
 				}
@@ -363,16 +365,16 @@
 // The deadline of a caller is two seconds away. An engine that does not know
 // the deadline could work for minutes on a request that is no longer of use.
 func TestDeadlineAndRequestIDReachTheUpstream(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	seen := make(chan http.Header, 2)
-	r.engine("e1", func(w http.ResponseWriter, q *http.Request) {
+	h.engine("e1", func(w http.ResponseWriter, q *http.Request) {
 		seen <- q.Header
 		scripted(func(s *script) { s.complete() })(w, q)
 	})
-	r.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.Header })
+	h.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.Header })
 	for _, got := range []answer{
-		r.call(http.MethodPost, "/v1/generate", strings.Replace(generateText, "{", `{"timeoutSeconds":2,`, 1)),
-		r.call(http.MethodGet, "/v1/services/desk/fields", "", withHeader("X-Request-Timeout-Ms", "2000")),
+		h.call(http.MethodPost, "/v1/generate", strings.Replace(generateText, "{", `{"timeoutSeconds":2,`, 1)),
+		h.call(http.MethodGet, "/v1/services/desk/fields", "", withHeader("X-Request-Timeout-Ms", "2000")),
 	} {
 		header := <-seen
 		if header.Get("X-Request-Id") != got.header.Get("X-Request-Id") {
@@ -388,18 +390,18 @@
 // Callers send requests concurrently over the same connections. If answers were
 // not matched to their requests, a caller would get another caller's answer.
 func TestCallersGetTheirOwnAnswers(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	echo := func(w http.ResponseWriter, q *http.Request) {
 		body, _ := io.ReadAll(q.Body)
 		_, _ = w.Write(body)
 	}
-	r.service("s1", echo)
-	r.service("s2", echo)
+	h.service("s1", echo)
+	h.service("s2", echo)
 	results := make(chan string, 64)
 	for n := range cap(results) {
 		go func() {
 			text := fmt.Sprint("tree ", n)
-			got, err := r.try(http.MethodPost, "/v1/services/desk/deposit", text)
+			got, err := h.try(http.MethodPost, "/v1/services/desk/deposit", text)
 			if err != nil || string(got.body) != text {
 				results <- fmt.Sprintf("%q got %q %v", text, got.body, err)
 				return
@@ -417,11 +419,11 @@
 // The path is forwarded as the caller wrote it. If an escaped slash became a
 // slash, the path would name another booking.
 func TestServicePathIsForwardedUnchanged(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	seen := make(chan string, 1)
-	r.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.RequestURI })
+	h.service("s1", func(_ http.ResponseWriter, q *http.Request) { seen <- q.RequestURI })
 	for _, path := range []string{"/a%2Fb/c", "/a//b", "/a/../b", "/", "/x%20y?q=1&q=2", "/%E2%82%AC"} {
-		if got := r.call(http.MethodGet, "/v1/services/desk"+path, ""); got.status != http.StatusOK {
+		if got := h.call(http.MethodGet, "/v1/services/desk"+path, ""); got.status != http.StatusOK {
 			t.Errorf("%s: %d %s", path, got.status, got.body)
 			continue
 		}
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -53,20 +53,20 @@
 	t          testing.TB
 	server     *Server
 	view       *contract.View
-	ager       *fakeAge
+	ager       *fakeAger
 	tables     *faultyTables
-	dispatcher *dispatcher
+	dispatcher *fakeDispatcher
 	steps      *fakeSteps
 	registry   *prometheus.Registry
 	events     *event.Recorder
 	log        *logBuffer
 	http       *httptest.Server
-	opened     sync.Once
-	metered    []*metered
+	serveOnce  sync.Once
+	metered    []*meteredUpstream
 }
 
 // upstreams returns the fake upstreams added so far.
-func (r *harness) upstreams() []*metered { return r.metered }
+func (h *harness) upstreams() []*meteredUpstream { return h.metered }
 
 // harnessOptions change the dependencies of a harness.
 type harnessOptions struct {
@@ -85,81 +85,81 @@
 
 func newHarness(t testing.TB, options harnessOptions) *harness {
 	t.Helper()
-	r := &harness{
-		t: t, view: contract.NewView(), ager: &fakeAge{}, dispatcher: &dispatcher{}, steps: &fakeSteps{},
+	h := &harness{
+		t: t, view: contract.NewView(), ager: &fakeAger{}, dispatcher: &fakeDispatcher{}, steps: &fakeSteps{},
 		tables:   &faultyTables{Tables: memtables.NewTables()},
 		registry: prometheus.NewRegistry(), log: &logBuffer{},
 	}
 	log := zap.NewNop()
 	if !options.quiet {
-		log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), r.log, zap.DebugLevel))
+		log = zap.New(zapcore.NewCore(zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig()), h.log, zap.DebugLevel))
 	}
-	r.events = event.NewRecorder("vm-1", 4096, event.NewClock(time.Now), log)
-	r.configure()
-	retries := retry.NewPolicy(r.registry, r.events)
+	h.events = event.NewRecorder("vm-1", 4096, event.NewClock(time.Now), log)
+	h.configure()
+	retries := retry.NewPolicy(h.registry, h.events)
 	if options.timeouts == (engine.Patience{}) {
 		options.timeouts = engine.DefaultPatience
 	}
 	if options.runner == nil {
-		options.runner = generate.NewLocal(r.view, r.dispatcher, engine.NewPatientClient(options.timeouts), retries, r.events)
+		options.runner = generate.NewLocal(h.view, h.dispatcher, engine.NewPatientClient(options.timeouts), retries, h.events)
 	}
-	r.server = NewServer(Config{
-		View: r.view, Ager: r.ager, Runner: options.runner, Dispatcher: r.dispatcher, Retries: retries,
-		Services: service.NewClient(), Claims: request.NewClaims(r.tables), Steps: r.steps,
-		Usage: discardUsage{}, Events: r.events, Registry: r.registry, WriteTimeout: options.writeTimeout,
+	h.server = NewServer(Config{
+		View: h.view, Ager: h.ager, Runner: options.runner, Dispatcher: h.dispatcher, Retries: retries,
+		Services: service.NewClient(), Claims: request.NewClaims(h.tables), Steps: h.steps,
+		Usage: discardUsage{}, Events: h.events, Registry: h.registry, WriteTimeout: options.writeTimeout,
 		BodyTimeout: options.bodyTimeout,
 	})
-	return r
+	return h
 }
 
 // serve starts the HTTP server of the harness once and returns its base URL.
-func (r *harness) serve() string {
-	r.opened.Do(func() {
-		r.http = httptest.NewServer(r.server.Handler())
-		r.t.Cleanup(r.http.Close)
+func (h *harness) serve() string {
+	h.serveOnce.Do(func() {
+		h.http = httptest.NewServer(h.server.Handler())
+		h.t.Cleanup(h.http.Close)
 	})
-	return r.http.URL
+	return h.http.URL
 }
 
 // configure applies two contracts and four keys.
-func (r *harness) configure() {
+func (h *harness) configure() {
 	bounded := contract.DefaultContract(testAccount)
 	bounded.Limits.BodyBytes = 4096
-	r.edit(contract.Entry{Contract: &bounded})
-	r.edit(contract.Entry{Contract: new(contract.DefaultContract("brazicod"))})
+	h.edit(contract.Entry{Contract: &bounded})
+	h.edit(contract.Entry{Contract: new(contract.DefaultContract("brazicod"))})
 	for _, k := range []struct {
 		text    string
 		account contract.Account
 	}{{testKey, testAccount}, {otherKey, "brazicod"}, {withdrawnKey, testAccount}, {noContractKey, "nobody"}} {
 		presented, err := contract.ParseKey(k.text)
 		if err != nil {
-			r.t.Fatal(err)
+			h.t.Fatal(err)
 		}
 		key := contract.Key{ID: presented.ID, Account: k.account, SecretSHA256: contract.HashSecret(presented.Secret)}
 		key.Withdrawn = k.text == withdrawnKey
-		r.edit(contract.Entry{Key: &key})
+		h.edit(contract.Entry{Key: &key})
 	}
 }
 
 // edit applies a configuration edit and revokes withdrawn keys, as the
 // configuration's syncer does.
-func (r *harness) edit(e contract.Entry) {
-	r.t.Helper()
-	e.Revision = r.view.Load().Revision + 1
-	next, err := r.view.Load().Apply(e)
+func (h *harness) edit(e contract.Entry) {
+	h.t.Helper()
+	e.Revision = h.view.Load().Revision + 1
+	next, err := h.view.Load().Apply(e)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.view.Advance(next)
-	if r.server != nil {
-		r.server.Revoke(next)
+	h.view.Advance(next)
+	if h.server != nil {
+		h.server.Revoke(next)
 	}
 }
 
-func (r *harness) withdraw(id string) {
-	key := r.view.Load().Keys[id]
+func (h *harness) withdraw(id string) {
+	key := h.view.Load().Keys[id]
 	key.Withdrawn = true
-	r.edit(contract.Entry{Key: &key})
+	h.edit(contract.Entry{Key: &key})
 }
 
 // answer is the HTTP response that a caller received.
@@ -172,21 +172,21 @@
 
 // call sends one request with the test key. It fails the test if there is no
 // complete response.
-func (r *harness) call(method, path, body string, change ...func(*http.Request)) answer {
-	r.t.Helper()
-	got, err := r.try(method, path, body, change...)
+func (h *harness) call(method, path, body string, change ...func(*http.Request)) answer {
+	h.t.Helper()
+	got, err := h.try(method, path, body, change...)
 	if err != nil {
-		r.t.Fatalf("%s %s: %v", method, path, err)
+		h.t.Fatalf("%s %s: %v", method, path, err)
 	}
 	return got
 }
 
 // try is like call, but returns the error if there is no complete response.
-func (r *harness) try(method, path, body string, change ...func(*http.Request)) (answer, error) {
-	r.t.Helper()
-	req, err := http.NewRequest(method, r.serve()+path, strings.NewReader(body))
+func (h *harness) try(method, path, body string, change ...func(*http.Request)) (answer, error) {
+	h.t.Helper()
+	req, err := http.NewRequest(method, h.serve()+path, strings.NewReader(body))
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	for _, c := range change {
@@ -215,16 +215,16 @@
 	return `{"model":"berry-1","prompt":"When?","stream":true,"maxTokens":` + maxTokens + `}`
 }
 
-// fakeAge is a fake Ager with an adjustable age.
-type fakeAge struct {
+// fakeAger is an Ager with an adjustable age.
+type fakeAger struct {
 	age atomic.Int64
-	// hook runs on each call of Age: after the key was checked, before its
-	// session begins.
+	// hook runs on each call of Age, that is after the key was checked and
+	// before the session of the request begins.
 	hook func()
 }
 
 // Age implements Ager.
-func (a *fakeAge) Age() time.Duration {
+func (a *fakeAger) Age() time.Duration {
 	if a.hook != nil {
 		a.hook()
 	}
@@ -237,7 +237,7 @@
 // Add implements UsageRecorder.
 func (discardUsage) Add(contract.Account, usage.Figures) {}
 
-// fakeSteps is a fake of Steps whose methods return err.
+// fakeSteps is a Steps whose methods return err.
 type fakeSteps struct{ err error }
 
 // Open implements Steps.
@@ -253,9 +253,9 @@
 // Ack implements Steps.
 func (f *fakeSteps) Ack(context.Context, contract.Account, string, int64) error { return f.err }
 
-// dispatcher is a fake dispatch.Dispatcher that grants upstreams in round-robin
+// fakeDispatcher is a dispatch.Dispatcher that grants upstreams in round-robin
 // order. The hook may refuse a request.
-type dispatcher struct {
+type fakeDispatcher struct {
 	mu        sync.Mutex
 	upstreams []platformapi.Upstream
 	next      int
@@ -263,14 +263,14 @@
 	granted   int
 }
 
-func (d *dispatcher) add(u platformapi.Upstream) {
+func (d *fakeDispatcher) add(u platformapi.Upstream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.upstreams = append(d.upstreams, u)
 }
 
 // Acquire implements dispatch.Dispatcher.
-func (d *dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
+func (d *fakeDispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
 	if d.hook != nil {
 		if err := d.hook(ctx, work); err != nil {
 			return dispatch.Grant{}, err
@@ -290,33 +290,33 @@
 	return dispatch.Grant{}, errors.WithStack(&fault.NoUpstream{Pool: work.Pool.String(), Wait: time.Second})
 }
 
-// metered is a fake upstream that counts the requests and bytes that it
+// meteredUpstream is a fake upstream that counts the requests and bytes that it
 // received.
-type metered struct {
+type meteredUpstream struct {
 	*httptest.Server
 	bytes    atomic.Int64
 	requests atomic.Int64
 }
 
 // engine adds an engine whose requests are served by handler.
-func (r *harness) engine(id string, handler http.HandlerFunc) *metered {
-	m := newMetered(r.t, handler)
-	r.metered = append(r.metered, m)
-	r.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindEngine, Model: testModel, Address: m.address()})
+func (h *harness) engine(id string, handler http.HandlerFunc) *meteredUpstream {
+	m := newMeteredUpstream(h.t, handler)
+	h.metered = append(h.metered, m)
+	h.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindEngine, Model: testModel, Address: m.address()})
 	return m
 }
 
 // service adds an upstream of the service testService whose requests are served
 // by handler.
-func (r *harness) service(id string, handler http.HandlerFunc) *metered {
-	m := newMetered(r.t, handler)
-	r.metered = append(r.metered, m)
-	r.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindService, Service: testService, Address: m.address()})
+func (h *harness) service(id string, handler http.HandlerFunc) *meteredUpstream {
+	m := newMeteredUpstream(h.t, handler)
+	h.metered = append(h.metered, m)
+	h.dispatcher.add(platformapi.Upstream{ID: id, Kind: platformapi.KindService, Service: testService, Address: m.address()})
 	return m
 }
 
-func newMetered(t testing.TB, handler http.HandlerFunc) *metered {
-	m := &metered{}
+func newMeteredUpstream(t testing.TB, handler http.HandlerFunc) *meteredUpstream {
+	m := &meteredUpstream{}
 	m.Server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		m.requests.Add(1)
 		handler(w, r)
@@ -330,7 +330,7 @@
 	return m
 }
 
-func (m *metered) address() string { return m.Listener.Addr().String() }
+func (m *meteredUpstream) address() string { return m.Listener.Addr().String() }
 
 type meteredListener struct {
 	net.Listener
@@ -387,7 +387,7 @@
 	return f.Tables.Commit(ctx, txn)
 }
 
-// logBuffer is a log buffer that is safe for concurrent use.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/internal/entry/idempotency_test.go
+++ b/internal/entry/idempotency_test.go
@@ -28,13 +28,13 @@
 	runs map[string]int
 }
 
-func newDroppingDesk(r *harness) *droppingDesk {
+func newDroppingDesk(h *harness) *droppingDesk {
 	d := &droppingDesk{runs: make(map[string]int)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = listener.Close() })
+	h.t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -44,7 +44,7 @@
 			go d.serve(conn)
 		}
 	}()
-	r.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: listener.Addr().String()})
+	h.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: listener.Addr().String()})
 	return d
 }
 
@@ -74,7 +74,7 @@
 
 // A service reads a deposit on a reused connection and crashes. Go's HTTP
 // transport retries some requests on reused connections by itself; the deposit
-// would be charged twice without a trace on the VM.
+// would be charged twice without any event on the VM.
 func TestTransportDoesNotRetryCallThatMayHaveRun(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
 		{http.MethodPost, "tree 17"}, {http.MethodPost, ""}, {http.MethodPut, "tree 17"}, {http.MethodPut, ""}, {http.MethodDelete, ""},
@@ -82,12 +82,12 @@
 		for _, key := range []string{"", "tree-17"} {
 			t.Run(fmt.Sprintf("%s %q key %q", c.method, c.body, key), func(t *testing.T) {
 				t.Parallel()
-				r := newHarness(t, harnessOptions{})
-				desk := newDroppingDesk(r)
-				if got := r.call(http.MethodGet, "/v1/services/desk/warm", ""); got.status != http.StatusOK {
+				h := newHarness(t, harnessOptions{})
+				desk := newDroppingDesk(h)
+				if got := h.call(http.MethodGet, "/v1/services/desk/warm", ""); got.status != http.StatusOK {
 					t.Fatalf("got %d %s", got.status, got.body)
 				}
-				got := r.call(c.method, "/v1/services/desk/deposit", c.body, func(q *http.Request) {
+				got := h.call(c.method, "/v1/services/desk/deposit", c.body, func(q *http.Request) {
 					if key != "" {
 						q.Header.Set("Idempotency-Key", key)
 					}
@@ -104,15 +104,15 @@
 // are not limited by the retry budget, emit no event, and add load to a service
 // in trouble.
 func TestTransportDoesNotRetryGet(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	desk := newDroppingDesk(r)
+	h := newHarness(t, harnessOptions{})
+	desk := newDroppingDesk(h)
 	for range 2 {
-		if got := r.call(http.MethodGet, "/v1/services/desk/fields", ""); got.status != http.StatusOK {
+		if got := h.call(http.MethodGet, "/v1/services/desk/fields", ""); got.status != http.StatusOK {
 			t.Errorf("got %d %s", got.status, got.body)
 		}
 	}
 	dispatched := 0
-	for _, record := range r.events.Since(event.Stamp{}) {
+	for _, record := range h.events.Since(event.Stamp{}) {
 		if record.Number == event.RequestDispatched {
 			dispatched++
 		}
@@ -132,8 +132,8 @@
 
 func newChargingDesk(harnesses ...*harness) *chargingDesk {
 	d := &chargingDesk{charges: make(map[string]int)}
-	for _, r := range harnesses {
-		r.service("s1", d.serve)
+	for _, h := range harnesses {
+		h.service("s1", d.serve)
 	}
 	return d
 }
@@ -169,9 +169,9 @@
 }
 
 // peer returns the harness of another VM that uses the same store.
-func (r *harness) peer() *harness {
-	second := newHarness(r.t, harnessOptions{})
-	second.tables.Tables = r.tables.Tables
+func (h *harness) peer() *harness {
+	second := newHarness(h.t, harnessOptions{})
+	second.tables.Tables = h.tables.Tables
 	return second
 }
 
@@ -186,9 +186,9 @@
 	const repeats = 16
 	answers := make(chan answer, repeats)
 	for n := range repeats {
-		r := []*harness{first, second}[n%2]
+		h := []*harness{first, second}[n%2]
 		go func() {
-			got, err := r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+			got, err := h.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 			if err != nil {
 				t.Error(err)
 			}
@@ -215,15 +215,15 @@
 // second deposit would be charged; if it were reported as not run, the caller
 // would pay elsewhere.
 func TestDuplicateAfterLostAnswerIsUnknown(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	desk := newChargingDesk(r)
+	h := newHarness(t, harnessOptions{})
+	desk := newChargingDesk(h)
 	desk.setHook(abort)
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	first := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.status != http.StatusBadGateway || first.refusal.Execution != fault.Unknown {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
 	desk.setHook(nil)
-	for _, vm := range []*harness{r, r.peer()} {
+	for _, vm := range []*harness{h, h.peer()} {
 		repeat := vm.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 		if repeat.status != http.StatusConflict || repeat.refusal.Execution != fault.Unknown {
 			t.Errorf("repeat: %d %s", repeat.status, repeat.body)
@@ -238,13 +238,13 @@
 // not run. If the claim remained, duplicates would be reported as unknown
 // forever.
 func TestCallThatDidNotRunCanBeRepeated(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	addUnreachableUpstreams(r)
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	h := newHarness(t, harnessOptions{})
+	addUnreachableUpstreams(h)
+	first := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.refusal.Execution != fault.NotRun {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
-	second := r.peer()
+	second := h.peer()
 	desk := newChargingDesk(second)
 	repeat := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.status != http.StatusOK || desk.count("tree 17") != 1 {
@@ -255,15 +255,15 @@
 // The store fails while the service charges, so the outcome can't be stored.
 // The caller still gets its answer, and a duplicate must not run.
 func TestUnstoredOutcomeIsUnknownToDuplicates(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	desk := newChargingDesk(r)
-	desk.setHook(func(http.ResponseWriter, *http.Request) { r.tables.down.Store(true) })
-	first := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	h := newHarness(t, harnessOptions{})
+	desk := newChargingDesk(h)
+	desk.setHook(func(http.ResponseWriter, *http.Request) { h.tables.down.Store(true) })
+	first := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if first.status != http.StatusOK {
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
-	r.tables.down.Store(false)
-	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	h.tables.down.Store(false)
+	repeat := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.refusal.Execution != fault.Unknown || desk.count("tree 17") != 1 {
 		t.Errorf("repeat: %d %s, %d charges", repeat.status, repeat.body, desk.count("tree 17"))
 	}
@@ -273,8 +273,8 @@
 // cancelled, the outcome of the deposit would stay unknown. So the call
 // continues, a planned stop waits for it, and a duplicate gets its answer.
 func TestIdempotentCallContinuesWithoutItsCaller(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	desk := newChargingDesk(r)
+	h := newHarness(t, harnessOptions{})
+	desk := newChargingDesk(h)
 	charging, proceed := make(chan struct{}), make(chan struct{})
 	var cancelled atomic.Bool
 	desk.setHook(func(_ http.ResponseWriter, q *http.Request) {
@@ -286,21 +286,21 @@
 	disconnected := make(chan struct{})
 	go func() {
 		defer close(disconnected)
-		_, _ = r.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey, func(q *http.Request) { *q = *q.WithContext(ctx) })
+		_, _ = h.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey, func(q *http.Request) { *q = *q.WithContext(ctx) })
 	}()
 	<-charging
 	disconnect()
 	<-disconnected
-	for r.server.sessions.count() > 0 {
+	for h.server.sessions.count() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(proceed)
-	r.server.Wait()
+	h.server.Wait()
 	if cancelled.Load() {
 		t.Error("the call was cancelled when its caller disconnected")
 	}
 	desk.setHook(nil)
-	repeat := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	repeat := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
 	if repeat.status != http.StatusOK || string(repeat.body) != "charge 1" {
 		t.Errorf("repeat: %d %s", repeat.status, repeat.body)
 	}
@@ -310,12 +310,12 @@
 // not run when a slot is granted.
 func TestQueuedCallOfWithdrawnKeyDoesNotRun(t *testing.T) {
 	for _, change := range []func(*http.Request){func(*http.Request) {}, withIdempotencyKey} {
-		r := newHarness(t, harnessOptions{})
-		desk := newChargingDesk(r)
+		h := newHarness(t, harnessOptions{})
+		desk := newChargingDesk(h)
 		// The slot is granted at the moment of the withdrawal.
-		r.dispatcher.hook = func(context.Context, dispatch.Work) error { r.withdraw("k1"); return nil }
-		got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change)
-		r.server.Wait()
+		h.dispatcher.hook = func(context.Context, dispatch.Work) error { h.withdraw("k1"); return nil }
+		got := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change)
+		h.server.Wait()
 		if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || desk.count("tree 17") != 0 {
 			t.Errorf("got %d %s, %d charges", got.status, got.body, desk.count("tree 17"))
 		}
@@ -325,10 +325,10 @@
 // A POST without an idempotency key fails after it was sent, while other
 // services are available. If it were retried there, it would run twice.
 func TestPostWithoutIdempotencyKeyIsSentOnce(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	desk := newChargingDesk(r, r, r)
+	h := newHarness(t, harnessOptions{})
+	desk := newChargingDesk(h, h, h)
 	desk.setHook(abort)
-	got := r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
+	got := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17")
 	if got.refusal.Execution != fault.Unknown || desk.count("tree 17") != 1 {
 		t.Errorf("got %d %s, %d charges", got.status, strings.TrimSpace(string(got.body)), desk.count("tree 17"))
 	}
--- a/internal/entry/invalid_request_test.go
+++ b/internal/entry/invalid_request_test.go
@@ -53,17 +53,17 @@
 // proxies. Without a code, a caller can't tell what to correct, and a panic or
 // a redirect would look like a fault of the VM.
 func TestInvalidRequestGetsTypedRefusal(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	for _, c := range invalidRequests {
 		t.Run(c.name, func(t *testing.T) {
-			got := r.call(c.method, c.path, c.body)
+			got := h.call(c.method, c.path, c.body)
 			if got.status != c.status || got.refusal.Code != c.code || got.refusal.Execution != fault.NotRun {
 				t.Errorf("got %d %s", got.status, got.body)
 			}
 			wantCompleteRefusal(t, got)
 		})
 	}
-	if strings.Contains(r.log.String(), "panic") {
+	if strings.Contains(h.log.String(), "panic") {
 		t.Error("a handler panicked")
 	}
 }
@@ -98,9 +98,9 @@
 // Keys are malformed or wrong in different ways. If the refusals differed, an
 // attacker who guesses keys would learn which part of a key was right.
 func TestInvalidKeysGetTheSameRefusal(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	for _, header := range invalidKeys {
-		got := r.call(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header))
+		got := h.call(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header))
 		want := fault.CodeKeyInvalid
 		if strings.TrimSpace(header) == "" {
 			want = fault.CodeKeyMissing
@@ -115,21 +115,21 @@
 // A handler panics because of a defect. Its caller must get a refusal, and
 // other requests must not be affected.
 func TestPanicFailsOnlyItsRequest(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.complete() }))
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.complete() }))
 	var dispatched atomic.Int64
-	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
+	h.dispatcher.hook = func(context.Context, dispatch.Work) error {
 		if dispatched.Add(1) == 1 {
 			panic("defect")
 		}
 		return nil
 	}
-	got := r.call(http.MethodPost, "/v1/generate", generateText)
+	got := h.call(http.MethodPost, "/v1/generate", generateText)
 	if got.status != http.StatusInternalServerError || got.refusal.Code != fault.CodeInternal || got.refusal.Execution != fault.Unknown {
 		t.Errorf("got %d %s", got.status, got.body)
 	}
 	wantCompleteRefusal(t, got)
-	if got := r.call(http.MethodPost, "/v1/generate", generateText); got.status != http.StatusOK {
+	if got := h.call(http.MethodPost, "/v1/generate", generateText); got.status != http.StatusOK {
 		t.Errorf("the next request got %d %s", got.status, got.body)
 	}
 }
@@ -137,16 +137,16 @@
 // A handler panics in the middle of a stream. If the response ended normally,
 // the partial answer would look complete to a caller that relies on HTTP.
 func TestPanicInStreamClosesTheConnection(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.chunk(0, "a"); s.disconnect() }))
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.chunk(0, "a"); s.disconnect() }))
 	var dispatched atomic.Int64
-	r.dispatcher.hook = func(context.Context, dispatch.Work) error {
+	h.dispatcher.hook = func(context.Context, dispatch.Work) error {
 		if dispatched.Add(1) > 1 {
 			panic("defect")
 		}
 		return nil
 	}
-	if part, err := r.try(http.MethodPost, "/v1/generate", streamText("16")); err == nil {
+	if part, err := h.try(http.MethodPost, "/v1/generate", streamText("16")); err == nil {
 		t.Errorf("the stream ended without an error after %s", part.body)
 	}
 }
@@ -154,9 +154,9 @@
 // A caller announces a body and sends less, or sends an invalid chunk. A call
 // with an incomplete body must not reach the service.
 func TestIncompleteBodyIsNotRun(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	m := r.service("s1", func(http.ResponseWriter, *http.Request) {})
-	address := strings.TrimPrefix(r.serve(), "http://")
+	h := newHarness(t, harnessOptions{})
+	m := h.service("s1", func(http.ResponseWriter, *http.Request) {})
+	address := strings.TrimPrefix(h.serve(), "http://")
 	for _, rest := range []string{
 		"Content-Length: 100\r\n\r\nhalf",
 		"Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\nzz\r\n",
@@ -189,8 +189,8 @@
 // Without a timeout, its request would stay open forever, and a planned stop
 // would wait for it.
 func TestStalledBodyTimesOut(t *testing.T) {
-	r := newHarness(t, harnessOptions{bodyTimeout: 100 * time.Millisecond})
-	conn, err := net.Dial("tcp", strings.TrimPrefix(r.serve(), "http://"))
+	h := newHarness(t, harnessOptions{bodyTimeout: 100 * time.Millisecond})
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.serve(), "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -41,65 +41,65 @@
 
 // exposedKeyRequests send a key in a part of the request that could reach an
 // upstream.
-var exposedKeyRequests = map[string]func(r *harness) (answer, error){
-	"path": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/"+testSecret, "")
+var exposedKeyRequests = map[string]func(h *harness) (answer, error){
+	"path": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/"+testSecret, "")
 	},
-	"path, percent-encoded": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/"+percentEscaped(testSecret), "")
+	"path, percent-encoded": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/"+percentEscaped(testSecret), "")
 	},
-	"path, percent-encoded twice": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/"+strings.ReplaceAll(percentEscaped(testSecret), "%", "%25"), "")
+	"path, percent-encoded twice": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/"+strings.ReplaceAll(percentEscaped(testSecret), "%", "%25"), "")
 	},
-	"service name": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/"+testSecret, "")
+	"service name": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/"+testSecret, "")
 	},
-	"query": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/x?key="+testSecret, "")
+	"query": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/x?key="+testSecret, "")
 	},
-	"query, percent-encoded": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/x?"+percentEscaped(testKey)+"=1", "")
+	"query, percent-encoded": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/x?"+percentEscaped(testKey)+"=1", "")
 	},
-	"body": func(r *harness) (answer, error) { return r.try(http.MethodPost, "/v1/services/desk/x", testKey) },
-	"form": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/services/desk/x", "a="+percentEscaped(testSecret))
+	"body": func(h *harness) (answer, error) { return h.try(http.MethodPost, "/v1/services/desk/x", testKey) },
+	"form": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/services/desk/x", "a="+percentEscaped(testSecret))
 	},
-	"prompt": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(testSecret))
+	"prompt": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/generate", bodyWithPrompt(testSecret))
 	},
-	"JSON escape": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(testSecret)))
+	"JSON escape": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(testSecret)))
 	},
-	"JSON escape in JSON": func(r *harness) (answer, error) {
+	"JSON escape in JSON": func(h *harness) (answer, error) {
 		quoted, _ := json.Marshal(`"` + jsonEscaped(testSecret) + `"`)
-		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(strings.Trim(string(quoted), `"`)))
+		return h.try(http.MethodPost, "/v1/generate", bodyWithPrompt(strings.Trim(string(quoted), `"`)))
 	},
-	"JSON field name": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/services/desk/x", `{"`+testSecret+`":1}`)
+	"JSON field name": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/services/desk/x", `{"`+testSecret+`":1}`)
 	},
-	"more layers of escapes than are decoded": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/services/desk/x", "%"+strings.Repeat("25", 20)+"41")
+	"more layers of escapes than are decoded": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/services/desk/x", "%"+strings.Repeat("25", 20)+"41")
 	},
-	"header": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Accept", testSecret))
+	"header": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Accept", testSecret))
 	},
-	"cookie": func(r *harness) (answer, error) {
-		return r.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Cookie", "key="+url.QueryEscape(testKey)))
+	"cookie": func(h *harness) (answer, error) {
+		return h.try(http.MethodGet, "/v1/services/desk/x", "", withHeader("Cookie", "key="+url.QueryEscape(testKey)))
 	},
-	"idempotency key": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/services/desk/x", "", withHeader("Idempotency-Key", testKey))
+	"idempotency key": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/services/desk/x", "", withHeader("Idempotency-Key", testKey))
 	},
-	"trailer": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/services/desk/x", "tree", func(q *http.Request) {
+	"trailer": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/services/desk/x", "tree", func(q *http.Request) {
 			q.ContentLength = -1
 			q.Trailer = http.Header{"X-Key": {testKey}}
 		})
 	},
-	"another caller's key": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt("use "+otherKey+" please"))
+	"another caller's key": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/generate", bodyWithPrompt("use "+otherKey+" please"))
 	},
-	"another caller's key, escaped": func(r *harness) (answer, error) {
-		return r.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(otherKey)))
+	"another caller's key, escaped": func(h *harness) (answer, error) {
+		return h.try(http.MethodPost, "/v1/generate", bodyWithPrompt(jsonEscaped(otherKey)))
 	},
 }
 
@@ -110,14 +110,14 @@
 	for name, call := range exposedKeyRequests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newHarness(t, harnessOptions{})
-			r.engine("e1", scripted(func(s *script) { s.complete() }))
-			r.service("s1", func(http.ResponseWriter, *http.Request) {})
-			got, err := call(r)
+			h := newHarness(t, harnessOptions{})
+			h.engine("e1", scripted(func(s *script) { s.complete() }))
+			h.service("s1", func(http.ResponseWriter, *http.Request) {})
+			got, err := call(h)
 			if err != nil || got.refusal.Code != fault.CodeKeyExposed || got.refusal.Execution != fault.NotRun {
 				t.Errorf("got %d %s %v", got.status, got.body, err)
 			}
-			if seen := r.metered[0].bytes.Load() + r.metered[1].bytes.Load(); seen != 0 {
+			if seen := h.metered[0].bytes.Load() + h.metered[1].bytes.Load(); seen != 0 {
 				t.Errorf("the upstreams got %d bytes", seen)
 			}
 		})
@@ -127,13 +127,13 @@
 // Ordinary text may contain escapes or something that resembles a key. Refusing
 // it would fail valid requests.
 func TestTextWithoutActiveKeyIsAccepted(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.complete() }))
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.complete() }))
 	for _, text := range []string{
 		`100 % sure`, `50%25 off`, `a \"quoted\" word`, `a line\nand another\t`, `dwp_k1_`, `dwp_k1_0123456789abcdef`,
 		`\\\\\\\\`, `\u20ac 5 and \ud83c\udf53`, withdrawnKey, `%zz %`, `\\u00`,
 	} {
-		if got := r.call(http.MethodPost, "/v1/generate", bodyWithPrompt(text)); got.status != http.StatusOK {
+		if got := h.call(http.MethodPost, "/v1/generate", bodyWithPrompt(text)); got.status != http.StatusOK {
 			t.Errorf("%s: %d %s", text, got.status, got.body)
 		}
 	}
@@ -143,7 +143,7 @@
 // callers send additional headers. An attempt that copied the caller's request
 // instead of building a new one would forward the key.
 func TestUpstreamsReceiveNoKey(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	seen := make(chan string, 64)
 	record := func(next http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
@@ -153,19 +153,19 @@
 			next(w, q)
 		}
 	}
-	r.engine("e1", record(scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() })))
-	r.engine("e2", record(scripted(func(s *script) { s.complete() })))
-	r.service("s1", record(abort))
-	r.service("s2", record(func(http.ResponseWriter, *http.Request) {}))
+	h.engine("e1", record(scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() })))
+	h.engine("e2", record(scripted(func(s *script) { s.complete() })))
+	h.service("s1", record(abort))
+	h.service("s2", record(func(http.ResponseWriter, *http.Request) {}))
 	extra := func(q *http.Request) {
 		q.Header.Add("Authorization", "Bearer "+otherKey)
 		q.Header.Set("X-Forwarded-For", "10.0.0.1")
 	}
-	r.call(http.MethodPost, "/v1/generate", generateText, extra)
-	r.call(http.MethodPost, "/v1/generate", streamText("16"), extra)
-	r.call(http.MethodGet, "/v1/services/desk/fields", "", extra)
-	r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", extra, withIdempotencyKey)
-	r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", extra)
+	h.call(http.MethodPost, "/v1/generate", generateText, extra)
+	h.call(http.MethodPost, "/v1/generate", streamText("16"), extra)
+	h.call(http.MethodGet, "/v1/services/desk/fields", "", extra)
+	h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", extra, withIdempotencyKey)
+	h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", extra)
 	attempts := len(seen)
 	for range attempts {
 		text := <-seen
@@ -184,10 +184,10 @@
 // began. Revoke does not see the session, so without a second check the request
 // would run to completion.
 func TestKeyWithdrawnBetweenCheckAndSession(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	m := r.engine("e1", scripted(func(s *script) { s.complete() }))
-	r.ager.hook = func() { r.withdraw("k1") }
-	got := r.call(http.MethodPost, "/v1/generate", generateText)
+	h := newHarness(t, harnessOptions{})
+	m := h.engine("e1", scripted(func(s *script) { s.complete() }))
+	h.ager.hook = func() { h.withdraw("k1") }
+	got := h.call(http.MethodPost, "/v1/generate", generateText)
 	if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || m.bytes.Load() != 0 {
 		t.Errorf("got %d %s, the engine %d bytes", got.status, got.body, m.bytes.Load())
 	}
@@ -197,31 +197,31 @@
 // this test contains a key, and many fail with errors that could quote their
 // input.
 func TestNoOutputContainsAKey(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	r.engine("e1", scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() }))
-	r.service("s1", abort)
+	h := newHarness(t, harnessOptions{})
+	h.engine("e1", scripted(func(s *script) { s.chunk(s.resume, "a"); s.disconnect() }))
+	h.service("s1", abort)
 	var answers strings.Builder
 	record := func(got answer, err error) { fmt.Fprintln(&answers, got.header, string(got.body), err) }
 	for _, call := range exposedKeyRequests {
-		record(call(r))
+		record(call(h))
 	}
-	record(r.try(http.MethodGet, "/v2/"+testSecret, ""))
-	record(r.try(testSecret, "/v1/generate", ""))
-	record(r.try(http.MethodPatch, "/v1/services/"+testSecret, ""))
-	record(r.try(http.MethodPost, "/v1/generate", `{"`+testSecret+`":1}`))
-	record(r.try(http.MethodPost, "/v1/generate", generateText))
-	record(r.try(http.MethodPost, "/v1/services/desk/x", "tree", withIdempotencyKey))
+	record(h.try(http.MethodGet, "/v2/"+testSecret, ""))
+	record(h.try(testSecret, "/v1/generate", ""))
+	record(h.try(http.MethodPatch, "/v1/services/"+testSecret, ""))
+	record(h.try(http.MethodPost, "/v1/generate", `{"`+testSecret+`":1}`))
+	record(h.try(http.MethodPost, "/v1/generate", generateText))
+	record(h.try(http.MethodPost, "/v1/services/desk/x", "tree", withIdempotencyKey))
 	for _, header := range []string{testKey, "Bearer x" + testKey, "Bearer dwp_" + testSecret, "Bearer " + withdrawnKey, "Bearer " + noContractKey, "Bearer dwp_k1_" + otherSecret} {
-		record(r.try(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header)))
+		record(h.try(http.MethodPost, "/v1/generate", generateText, withHeader("Authorization", header)))
 	}
-	r.withdraw("k1")
-	record(r.try(http.MethodPost, "/v1/generate", generateText))
+	h.withdraw("k1")
+	record(h.try(http.MethodPost, "/v1/generate", generateText))
 
-	events, err := json.Marshal(r.events.Since(event.Stamp{}))
+	events, err := json.Marshal(h.events.Since(event.Stamp{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows, err := r.tables.Scan(t.Context(), "", "", 1000)
+	rows, err := h.tables.Scan(t.Context(), "", "", 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -230,8 +230,8 @@
 		t.Fatal(err)
 	}
 	outputs := map[string]string{
-		"log": r.log.String(), "events": string(events), "metrics": r.metrics(), "answers": answers.String(),
-		"store": string(store), "snapshot": fmt.Sprint(*r.view.Load()),
+		"log": h.log.String(), "events": string(events), "metrics": h.metrics(), "answers": answers.String(),
+		"store": string(store), "snapshot": fmt.Sprint(*h.view.Load()),
 	}
 	for name, text := range outputs {
 		if text == "" {
@@ -247,8 +247,8 @@
 }
 
 // metrics returns the text of the metrics endpoint.
-func (r *harness) metrics() string {
-	got := r.call(http.MethodGet, "/metrics", "")
+func (h *harness) metrics() string {
+	got := h.call(http.MethodGet, "/metrics", "")
 	return string(got.body)
 }
 
--- a/internal/entry/open_test.go
+++ b/internal/entry/open_test.go
@@ -15,15 +15,15 @@
 )
 
 // startSlowGenerate starts a generate call with the key; see startSlowCall.
-func startSlowGenerate(t *testing.T, r *harness, key string) net.Conn {
+func startSlowGenerate(t *testing.T, h *harness, key string) net.Conn {
 	t.Helper()
-	return startSlowCall(t, r, "/v1/generate", key)
+	return startSlowCall(t, h, "/v1/generate", key)
 }
 
 // startSlowCall starts a call that announces a body of 100 bytes and sends one.
-func startSlowCall(t *testing.T, r *harness, path, key string) net.Conn {
+func startSlowCall(t *testing.T, h *harness, path, key string) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", strings.TrimPrefix(r.serve(), "http://"))
+	conn, err := net.Dial("tcp", strings.TrimPrefix(h.serve(), "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,14 +35,14 @@
 	return conn
 }
 
-// openCallCount returns how many open calls of an account the server counts.
-func openCallCount(r *harness, account contract.Account) int64 {
-	release, err := r.server.open.acquire(contract.Contract{Account: account, Limits: contract.Limits{Open: 1 << 30}})
+// openCallCount returns the server's count of the open calls of an account.
+func openCallCount(h *harness, account contract.Account) int64 {
+	release, err := h.server.open.acquire(contract.Contract{Account: account, Limits: contract.Limits{Open: 1 << 30}})
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	defer release()
-	value, _ := r.server.open.counts.Load(account)
+	value, _ := h.server.open.counts.Load(account)
 	return value.(interface{ Load() int64 }).Load() - 1
 }
 
@@ -50,15 +50,15 @@
 // connection and memory of the VM, so without a limit the VM could no longer
 // serve other accounts.
 func TestOpenCallsOfAnAccountAreLimited(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
-	c := r.view.Load().Contracts[testAccount]
+	h := newHarness(t, harnessOptions{})
+	c := h.view.Load().Contracts[testAccount]
 	c.Limits.Open = 2
-	r.edit(contract.Entry{Kind: contract.EditContract, Contract: &c})
-	first := startSlowGenerate(t, r, testKey)
-	startSlowGenerate(t, r, testKey)
-	eventually(t, func() bool { return openCallCount(r, testAccount) == 2 })
+	h.edit(contract.Entry{Kind: contract.EditContract, Contract: &c})
+	first := startSlowGenerate(t, h, testKey)
+	startSlowGenerate(t, h, testKey)
+	eventually(t, func() bool { return openCallCount(h, testAccount) == 2 })
 
-	third := startSlowGenerate(t, r, testKey)
+	third := startSlowGenerate(t, h, testKey)
 	if err := third.SetReadDeadline(time.Now().Add(time.Minute)); err != nil {
 		t.Fatal(err)
 	}
@@ -77,17 +77,17 @@
 	if response.Header.Get("Retry-After") == "" {
 		t.Error("the refusal has no Retry-After header")
 	}
-	startSlowGenerate(t, r, otherKey)
-	eventually(t, func() bool { return openCallCount(r, r.view.Load().Keys["k2"].Account) == 1 })
+	startSlowGenerate(t, h, otherKey)
+	eventually(t, func() bool { return openCallCount(h, h.view.Load().Keys["k2"].Account) == 1 })
 	_ = first.Close()
-	eventually(t, func() bool { return openCallCount(r, testAccount) == 1 })
+	eventually(t, func() bool { return openCallCount(h, testAccount) == 1 })
 }
 
 // A caller sends its body slowly, and its request is refused because of its
 // header. If the refusal waited for the rest of the body, the caller would
 // receive it late.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
-	r := newHarness(t, harnessOptions{})
+	h := newHarness(t, harnessOptions{})
 	cases := []struct {
 		name, path, key string
 		status          int
@@ -97,7 +97,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			conn := startSlowCall(t, r, c.path, c.key)
+			conn := startSlowCall(t, h, c.path, c.key)
 			if err := conn.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/entry/refusal.go
+++ b/internal/entry/refusal.go
@@ -57,8 +57,8 @@
 	fault.CodePullOvertaken:      http.StatusServiceUnavailable,
 }
 
-// defaultRetryAfter is the retry delay of failures that can be retried but do
-// not have a delay of their own.
+// defaultRetryAfter is the retry delay given to callers for failures that can
+// be retried but have no delay of their own.
 const defaultRetryAfter = 2 * time.Second
 
 // refusalOf returns the refusal and the HTTP status for err.
--- a/internal/entry/refusal_execution_test.go
+++ b/internal/entry/refusal_execution_test.go
@@ -22,8 +22,8 @@
 	code fault.Code
 	want fault.Execution
 	// arrange prepares the harness, then call sends the request.
-	arrange func(r *harness)
-	call    func(r *harness) answer
+	arrange func(h *harness)
+	call    func(h *harness) answer
 	// notRunByProtocol is true if the protocol of the upstream says that the
 	// request did not run, although the upstream received its bytes.
 	notRunByProtocol bool
@@ -31,23 +31,23 @@
 
 // generateCall sends a generate call.
 func generateCall(change ...func(*http.Request)) func(*harness) answer {
-	return func(r *harness) answer { return r.call(http.MethodPost, "/v1/generate", generateText, change...) }
+	return func(h *harness) answer { return h.call(http.MethodPost, "/v1/generate", generateText, change...) }
 }
 
 // timedGenerate sends a generate call with a timeout of one second.
-func timedGenerate(r *harness) answer {
-	return r.call(http.MethodPost, "/v1/generate", strings.Replace(generateText, "{", `{"timeoutSeconds":1,`, 1))
+func timedGenerate(h *harness) answer {
+	return h.call(http.MethodPost, "/v1/generate", strings.Replace(generateText, "{", `{"timeoutSeconds":1,`, 1))
 }
 
 // bodyCall sends a generate call with the given body.
 func bodyCall(body string) func(*harness) answer {
-	return func(r *harness) answer { return r.call(http.MethodPost, "/v1/generate", body) }
+	return func(h *harness) answer { return h.call(http.MethodPost, "/v1/generate", body) }
 }
 
 // post sends a POST request to the service.
 func post(change ...func(*http.Request)) func(*harness) answer {
-	return func(r *harness) answer {
-		return r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change...)
+	return func(h *harness) answer {
+		return h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change...)
 	}
 }
 
@@ -55,14 +55,14 @@
 
 // refuseWith makes the dispatcher refuse requests with err.
 func refuseWith(err error) func(*harness) {
-	return func(r *harness) {
-		r.dispatcher.hook = func(context.Context, dispatch.Work) error { return errors.WithStack(err) }
+	return func(h *harness) {
+		h.dispatcher.hook = func(context.Context, dispatch.Work) error { return errors.WithStack(err) }
 	}
 }
 
 // blockUntilDone makes the dispatcher wait until the request ends.
-func blockUntilDone(r *harness) {
-	r.dispatcher.hook = func(ctx context.Context, _ dispatch.Work) error {
+func blockUntilDone(h *harness) {
+	h.dispatcher.hook = func(ctx context.Context, _ dispatch.Work) error {
 		<-ctx.Done()
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			return errors.WithStack(&fault.DeadlineExceeded{Wait: time.Second})
@@ -76,38 +76,38 @@
 const unreachableAddress = "127.0.0.1:1"
 
 // addUnreachableUpstreams adds an engine and a service that refuse connections.
-func addUnreachableUpstreams(r *harness) {
-	r.dispatcher.add(platformapi.Upstream{ID: "e0", Kind: platformapi.KindEngine, Model: testModel, Address: unreachableAddress})
-	r.dispatcher.add(platformapi.Upstream{ID: "s0", Kind: platformapi.KindService, Service: testService, Address: unreachableAddress})
+func addUnreachableUpstreams(h *harness) {
+	h.dispatcher.add(platformapi.Upstream{ID: "e0", Kind: platformapi.KindEngine, Model: testModel, Address: unreachableAddress})
+	h.dispatcher.add(platformapi.Upstream{ID: "s0", Kind: platformapi.KindService, Service: testService, Address: unreachableAddress})
 }
 
 // scriptedEngine adds an engine that answers as play specifies.
 func scriptedEngine(play func(*script)) func(*harness) {
-	return func(r *harness) { r.engine("e1", scripted(play)) }
+	return func(h *harness) { h.engine("e1", scripted(play)) }
 }
 
 // engineStatus adds an engine that answers with an HTTP status and no body.
 func engineStatus(status int) func(*harness) {
-	return func(r *harness) {
-		r.engine("e1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+	return func(h *harness) {
+		h.engine("e1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 	}
 }
 
 // fakeService adds a service whose requests are served by handler.
 func fakeService(handler http.HandlerFunc) func(*harness) {
-	return func(r *harness) { r.service("s1", handler) }
+	return func(h *harness) { h.service("s1", handler) }
 }
 
 // withdrawDuringCall withdraws the caller's key once the upstream has received
 // the request.
-func withdrawDuringCall(r *harness) {
+func withdrawDuringCall(h *harness) {
 	blockUntilWithdrawn := func(_ http.ResponseWriter, q *http.Request) {
 		_, _ = io.Copy(io.Discard, q.Body)
-		r.withdraw("k1")
+		h.withdraw("k1")
 		<-q.Context().Done()
 	}
-	r.engine("e1", blockUntilWithdrawn)
-	r.service("s1", blockUntilWithdrawn)
+	h.engine("e1", blockUntilWithdrawn)
+	h.service("s1", blockUntilWithdrawn)
 }
 
 // abort closes the connection without an answer.
@@ -125,7 +125,7 @@
 func failureCases() []failureCase {
 	return []failureCase{
 		{name: "refused while draining", code: fault.CodeDraining, want: fault.NotRun,
-			arrange: func(r *harness) { r.server.Refuse() }, call: generateCall()},
+			arrange: func(h *harness) { h.server.Refuse() }, call: generateCall()},
 		{name: "no key", code: fault.CodeKeyMissing, want: fault.NotRun,
 			call: generateCall(func(r *http.Request) { r.Header.Del("Authorization") })},
 		{name: "malformed key", code: fault.CodeKeyInvalid, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Basic x"))},
@@ -136,16 +136,16 @@
 		{name: "withdrawn key", code: fault.CodeKeyWithdrawn, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Bearer "+withdrawnKey))},
 		{name: "no contract", code: fault.CodeAccountUnknown, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Bearer "+noContractKey))},
 		{name: "configuration stale", code: fault.CodeConfigurationStale, want: fault.NotRun,
-			arrange: func(r *harness) { r.ager.age.Store(int64(time.Hour)) }, call: generateCall()},
+			arrange: func(h *harness) { h.ager.age.Store(int64(time.Hour)) }, call: generateCall()},
 		{name: "body too large", code: fault.CodeBodyTooLarge, want: fault.NotRun, call: bodyCall(strings.Repeat("x", 5000))},
 		{name: "key in the body", code: fault.CodeKeyExposed, want: fault.NotRun, call: bodyCall(`{"prompt":"` + testSecret + `"}`)},
 		{name: "body is not JSON", code: fault.CodeBadRequest, want: fault.NotRun, call: bodyCall(`{"model":`)},
 		{name: "unknown field", code: fault.CodeBadRequest, want: fault.NotRun, call: bodyCall(`{"model":"berry-1","prompt":"p","maxTokens":1,"x":1}`)},
 		{name: "no maxTokens", code: fault.CodeBadRequest, want: fault.NotRun, call: bodyCall(`{"model":"berry-1","prompt":"p"}`)},
 		{name: "unknown route", code: fault.CodeRouteUnknown, want: fault.NotRun,
-			call: func(r *harness) answer { return r.call(http.MethodPost, "/v2/generate", generateText) }},
+			call: func(h *harness) answer { return h.call(http.MethodPost, "/v2/generate", generateText) }},
 		{name: "wrong method", code: fault.CodeRouteUnknown, want: fault.NotRun,
-			call: func(r *harness) answer { return r.call(http.MethodPatch, "/v1/services/desk/x", "") }},
+			call: func(h *harness) answer { return h.call(http.MethodPatch, "/v1/services/desk/x", "") }},
 
 		{name: "queue full", code: fault.CodeQueueFull, want: fault.NotRun, arrange: refuseWith(&fault.QueueFull{Wait: time.Second}), call: generateCall()},
 		{name: "limit exceeded", code: fault.CodeLimitExceeded, want: fault.NotRun,
@@ -165,7 +165,7 @@
 		{name: "engine: 503", code: fault.CodeUpstreamFailed, want: fault.Unknown,
 			arrange: engineStatus(http.StatusServiceUnavailable), call: generateCall()},
 		{name: "engine: closes without an answer", code: fault.CodeUpstreamFailed, want: fault.Unknown,
-			arrange: func(r *harness) { r.engine("e1", abort) }, call: generateCall()},
+			arrange: func(h *harness) { h.engine("e1", abort) }, call: generateCall()},
 		{name: "engine: disconnects before the first token", code: fault.CodeAnswerTruncated, want: fault.Unknown,
 			arrange: scriptedEngine(func(s *script) { s.header(); s.disconnect() }), call: generateCall()},
 		{name: "engine: disconnects after a token", code: fault.CodeAnswerTruncated, want: fault.Ran,
@@ -181,7 +181,7 @@
 		{name: "engine: deadline in the stream", code: fault.CodeDeadlineExceeded, want: fault.Ran,
 			arrange: scriptedEngine(func(s *script) { s.chunk(0, "a"); s.waitForCancel() }), call: timedGenerate},
 		{name: "engine: one attempt runs, the next is refused the connection", code: fault.CodeUpstreamFailed, want: fault.Unknown,
-			arrange: func(r *harness) { r.engine("e1", abort); addUnreachableUpstreams(r) }, call: generateCall()},
+			arrange: func(h *harness) { h.engine("e1", abort); addUnreachableUpstreams(h) }, call: generateCall()},
 		{name: "engine: key withdrawn while it runs", code: fault.CodeKeyWithdrawn, want: fault.Unknown, arrange: withdrawDuringCall, call: generateCall()},
 
 		{name: "service: connection refused", code: fault.CodeUpstreamFailed, want: fault.NotRun, arrange: addUnreachableUpstreams, call: post()},
@@ -201,32 +201,32 @@
 		{name: "service: key withdrawn while it runs, idempotency key", code: fault.CodeKeyWithdrawn, want: fault.Unknown,
 			arrange: withdrawDuringCall, call: post(withIdempotencyKey, shortDeadline)},
 		{name: "claim: store down", code: fault.CodeStoreUnavailable, want: fault.NotRun,
-			arrange: func(r *harness) { fakeService(blockUntilCancelled)(r); r.tables.down.Store(true) }, call: post(withIdempotencyKey)},
+			arrange: func(h *harness) { fakeService(blockUntilCancelled)(h); h.tables.down.Store(true) }, call: post(withIdempotencyKey)},
 		{name: "claim: used with another body", code: fault.CodeClaimMismatch, want: fault.NotRun,
-			arrange: func(r *harness) {
-				desk := r.service("s1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-				r.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", withIdempotencyKey)
+			arrange: func(h *harness) {
+				desk := h.service("s1", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+				h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 18", withIdempotencyKey)
 				desk.bytes.Store(0)
 				desk.requests.Store(0)
 			}, call: post(withIdempotencyKey)},
 		{name: "steps: mismatch", code: fault.CodeStepMismatch, want: fault.NotRun,
-			arrange: func(r *harness) { r.steps.err = errors.WithStack(&fault.StepMismatch{}) }, call: openStep},
+			arrange: func(h *harness) { h.steps.err = errors.WithStack(&fault.StepMismatch{}) }, call: openStep},
 		{name: "steps: store down", code: fault.CodeStoreUnavailable, want: fault.Unknown,
-			arrange: func(r *harness) { r.steps.err = errors.WithStack(&fault.StoreUnavailable{}) }, call: openStep},
+			arrange: func(h *harness) { h.steps.err = errors.WithStack(&fault.StoreUnavailable{}) }, call: openStep},
 		{name: "steps: unknown", code: fault.CodeStepUnknown, want: fault.NotRun,
-			arrange: func(r *harness) { r.steps.err = errors.WithStack(&fault.StepUnknown{}) },
-			call:    func(r *harness) answer { return r.call(http.MethodGet, "/v1/steps/s1/samples", "") }},
+			arrange: func(h *harness) { h.steps.err = errors.WithStack(&fault.StepUnknown{}) },
+			call:    func(h *harness) answer { return h.call(http.MethodGet, "/v1/steps/s1/samples", "") }},
 		{name: "steps: pull overtaken", code: fault.CodePullOvertaken, want: fault.NotRun,
-			arrange: func(r *harness) { r.steps.err = errors.WithStack(&fault.PullOvertaken{}) },
-			call:    func(r *harness) answer { return r.call(http.MethodGet, "/v1/steps/s1/samples?pull=3", "") }},
+			arrange: func(h *harness) { h.steps.err = errors.WithStack(&fault.PullOvertaken{}) },
+			call:    func(h *harness) answer { return h.call(http.MethodGet, "/v1/steps/s1/samples?pull=3", "") }},
 		{name: "panic", code: fault.CodeInternal, want: fault.Unknown,
-			arrange: func(r *harness) { r.dispatcher.hook = func(context.Context, dispatch.Work) error { panic("defect") } },
+			arrange: func(h *harness) { h.dispatcher.hook = func(context.Context, dispatch.Work) error { panic("defect") } },
 			call:    generateCall()},
 	}
 }
 
-func openStep(r *harness) answer {
-	return r.call(http.MethodPut, "/v1/steps/s1", `{"model":"berry-1","maxTokens":8,"groups":[{"id":"g","prompt":"p","samples":1}]}`)
+func openStep(h *harness) answer {
+	return h.call(http.MethodPut, "/v1/steps/s1", `{"model":"berry-1","maxTokens":8,"groups":[{"id":"g","prompt":"p","samples":1}]}`)
 }
 
 // A request is refused or fails at any point. A caller that receives not_run
@@ -236,12 +236,12 @@
 	for _, c := range failureCases() {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := newHarness(t, harnessOptions{})
+			h := newHarness(t, harnessOptions{})
 			if c.arrange != nil {
-				c.arrange(r)
+				c.arrange(h)
 			}
-			upstreams := r.upstreams()
-			got := c.call(r)
+			upstreams := h.upstreams()
+			got := c.call(h)
 			if got.refusal.Code != c.code || got.refusal.Execution != c.want {
 				t.Errorf("got %d %s/%s, want %s/%s", got.status, got.refusal.Code, got.refusal.Execution, c.code, c.want)
 			}
@@ -262,8 +262,8 @@
 	}
 }
 
-// Without a failure case, nothing checks which execution a code is reported
-// with.
+// Guards against a code without a failure case: no test would check the
+// execution that is reported with it.
 func TestEveryStatusHasAFailureCase(t *testing.T) {
 	// idempotency_test.go covers the codes of claims that are in progress or
 	// unknown.
--- a/internal/entry/refusal_timing_test.go
+++ b/internal/entry/refusal_timing_test.go
@@ -52,7 +52,7 @@
 	code fault.Code
 	// wantAfter is the time from the request to its refusal.
 	wantAfter time.Duration
-	arrange   func(r *harness)
+	arrange   func(h *harness)
 }{
 	{name: "shed at once", path: "/v1/generate", body: generateText, code: fault.CodeQueueFull, wantAfter: 0,
 		arrange: refuseWith(&fault.QueueFull{Wait: 3 * time.Second})},
@@ -69,17 +69,17 @@
 	{name: "service call, key withdrawn in the queue", path: "/v1/services/desk/x", body: "tree", code: fault.CodeKeyWithdrawn, wantAfter: 4 * time.Second,
 		arrange: withdrawKeyAfter(4 * time.Second)},
 	{name: "configuration stale", path: "/v1/generate", body: generateText, code: fault.CodeConfigurationStale, wantAfter: 0,
-		arrange: func(r *harness) { r.ager.age.Store(int64(time.Hour)) }},
+		arrange: func(h *harness) { h.ager.age.Store(int64(time.Hour)) }},
 	{name: "draining", path: "/v1/generate", body: generateText, code: fault.CodeDraining, wantAfter: 0,
-		arrange: func(r *harness) { r.server.Refuse() }},
+		arrange: func(h *harness) { h.server.Refuse() }},
 	{name: "store down", path: "/v1/services/desk/x", body: "tree", code: fault.CodeStoreUnavailable, wantAfter: 0,
-		arrange: func(r *harness) { r.tables.down.Store(true) }},
+		arrange: func(h *harness) { h.tables.down.Store(true) }},
 }
 
 // refuseAfter makes the dispatcher refuse requests with err after wait.
 func refuseAfter(wait time.Duration, err error) func(*harness) {
-	return func(r *harness) {
-		r.dispatcher.hook = func(context.Context, dispatch.Work) error {
+	return func(h *harness) {
+		h.dispatcher.hook = func(context.Context, dispatch.Work) error {
 			time.Sleep(wait)
 			return errors.WithStack(err)
 		}
@@ -89,11 +89,11 @@
 // withdrawKeyAfter withdraws the caller's key after wait, while its request is
 // queued.
 func withdrawKeyAfter(wait time.Duration) func(*harness) {
-	return func(r *harness) {
-		blockUntilDone(r)
+	return func(h *harness) {
+		blockUntilDone(h)
 		go func() {
 			time.Sleep(wait)
-			r.withdraw("k1")
+			h.withdraw("k1")
 		}()
 	}
 }
@@ -105,9 +105,9 @@
 	for _, c := range refusalCases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newHarness(t, harnessOptions{})
-				c.arrange(r)
-				got := timedCall(t, r.server.Handler(), c.path, c.body, withIdempotencyKey)
+				h := newHarness(t, harnessOptions{})
+				c.arrange(h)
+				got := timedCall(t, h.server.Handler(), c.path, c.body, withIdempotencyKey)
 				if got.refusal.Code != c.code || got.after != c.wantAfter {
 					t.Errorf("got %s after %v, want %s after %v", got.refusal.Code, got.after, c.code, c.wantAfter)
 				}
@@ -130,17 +130,17 @@
 func TestNoBackoffAfterTheLastAttempt(t *testing.T) {
 	for _, path := range []string{"/v1/generate", "/v1/services/desk/x"} {
 		synctest.Test(t, func(t *testing.T) {
-			r := newHarness(t, harnessOptions{})
+			h := newHarness(t, harnessOptions{})
 			// An address that can't be dialled fails without a network.
-			r.dispatcher.add(platformapi.Upstream{ID: "e1", Kind: platformapi.KindEngine, Model: testModel, Address: "no address"})
-			r.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: "no address"})
+			h.dispatcher.add(platformapi.Upstream{ID: "e1", Kind: platformapi.KindEngine, Model: testModel, Address: "no address"})
+			h.dispatcher.add(platformapi.Upstream{ID: "s1", Kind: platformapi.KindService, Service: testService, Address: "no address"})
 			started := time.Now()
 			var last time.Duration
-			r.dispatcher.hook = func(context.Context, dispatch.Work) error {
+			h.dispatcher.hook = func(context.Context, dispatch.Work) error {
 				last = time.Since(started)
 				return nil
 			}
-			got := timedCall(t, r.server.Handler(), path, generateText)
+			got := timedCall(t, h.server.Handler(), path, generateText)
 			if got.after != last || last == 0 {
 				t.Errorf("%s: refused after %v, the last attempt was at %v", path, got.after, last)
 			}
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -105,8 +105,8 @@
 	}, nil
 }
 
-// servicePrefixParts is the number of slash-separated parts in
-// "/v1/services/{service}".
+// servicePrefixParts is the number of slash-separated parts of
+// "/v1/services/{service}", including the empty part before the first slash.
 const servicePrefixParts = 4
 
 // servicePath returns the part of the path that belongs to the service,
@@ -173,9 +173,9 @@
 }
 
 // runClaimed runs a claimed call. The call continues after its caller
-// disconnects: the outcome of a deposit that is interrupted would stay unknown
-// forever, whereas the answer of a completed one is returned when the caller
-// repeats the request.
+// disconnects: the outcome of an interrupted deposit would stay unknown
+// forever, whereas the answer to a completed one is returned to a duplicate of
+// the request.
 func (s *Server) runClaimed(ctx context.Context, c clientCall, claim request.Claim, req serviceRequest) (service.Answer, error) {
 	sendCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.capTimeout(req.timeout))
 	done := make(chan serviceResult, 1)
@@ -231,7 +231,7 @@
 
 // finalizeClaim stores the answer of a claimed call, withdraws the claim if
 // nothing ran, or abandons it if the outcome is unknown. If the store fails,
-// repeats of the request are answered that the outcome is unknown, which
+// duplicates of the request are answered that the outcome is unknown, which
 // remains correct.
 func (s *Server) finalizeClaim(ctx context.Context, claim request.Claim, answer service.Answer, err error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalizeTimeout)
@@ -331,7 +331,7 @@
 }
 
 // attemptOutcome returns the outcome to report to the retry policy. An attempt
-// that ended with its context counts as abandoned, not as failed.
+// that ended because its context ended is inconclusive, not failed.
 func attemptOutcome(err error, failed bool) retry.Outcome {
 	switch {
 	case err == nil:
--- a/internal/entry/sessions.go
+++ b/internal/entry/sessions.go
@@ -12,8 +12,8 @@
 	"dogwoodpond/internal/fault"
 )
 
-// shards is the number of shards of the sessions. Requests with different keys
-// then rarely contend for the same lock.
+// shards is the number of shards of sessions. Sharding makes requests with
+// different keys rarely contend for the same lock.
 const shards = 64
 
 // sessions holds the running requests of each key, so that they can be
--- a/internal/entry/steps.go
+++ b/internal/entry/steps.go
@@ -21,8 +21,8 @@
 	mimeNDJSON = "application/x-ndjson"
 	// maxPullWait is the longest time a pull waits for its first sample.
 	maxPullWait = 60 * time.Second
-	// sendTimeout is the longest time from the validation of samples to the
-	// start of the write of the last one.
+	// sendTimeout is the longest time between the validation of samples and
+	// the start of the last write of one of them.
 	sendTimeout = 5 * time.Second
 )
 
