--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -17,7 +17,7 @@
 	doccheck.Section(t, "docs/EVENTS.md", "events", page.String())
 }
 
-// Two events with the same number could not be told apart, and an event without
+// Two events with the same number could not be distinguished, and an event without
 // an entry in the catalogue would be recorded without a name.
 func TestCatalogueNumbersAscendAndNamesAreUnique(t *testing.T) {
 	last := Number(0)
--- a/internal/event/clock.go
+++ b/internal/event/clock.go
@@ -31,7 +31,7 @@
 	return fmt.Sprintf("%d.%06d+%d", s.WallMicros/microsPerSecond, s.WallMicros%microsPerSecond, s.Logical)
 }
 
-// ParseStamp parses the output of String; ok is false if text is not a stamp.
+// ParseStamp parses the output of Stamp.String; ok is false if text is not a stamp.
 func ParseStamp(text string) (s Stamp, ok bool) {
 	var seconds, micros int64
 	var logical uint32
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -59,8 +59,8 @@
 	Subject
 }
 
-// Recorder holds the latest events of a process and writes every event to its
-// log. It is safe for concurrent use.
+// Recorder holds the latest events of a process and writes every event to the
+// process's log. It is safe for concurrent use.
 type Recorder struct {
 	vm    string
 	clock *Clock
@@ -70,8 +70,8 @@
 	observe func(Record)
 
 	mu sync.Mutex
-	// ring holds the events in a circle; next is the index of the next write, and
-	// full is true once all elements are set.
+	// ring is the ring buffer of the events; next is the index of the next write,
+	// and full is true once all elements are set.
 	ring []Record
 	next int
 	full bool
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -8,7 +8,8 @@
 )
 
 // Guards against a wrong order of the timeline when the wall clock of one VM is an
-// hour slow: by wall time, an effect on that VM would precede its cause on another.
+// hour behind: by wall time, an effect on that VM would precede its cause on another
+// VM.
 func TestClockOrdersEffectsAfterCauses(t *testing.T) {
 	noon := time.Unix(1_000_000, 0)
 	fast := NewClock(func() time.Time { return noon })
--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -187,8 +187,8 @@
 // Code implements Failure.
 func (*KeyWithdrawn) Code() Code { return CodeKeyWithdrawn }
 
-// KeyExposed reports a request that contains its key's secret outside the
-// Authorization header.
+// KeyExposed reports a request that contains its key's secret or another active key
+// outside the Authorization header, in the given part.
 type KeyExposed struct {
 	Part string
 }
@@ -266,8 +266,8 @@
 // RetryAfter implements RetryAfterer.
 func (e *NoUpstream) RetryAfter() time.Duration { return e.Wait }
 
-// UpstreamFailed reports an upstream that ended its answer early, returned an invalid
-// answer or could not be reached.
+// UpstreamFailed reports an upstream that refused a request or failed to answer it,
+// returned an invalid answer or could not be reached.
 type UpstreamFailed struct {
 	Upstream string
 	Reason   string
@@ -452,8 +452,8 @@
 // Code implements Failure.
 func (*RevisionGap) Code() Code { return CodeRevisionGap }
 
-// ClaimUnknown reports a repeat of a non-idempotent request whose first execution has an
-// unknown outcome.
+// ClaimUnknown reports a duplicate, that is a request repeated under its idempotency key,
+// whose first execution has an unknown outcome.
 type ClaimUnknown struct {
 	IdempotencyKey string
 }
@@ -466,8 +466,8 @@
 // Code implements Failure.
 func (*ClaimUnknown) Code() Code { return CodeClaimUnknown }
 
-// ClaimInProgress reports a repeat of a non-idempotent request whose first execution may still
-// be running.
+// ClaimInProgress reports a duplicate, that is a request repeated under its idempotency key,
+// whose first execution may still be running.
 type ClaimInProgress struct {
 	Wait time.Duration
 }
@@ -546,7 +546,7 @@
 func (*StepMismatch) Code() Code { return CodeStepMismatch }
 
 // PullOvertaken reports a pull of samples that was refused because a later pull of the same
-// step is registered.
+// step has been registered.
 type PullOvertaken struct {
 	Step string
 }
@@ -599,7 +599,7 @@
 // Code implements Failure.
 func (*SpendingExceeded) Code() Code { return CodeSpendingExceeded }
 
-// SettingsInvalid reports all faults of a settings file.
+// SettingsInvalid reports all invalid settings of a settings file.
 type SettingsInvalid struct {
 	Faults []SettingFault
 }
@@ -609,7 +609,7 @@
 	return fmt.Sprintf("settings: %s", joinFaults(e.Faults))
 }
 
-// Names reports whether the faults include one of the field.
+// Names reports whether the setting of the given field is invalid.
 func (e *SettingsInvalid) Names(field string) bool {
 	return slices.ContainsFunc(e.Faults, func(f SettingFault) bool { return f.Field == field })
 }
--- a/internal/metrics/dispatcher.go
+++ b/internal/metrics/dispatcher.go
@@ -8,7 +8,7 @@
 	"dogwoodpond/internal/dispatch"
 )
 
-// Dispatcher measures queue waits and work of another dispatcher.
+// Dispatcher measures the queue waits and the work of another dispatcher.
 type Dispatcher struct {
 	next    dispatch.Dispatcher
 	metrics *Metrics
@@ -21,7 +21,7 @@
 }
 
 // Acquire implements dispatch.Dispatcher. It also records the wait of refused work,
-// because the caller waited as long.
+// because the caller waited for the refusal.
 func (d *Dispatcher) Acquire(ctx context.Context, work dispatch.Work) (dispatch.Grant, error) {
 	started := time.Now()
 	grant, err := d.next.Acquire(ctx, work)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -19,7 +19,8 @@
 	Events *prometheus.CounterVec
 	// RequestsAnswered counts complete answers by account. Updated by Observe.
 	RequestsAnswered *prometheus.CounterVec
-	// ServedTokens counts the tokens of complete answers. Updated by Observe.
+	// ServedTokens counts the tokens of complete answers by account. Updated by
+	// Observe.
 	ServedTokens *prometheus.CounterVec
 	// RequestsRefused counts refused requests by code and execution. Updated by
 	// Observe.
@@ -74,8 +75,8 @@
 )
 
 var (
-	// waitBuckets range from the wait for a free slot to one longer than any timeout,
-	// in seconds.
+	// waitBuckets range from the wait when a slot is free to a wait longer than any
+	// timeout, in seconds.
 	waitBuckets = []float64{0.001, 0.005, 0.02, 0.1, 0.5, 2, 10, 60, 300}
 	// delayBuckets range up to several usage windows, in seconds.
 	delayBuckets = []float64{1, 5, 15, 60, 300, 900, 3600}
@@ -90,7 +91,7 @@
 
 		Events:           b.counter("events_total", "Events by number.", labelNumber),
 		RequestsAnswered: b.counter("requests_answered_total", "Requests whose caller received the complete answer.", labelAccount),
-		ServedTokens:     b.counter("served_tokens_total", "Tokens of complete answers: the service delivered.", labelAccount),
+		ServedTokens:     b.counter("served_tokens_total", "Tokens of complete answers, which measure the service that an account received.", labelAccount),
 		RequestsRefused:  b.counter("requests_refused_total", "Refused requests by failure code and by whether the request ran.", labelCode, labelExecution),
 		AttemptsFailed:   b.counter("attempts_failed_total", "Failed attempts by failure code.", labelCode),
 		Revision:         b.gauge("configuration_revision", "The configuration revision in force on this VM."),
@@ -103,9 +104,9 @@
 		SamplesDelivered: b.counter("samples_delivered_total", "Samples sent to trainers; samples of a repeated pull count again.", labelAccount),
 
 		UsageReports:    b.counter("usage_reports_total", "Usage reports that billing accepted.", labelAccount),
-		UsageIncomplete: b.counter("usage_reports_incomplete_total", "Usage reports that lack usage of a VM that died.", labelAccount),
+		UsageIncomplete: b.counter("usage_reports_incomplete_total", "Usage reports that lack usage of a dead VM.", labelAccount),
 		UsageCorrected:  b.counter("usage_reports_corrected_total", "Usage reports that correct an earlier window.", labelAccount),
-		UsageDelay:      b.plainHistogram("usage_report_delay_seconds", "Time from the end of a usage window until billing accepted its report.", delayBuckets),
+		UsageDelay:      b.unlabeledHistogram("usage_report_delay_seconds", "Time from the end of a usage window until billing accepted its report.", delayBuckets),
 	}
 }
 
@@ -135,7 +136,7 @@
 	return h
 }
 
-func (b builder) plainHistogram(name, help string, buckets []float64) prometheus.Histogram {
+func (b builder) unlabeledHistogram(name, help string, buckets []float64) prometheus.Histogram {
 	h := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets})
 	b.registerer.MustRegister(h)
 	return h
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -56,14 +56,14 @@
 	return 0
 }
 
-// expectation is the expected value of one metric.
-type expectation struct {
+// wantMetric is the expected value of one metric.
+type wantMetric struct {
 	name   string
 	labels []string
 	want   float64
 }
 
-func expect(t *testing.T, registry *prometheus.Registry, all []expectation) {
+func wantMetrics(t *testing.T, registry *prometheus.Registry, all []wantMetric) {
 	t.Helper()
 	for _, e := range all {
 		if got := valueOf(t, registry, e.name, e.labels...); got != e.want {
@@ -83,7 +83,7 @@
 		Stamp:   event.Stamp{WallMicros: 607_000_000},
 		Subject: event.Subject{Account: "brazicod", Count: 300, Detail: event.DetailCorrected},
 	})
-	expect(t, registry, []expectation{
+	wantMetrics(t, registry, []wantMetric{
 		{"usage_reports_total", []string{"brazicod"}, 1},
 		{"usage_reports_corrected_total", []string{"brazicod"}, 1},
 		{"usage_report_delay_seconds", nil, 1},
@@ -113,7 +113,7 @@
 		}
 		grant.Done(dispatch.Result{Cost: u.CentsPerHour, Failed: u.Reclaimable})
 	}
-	expect(t, registry, []expectation{
+	wantMetrics(t, registry, []wantMetric{
 		{"work_tokens_total", []string{"strathallan", "false"}, 300},
 		{"work_tokens_total", []string{"strathallan", "true"}, 90},
 		{"failed_work_tokens_total", []string{"strathallan", "true"}, 90},
@@ -124,7 +124,7 @@
 
 func TestUpstreamsReportsCountsAndPriceOfLive(t *testing.T) {
 	_, registry := newTestMetrics()
-	expect(t, registry, []expectation{
+	wantMetrics(t, registry, []wantMetric{
 		{"upstream_cents_per_hour", []string{"strathallan", "false"}, 300},
 		{"upstream_cents_per_hour", []string{"strathallan", "true"}, 90},
 		{"upstreams", []string{"engine", "false", "live"}, 1},
@@ -132,7 +132,7 @@
 	})
 }
 
-// waitingSteps answers each pull without samples after the pull's wait.
+// waitingSteps answers each pull after the pull's wait, without samples.
 type waitingSteps struct{ entry.Steps }
 
 func (waitingSteps) Samples(_ context.Context, _ contract.Account, _ string, pull sample.Pull) ([]sample.Sample, error) {
@@ -148,6 +148,6 @@
 				t.Fatal(err)
 			}
 		}
-		expect(t, registry, []expectation{{"trainer_idle_seconds_total", []string{"strathallan"}, 14}})
+		wantMetrics(t, registry, []wantMetric{{"trainer_idle_seconds_total", []string{"strathallan"}, 14}})
 	})
 }
--- a/internal/metrics/steps.go
+++ b/internal/metrics/steps.go
@@ -19,8 +19,8 @@
 // NewSteps returns a Steps that calls next and records the waits in m.
 func NewSteps(next entry.Steps, m *Metrics) *Steps { return &Steps{Steps: next, metrics: m} }
 
-// Samples implements entry.Steps. It records the duration of each pull, also if the
-// pull returns no sample, because the trainer was idle.
+// Samples implements entry.Steps. It records the duration of each pull, even if the
+// pull returns no sample, because the trainer is idle during a pull.
 func (s *Steps) Samples(ctx context.Context, account contract.Account, step string, pull sample.Pull) ([]sample.Sample, error) {
 	started := time.Now()
 	samples, err := s.Steps.Samples(ctx, account, step, pull)
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -22,8 +22,8 @@
 	client *Client
 	view   *contract.View
 	events *event.Recorder
-	// exchanging is true while exchanges of exchangeAll run and in the pause after
-	// them.
+	// exchanging is true while exchanges of exchangeAll run and for minExchangePause
+	// after them.
 	exchanging atomic.Bool
 }
 
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -26,8 +26,8 @@
 	PeerAddress   string
 }
 
-// Gossip exchanges digests with one peer in each period: usually a peer of its own
-// cell, sometimes a random VM of the fleet. The cost per VM does not grow with the
+// Gossip exchanges digests with one peer in each period: usually a cell peer,
+// sometimes a random VM of the fleet. The cost per VM does not grow with the
 // size of the fleet.
 type Gossip struct {
 	self        Identity
@@ -54,13 +54,14 @@
 	// demands instead of the current ones, so that all VMs compute quotas from the
 	// same data.
 	sentFlows []dispatch.FlowDemand
-	// sentUnreachable are the unreachable engines in this VM's latest digest. It is
-	// stored for the same reason, and because a call to the dispatcher from within
-	// Members would deadlock.
+	// sentUnreachable are the unreachable engines in this VM's latest digest. Members
+	// returns them for the same reason, and because a call to the dispatcher from
+	// within Members would deadlock.
 	sentUnreachable []uint32
 	// revisionReadAt is when a digest last caused a read of the revision.
 	revisionReadAt time.Time
-	// round holds the peers of the cell that remain in the present round.
+	// round holds the cell peers that have not been used yet in the present round of
+	// exchanges; see partner.
 	round []target
 	// exchangeCount is the number of calls of partner.
 	exchangeCount int
@@ -279,7 +280,7 @@
 	}
 }
 
-// partner returns the next peer to exchange with: each peer of the cell once in a
+// partner returns the next peer to exchange digests with: each cell peer once in a
 // round, in random order, and a random peer in every randomPeerEvery-th call.
 func (g *Gossip) partner() (target, bool) {
 	g.exchangeCount++
@@ -338,9 +339,9 @@
 const maxConfigPeers = 3
 
 // FetchConfig calls several random peers and returns their newest snapshot, or nil
-// if none is newer than the revision after. The duration is the shortest time since
-// one of these peers last knew its configuration to be current. FetchConfig fails if
-// no peer answers.
+// if none is newer than the revision after. The duration is the shortest age of a
+// configuration among these peers, that is the time since it was last known to be
+// current. FetchConfig fails if no peer answers.
 func (g *Gossip) FetchConfig(ctx context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error) {
 	addresses := g.Addresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -58,13 +58,13 @@
 	return all
 }
 
-func demandFor(slots uint32) []*peerpb.FlowDemand {
-	return []*peerpb.FlowDemand{{Pool: 1, Account: 2, Share: 100, Waiting: slots}}
+func demandFor(queued uint32) []*peerpb.FlowDemand {
+	return []*peerpb.FlowDemand{{Pool: 1, Account: 2, Share: 100, Waiting: queued}}
 }
 
-// waiting returns the number of queued requests that the node knows of a peer, or -1
-// if the peer is not a member.
-func (n *testNode) waiting(vm string) int {
+// queued returns the number of queued requests in the demands that the node knows of
+// a peer, or -1 if the peer is not a member.
+func (n *testNode) queued(vm string) int {
 	for _, m := range n.Members() {
 		if m.VM == vm {
 			sum := 0
@@ -77,6 +77,7 @@
 	return -1
 }
 
+// count returns the number of the node's events with the given number.
 func (n *testNode) count(number event.Number) (found int) {
 	for _, r := range n.events.Since(event.Stamp{}) {
 		if r.Number == number {
@@ -100,14 +101,14 @@
 	for _, d := range []*peerpb.Digest{second, first, second, old, first, old} {
 		n.Receive(d)
 	}
-	if got := n.waiting("vm-a2"); got != 3 {
+	if got := n.queued("vm-a2"); got != 3 {
 		t.Fatalf("the peer has %d queued requests, want the 3 of its latest digest", got)
 	}
 }
 
 // A defective peer sends a huge demand and share for many accounts, and a revision
-// that does not exist. This may distort fairness until its next digest, within
-// limits, but must not make VMs read the store for each digest.
+// that does not exist. Until the peer's next digest this may distort fairness within
+// limits, but it must not make VMs read the store for each digest.
 func TestReceiveLimitsWrongDigest(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
 	n.SetVMs(listVMs("vm-a1", "vm-a2"))
@@ -136,14 +137,14 @@
 	right := peer.Digest()
 	right.Flows = demandFor(1)
 	n.Receive(right)
-	if got := n.waiting("vm-a2"); got != 1 {
+	if got := n.queued("vm-a2"); got != 1 {
 		t.Errorf("after the next digest the peer has %d queued requests, want 1", got)
 	}
 }
 
 // All digests of a peer are lost, or the peer is dead but still in the platform's
-// list. Its quotas must go to the other VMs after a timeout, and return with its
-// next digest.
+// list. Its quotas must go to the other VMs after a timeout, and return to the peer
+// with its next digest.
 func TestPeerWithoutDigestsIsUnresponsiveAfterTimeout(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
 	n.SetVMs(listVMs("vm-a1", "vm-a2", "vm-a3"))
@@ -156,18 +157,18 @@
 		t.Fatalf("the timeout is %v, want at most 10s", timeout)
 	}
 	n.updateStates(now.Add(timeout - time.Second))
-	if n.waiting("vm-a2") < 0 {
+	if n.queued("vm-a2") < 0 {
 		t.Fatal("the peer was removed from the members before the timeout")
 	}
 	n.updateStates(now.Add(timeout + time.Second))
-	if n.waiting("vm-a2") >= 0 {
+	if n.queued("vm-a2") >= 0 {
 		t.Fatal("the peer is still a member after the timeout")
 	}
 	if n.count(event.PeerSilent) != 2 {
 		t.Errorf("%d events of unresponsive peers, want 2", n.count(event.PeerSilent))
 	}
 	n.Receive(peer.Digest())
-	if n.waiting("vm-a2") < 0 || n.count(event.PeerReturned) != 1 {
+	if n.queued("vm-a2") < 0 || n.count(event.PeerReturned) != 1 {
 		t.Error("the peer is not a member again after its digest")
 	}
 }
@@ -182,7 +183,7 @@
 		_ = n.exchange(t.Context(), target{vm: "vm-a2", address: n.VMs()[0].PeerAddress})
 	}
 	n.updateStates(time.Now())
-	if n.waiting("vm-a2") >= 0 {
+	if n.queued("vm-a2") >= 0 {
 		t.Fatal("the dead peer is still a member")
 	}
 }
@@ -198,21 +199,21 @@
 }
 
 // A VM has started and sends digests, but is not in the platform's list yet. It must
-// be a member, and be deleted if its digests stop before it is listed.
+// be a member, and its state must be deleted if its digests stop before it is listed.
 func TestUnlistedPeerIsMemberWhileItSendsDigests(t *testing.T) {
 	n := newTestNode("vm-a1", "a", testPeriod)
 	n.Receive(newTestNode("vm-a9", "a", testPeriod).Digest())
-	if n.waiting("vm-a9") < 0 {
+	if n.queued("vm-a9") < 0 {
 		t.Fatal("the new VM is not a member")
 	}
 	n.updateStates(time.Now().Add(time.Minute))
-	if n.waiting("vm-a9") >= 0 || len(n.peers) != 0 {
+	if n.queued("vm-a9") >= 0 || len(n.peers) != 0 {
 		t.Fatal("the state of the dead unlisted VM still exists")
 	}
 }
 
-// Every VM sends a digest every second, so digests must stay small with any number
-// of accounts and models.
+// Every VM sends a digest every second, so digests must stay small however many
+// accounts and models there are.
 func TestDigestSizeIsLimited(t *testing.T) {
 	n := newTestNode("vm-tayside-a-017", "tayside-north-a", testPeriod)
 	for i := range 300 {
@@ -268,9 +269,9 @@
 
 func (zeroAge) Age() time.Duration { return 0 }
 
-// In a large fleet, a VM receives a digest of a given other VM only once in many
-// minutes. The answer to an operator's edit must still tell soon where the edit is
-// in force, and a VM that does not answer must not count as confirmed.
+// In a large fleet, a VM receives a digest of any given other VM only once in many
+// minutes. The answer to an operator's edit must still show soon where the edit is
+// in force, and must not count a VM that does not answer as confirmed.
 func TestInForceExchangesWithOutdatedVMs(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -34,18 +34,18 @@
 	// which a peer is unresponsive.
 	failuresUntilUnresponsive = 2
 	// unresponsiveRounds is the number of rounds through the cell without a digest
-	// after which a peer of the cell is unresponsive.
+	// after which a cell peer is unresponsive.
 	unresponsiveRounds = 3
 	// minUnresponsivePeriods is the lower limit of unresponsiveTimeout in periods; it
 	// applies to small cells.
 	minUnresponsivePeriods = 6
 	// randomPeerEvery is the number of exchanges of which one goes to a random peer
-	// instead of one of the cell.
+	// instead of a cell peer.
 	randomPeerEvery = 4
 )
 
-// unresponsiveTimeout returns the time without a digest after which a peer of the
-// cell is unresponsive and its quotas of the engines go to the other VMs.
+// unresponsiveTimeout returns the time without a digest after which a cell peer is
+// unresponsive and its quotas of the engines go to the other VMs.
 func unresponsiveTimeout(period time.Duration, cellPeers int) time.Duration {
 	periods := unresponsiveRounds * cellPeers * randomPeerEvery / (randomPeerEvery - 1)
 	return time.Duration(max(minUnresponsivePeriods, periods)) * period
@@ -69,8 +69,8 @@
 // Members returns the VMs that share the engines: this VM, the listed VMs that are
 // not unresponsive, and VMs that send digests but are not listed yet.
 //
-// The list may be stale, and this VM may be cut off from the list or from peers.
-// This affects only the quotas of the engines, and only until the list or the
+// The list may be stale, and this VM may be cut off from the platform or from peers.
+// This affects only the quotas of the engines, and only until a newer list or the
 // peer's next digest arrives.
 func (g *Gossip) Members() []dispatch.Member {
 	g.mu.Lock()
@@ -132,8 +132,8 @@
 			delete(g.peers, id)
 			continue
 		}
-		// Digests of peers outside the cell arrive at random intervals, so that only
-		// failed exchanges count for these peers.
+		// Digests of peers outside the cell arrive at random intervals, so only failed
+		// exchanges count for these peers.
 		g.setUnresponsive(id, state, state.failures >= failuresUntilUnresponsive || (inCell[id] && overdue))
 	}
 }
@@ -159,9 +159,8 @@
 	g.events.Emit(number, event.Subject{Peer: id})
 }
 
-// Limits on the contents of a received digest. They limit a wrong digest to the
-// effect of accounts with the largest share, until the next digest of its sender
-// arrives.
+// Limits on the contents of a received digest. A wrong digest has at most the effect of
+// accounts with the largest share, until the next digest of its sender arrives.
 const (
 	maxFlows = 12
 	maxSlots = 4096
