--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -43,14 +43,15 @@
 	Next time.Duration
 }
 
-// DefaultPatience is what NewClient uses.
+// DefaultPatience holds the stream timeouts of a client that NewClient returns.
 var DefaultPatience = Patience{First: 2 * time.Minute, Next: 20 * time.Second}
 
 // Client is an HTTP client of model engines. It is safe for concurrent use.
 type Client struct {
 	http     *http.Client
 	timeouts Patience
-	// orders sends orders, which are guarded by a lease; see package fence.
+	// orders is the HTTP client for orders, which are guarded by a lease; see package
+	// fence.
 	orders *http.Client
 }
 
@@ -81,7 +82,7 @@
 // Stream runs one completion at the engine's address and calls sink for each chunk
 // in the order of the stream. It returns nil only after the terminal event.
 // Otherwise it fails with *fault.UpstreamFailed, *fault.AnswerTruncated or the
-// error of sink. Each error states whether the engine executed the request; see
+// error of sink. Each error states whether the request ran; see
 // fault.WithExecution.
 func (c *Client) Stream(ctx context.Context, address string, request CompletionRequest, sink func(CompletionChunk) error) error {
 	request.Stream = true
@@ -179,7 +180,7 @@
 
 // Order sends an order. It fails with *fault.OrderFenced if the engine has seen a
 // newer epoch, and with *fault.UpstreamFailed if the engine does not confirm the
-// order; then the outcome may be unknown, and the order may be sent again with the
+// order; the outcome may then be unknown, and the order may be sent again with the
 // same ID.
 func (c *Client) Order(ctx context.Context, address string, order Order) error {
 	response, err := c.post(ctx, c.orders, address+PathOrders, order.ID, order)
@@ -197,8 +198,8 @@
 	}
 }
 
-// post sends a body as JSON. Its errors state whether the request was executed:
-// without a connection no byte was sent, so it was not; after that it is unknown.
+// post sends a body as JSON. Its errors state whether the request ran: without a
+// connection no byte was sent, so it did not run; with a connection this is unknown.
 func (c *Client) post(ctx context.Context, client *http.Client, target, requestID string, body any) (*http.Response, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -8,8 +8,8 @@
 )
 
 // FuzzReadStream reads what an engine may send, and what another process may send
-// if addresses are mixed up. A stream must not pass as complete without its
-// terminal event, nor a chunk of another request as one of this.
+// if addresses are mixed up. readStream must not accept a stream without its
+// terminal event as complete, nor deliver a chunk of another request.
 func FuzzReadStream(f *testing.F) {
 	const chunk = `data: {"id":"r1","choices":[{"offset":0,"tokens":["a"]}]}` + "\n\n"
 	for _, seed := range []string{
--- a/internal/engine/wire.go
+++ b/internal/engine/wire.go
@@ -21,8 +21,8 @@
 )
 
 // StatusNotServed is the answer to a completions request whose model or adapter the
-// engine does not serve. The protocol guarantees that such a request was not executed;
-// no other status guarantees that.
+// engine does not serve. The protocol guarantees that such a request did not run; no
+// other status guarantees that.
 const StatusNotServed = http.StatusNotFound
 
 // CompletionRequest asks for a completions stream. Each attempt builds its own
@@ -47,7 +47,7 @@
 	Choices []CompletionChoice `json:"choices"`
 	// WeightVersion is the version of the weights that produced the tokens.
 	WeightVersion int64 `json:"weight_version"`
-	// Incarnation identifies one run of the engine process; it changes at a restart.
+	// Incarnation identifies the engine process; it changes at each restart.
 	Incarnation string `json:"incarnation"`
 }
 
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -104,8 +104,8 @@
 }
 
 // withdraw commits the withdrawal of a key. For a key that is already withdrawn it
-// returns the existing entry: a second one would show an edit without effect in the
-// history.
+// returns the entry of that withdrawal: a second entry would show an edit without effect
+// in the history.
 func (s *Server) withdraw(ctx context.Context, edit contract.Edit, subject contract.Subject) (EditAnswer, error) {
 	if subject.Key.Withdrawn {
 		entries, err := s.Editor.History(ctx, subject.Revision-1, 1)
@@ -134,7 +134,7 @@
 }
 
 // awaitConfirmation waits until an entry is in force on all VMs, at most for
-// confirmTimeout, and returns where it is in force by then.
+// confirmTimeout, and returns the VMs on which it is in force by then.
 func (s *Server) awaitConfirmation(ctx context.Context, entry contract.Entry) EditAnswer {
 	answer := EditAnswer{Entry: withoutHash(entry)}
 	deadline := time.Now().Add(confirmTimeout)
--- a/internal/operator/events.go
+++ b/internal/operator/events.go
@@ -14,7 +14,7 @@
 // EventsAnswer is the answer of GET /v1/events: the merged events of all VMs.
 type EventsAnswer struct {
 	Events []event.Record `json:"events"`
-	// Missing names the VMs that did not answer; Events has none of theirs.
+	// Missing lists the VMs that did not answer; Events contains none of their events.
 	Missing []string `json:"missing"`
 }
 
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -69,7 +69,7 @@
 type Domain struct {
 	FailureDomain string `json:"failureDomain"`
 	VMs           int    `json:"vms"`
-	// Heard counts the VMs with a recent report of their revision (see unresponsiveAfter).
+	// Heard counts the VMs that recently reported their revision; see unresponsiveAfter.
 	Heard int `json:"heard"`
 	// Revision is the lowest revision in force on the VMs counted by Heard.
 	Revision  contract.Revision `json:"revision"`
@@ -78,9 +78,10 @@
 	CutOff bool `json:"cutOff"`
 }
 
-// Confirmation tells on which VMs a revision is in force.
+// Confirmation lists the VMs on which a revision is in force, and those on which it is
+// not known to be.
 type Confirmation struct {
-	// Confirmed names the VMs where the revision is known to be in force, Pending all
+	// Confirmed lists the VMs on which the revision is known to be in force, Pending all
 	// others.
 	Confirmed []string `json:"confirmed"`
 	Pending   []string `json:"pending"`
@@ -96,10 +97,13 @@
 	CutOff bool `json:"cutOff"`
 }
 
-// unresponsiveAfter is the age of a VM's latest report above which the VM counts as
-// unresponsive. It is several times the interval at which VMs exchange digests.
+// unresponsiveAfter is the age of the latest report of a VM's revision above which the
+// VM counts as unresponsive. It is several times the period of the exchange of digests
+// between VMs.
 const unresponsiveAfter = 10 * time.Second
 
+// heardRecently reports whether the VM's latest report is not older than
+// unresponsiveAfter.
 func (v VMRevision) heardRecently() bool {
 	return v.Known && v.HeardMillis <= unresponsiveAfter.Milliseconds()
 }
@@ -194,11 +198,11 @@
 	return s.Steps.Steps(r.Request.Context(), r.QueryParameter("account"))
 }
 
-// defaultUsageSpan is how far back the list of reports goes if the request has no "from".
-// The store retains reports for years, and a list must not read all of them.
+// defaultUsageSpan is how far back the list of usage reports goes if the request has no
+// "from". The store retains reports for years, and a list must not read all of them.
 const defaultUsageSpan = 24 * time.Hour
 
-// listUsage lists the reports since the time of the query parameter "from".
+// listUsage lists the usage reports since the time of the query parameter "from".
 func (s *Server) listUsage(r *restful.Request) (any, error) {
 	from := time.Now().Add(-defaultUsageSpan).Unix()
 	if text := r.QueryParameter("from"); text != "" {
@@ -211,7 +215,7 @@
 	return s.Usage.ReportsSince(r.Request.Context(), from)
 }
 
-// windowUsage lists the reports of one usage window.
+// windowUsage lists the usage reports of one usage window.
 func (s *Server) windowUsage(r *restful.Request) (any, error) {
 	at, err := secondsParameter("window", r.PathParameter("window"))
 	if err != nil {
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -36,14 +36,14 @@
 	InForce InForce          `json:"inForce"`
 }
 
-// InForce tells when an edit came into force on the VMs that are known now.
+// InForce holds the times when an edit came into force on the VMs that are known now.
 type InForce struct {
 	// Everywhere is when the last VM applied the edit; nil unless the time is known for
 	// every VM.
 	Everywhere *time.Time `json:"everywhere,omitempty"`
-	// VMs has the VMs for which the time is known.
+	// VMs lists the VMs for which the time is known.
 	VMs []VMInForce `json:"vms"`
-	// NotKnown names the VMs that did not answer, that started after the edit, or whose
+	// NotKnown lists the VMs that did not answer, that started after the edit, or whose
 	// ring buffer no longer contains the event.
 	NotKnown []string `json:"notKnown"`
 }
@@ -245,10 +245,10 @@
 	return answer
 }
 
-// firstApplied returns when a VM first had a revision in force, and whether that is
-// known. It is not known if the VM's oldest retained event names a later revision: the VM
-// may have applied the revision long before, with an event that its ring buffer has
-// dropped or that was lost in a restart.
+// firstApplied returns when a VM first had a revision in force, and whether that time is
+// known. It is not known if the oldest RevisionApplied event that the VM holds names a
+// later revision: the VM may have applied the revision long before, with an event that
+// its ring buffer has dropped or that was lost in a restart.
 func firstApplied(applied []appliedRevision, revision contract.Revision) (time.Time, bool) {
 	for i, a := range applied {
 		if a.revision < revision {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -46,7 +46,7 @@
 	VM            string            `json:"vm"`
 	FailureDomain string            `json:"failureDomain"`
 	Revision      contract.Revision `json:"revision"`
-	// HeardMillis is the age of the VM's latest report, in milliseconds.
+	// HeardMillis is the age of the VM's latest report of its revision, in milliseconds.
 	HeardMillis int64 `json:"heardMillis"`
 	Draining    bool  `json:"draining"`
 	// Known is false if the VM has never reported its revision.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -32,7 +32,7 @@
 type fakeEditor struct {
 	subjects map[string]contract.Subject
 	entries  []contract.Entry
-	// conflicts is the number of next edits that fail because of a concurrent edit.
+	// conflicts is the number of following edits that fail because of a concurrent edit.
 	conflicts int
 }
 
@@ -173,8 +173,8 @@
 	}
 }
 
-// Guards against an answer that only says "accepted" while a failure domain is cut off: the
-// operator would believe that the key is invalid everywhere.
+// Guards against an answer that only says that the edit was accepted while a failure domain
+// is cut off: the operator would believe that the key is invalid everywhere.
 func TestWithdrawalNamesCutOffFailureDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness()
@@ -204,8 +204,8 @@
 	})
 }
 
-// A key is withdrawn twice, by two operators or by one to be safe. The history must show
-// one edit.
+// A key is withdrawn twice, by two operators or by one who repeats the withdrawal to be
+// safe. The history must show one edit.
 func TestSecondWithdrawalReturnsTheFirstEntry(t *testing.T) {
 	h := newHarness()
 	h.grant("k1")
@@ -290,8 +290,9 @@
 	}
 }
 
-// The time of an edit is not known for a VM that was replaced, has dropped old events or is
-// cut off. Guards against a time inferred from its later events.
+// The time at which an edit came into force is not known for a VM that was replaced, has
+// dropped old events or is cut off. Guards against a time inferred from the VM's later
+// events.
 func TestInForceTimesOmitsUnknownTimes(t *testing.T) {
 	applied := appliedByVM([]event.Record{
 		revisionApplied("whole", 1, 1), revisionApplied("whole", 3, 3),
@@ -309,8 +310,8 @@
 	}
 }
 
-// Operators need the status during an outage of the store. It must have what the VM knows
-// and mark the leases as unknown.
+// Operators need the status during an outage of the store. It must contain what the VM
+// knows and mark the leases as unknown.
 func TestStatusAnswersDuringStoreOutage(t *testing.T) {
 	h := newHarness()
 	h.fleet.vms = []VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 7, Known: true}}
@@ -380,8 +381,8 @@
 	}
 }
 
-// Operators write contracts by the page. Guards against fields missing there and against
-// wrong defaults.
+// Operators write contracts from the operators' page. Guards against fields that are missing
+// there and against wrong defaults.
 func TestOperatingPageListsTheFieldsOfAContract(t *testing.T) {
 	fields := doccheck.Column(t, "docs/OPERATIONS.md", "contract", 0)
 	defaults := doccheck.Column(t, "docs/OPERATIONS.md", "contract", 1)
@@ -395,7 +396,8 @@
 	}
 }
 
-// Guards against calls that are missing on the page or exist only there.
+// Guards against calls of the operators' API that are missing on the API page or exist only
+// there.
 func TestAPIPageListsTheOperatorsRoutes(t *testing.T) {
 	var routes []string
 	for _, route := range newHarness().server.api().Routes() {
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,6 +1,6 @@
 // Package service is the client of plain services, which answer each call with one
-// body. It builds each upstream request itself, without the caller's other headers,
-// and returns only complete answers.
+// body. It builds each request to an upstream itself, with none of the caller's headers
+// except Content-Type and Accept, and returns only complete answers.
 package service
 
 import (
@@ -76,7 +76,8 @@
 
 // Do sends the call to the service at address. It fails with *fault.UpstreamFailed or
 // *fault.AnswerTruncated. sent reports whether any byte of the request may have been
-// sent; the execution stated by the error agrees with it (see fault.WithExecution).
+// sent. The error states the execution accordingly: fault.NotRun if sent is false,
+// otherwise fault.Unknown; see fault.WithExecution.
 func (c *Client) Do(ctx context.Context, address string, call Call) (answer Answer, sent bool, err error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -119,8 +120,8 @@
 
 // bodyOf returns a body that the transport can't rewind. Otherwise the transport
 // would send the request again by itself when an idle connection turns out to be
-// closed: a call that must not be repeated could be executed twice, and a GET would
-// be retried outside the retry budget. For the same reason the caller's
+// closed: a call that must not be repeated could run twice, and a GET would be
+// retried outside the retry budget. For the same reason the caller's
 // Idempotency-Key is not forwarded: with it the transport would repeat a POST
 // without a body.
 func bodyOf(call Call) io.Reader {
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -8,7 +8,7 @@
 	"dogwoodpond/internal/event"
 )
 
-// Standing is the health state of an upstream. It decides which requests the upstream
+// Standing is the health state of an upstream. It determines which requests the upstream
 // gets.
 type Standing int
 
@@ -16,9 +16,10 @@
 const (
 	// Healthy upstreams get requests.
 	Healthy Standing = iota
-	// Probing upstreams get one request, the probe, because their ejection has ended.
+	// Probing upstreams get one request, the probe, because the duration of their
+	// ejection has passed.
 	Probing
-	// Ejected upstreams get no requests, or no further ones while their probe runs.
+	// Ejected upstreams get no requests; this includes upstreams whose probe is running.
 	Ejected
 )
 
@@ -36,12 +37,12 @@
 	// minTokenTimeSamples is the number of answers that an average token time needs
 	// before it is used.
 	minTokenTimeSamples = 8
-	// tokenTimeSmoothing is the weight of the latest answer in the average token time.
+	// tokenTimeSmoothing is the share of the latest answer in the average token time.
 	tokenTimeSmoothing = 0.1
 	// minPoolSizePerEjection limits ejections to half of a pool: a pool needs this many
-	// upstreams for each that is ejected. A fault that all upstreams seem to have is
-	// likely to be a fault of the network or of the requests, and to eject all of them
-	// would turn slow service into no service.
+	// upstreams for each one that is ejected. If all upstreams seem to fail, the cause
+	// is probably the network or the requests, and ejecting all of them would turn slow
+	// service into no service.
 	minPoolSizePerEjection = 2
 )
 
@@ -69,7 +70,7 @@
 	records map[string]*record
 }
 
-// NewHealth returns a Health to which all upstreams are healthy.
+// NewHealth returns a Health in which all upstreams are healthy.
 func NewHealth(events *event.Recorder) *Health {
 	return &Health{events: events, records: make(map[string]*record)}
 }
@@ -227,8 +228,8 @@
 	}
 }
 
-// Keep removes the records of all upstreams that are not in ids, so that records of
-// upstreams that no longer exist do not accumulate.
+// Keep removes the health records of all upstreams that are not in ids, so that records
+// of upstreams that no longer exist do not accumulate.
 func (h *Health) Keep(ids map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -53,7 +53,7 @@
 // Set stores a report.
 func (l *Loads) Set(id string, r Report) { l.reports.Store(id, r) }
 
-// noteMiss counts a failed poll. The latest report stays and keeps its time.
+// noteMiss counts a failed poll. The latest report and its time do not change.
 func (l *Loads) noteMiss(id string) {
 	r, _ := l.Get(id)
 	r.Misses++
@@ -80,8 +80,8 @@
 	reader   LoadReader
 	loads    *Loads
 	interval time.Duration
-	// engines returns the engines to poll: those to which this VM may send requests.
-	// Their number does not grow with the fleet.
+	// engines returns the engines to poll, which are those to which this VM may send
+	// requests. Their number does not grow with the fleet.
 	engines func() []platformapi.Upstream
 }
 
--- a/internal/upstream/loads_test.go
+++ b/internal/upstream/loads_test.go
@@ -14,7 +14,7 @@
 	"dogwoodpond/internal/platformapi"
 )
 
-// flakyEngine answers load polls unless down is set.
+// flakyEngine is a fake engine that answers polls of its load unless down is set.
 type flakyEngine struct{ down atomic.Bool }
 
 func (e *flakyEngine) LoadReport(context.Context, string) (engine.Load, error) {
@@ -24,9 +24,9 @@
 	return engine.Load{Running: 3, Model: "berry-1"}, nil
 }
 
-// An engine stops answering polls of its load and later answers again. Its last report
-// must stay, with its original time and the number of failed polls since; the next answer
-// must reset that number.
+// An engine stops answering polls of its load and later answers again. The latest report
+// must remain, with its original time and the number of failed polls since then; the next
+// answer must reset that number.
 func TestPollerCountsFailedPolls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
