--- a/internal/entry/idempotency_test.go
+++ b/internal/entry/idempotency_test.go
@@ -183,9 +183,9 @@
 	desk := newChargingDesk(first, second)
 	first.serve()
 	second.serve()
-	const repeats = 16
-	answers := make(chan answer, repeats)
-	for n := range repeats {
+	const duplicates = 16
+	answers := make(chan answer, duplicates)
+	for n := range duplicates {
 		h := []*harness{first, second}[n%2]
 		go func() {
 			got, err := h.try(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
@@ -196,7 +196,7 @@
 		}()
 	}
 	served := 0
-	for range repeats {
+	for range duplicates {
 		got := <-answers
 		switch {
 		case got.status == http.StatusOK && string(got.body) == "charge 1":
@@ -224,9 +224,9 @@
 	}
 	desk.setHook(nil)
 	for _, vm := range []*harness{h, h.peer()} {
-		repeat := vm.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
-		if repeat.status != http.StatusConflict || repeat.refusal.Execution != fault.Unknown {
-			t.Errorf("repeat: %d %s", repeat.status, repeat.body)
+		duplicate := vm.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+		if duplicate.status != http.StatusConflict || duplicate.refusal.Execution != fault.Unknown {
+			t.Errorf("duplicate: %d %s", duplicate.status, duplicate.body)
 		}
 	}
 	if desk.count("tree 17") != 1 {
@@ -246,9 +246,9 @@
 	}
 	second := h.peer()
 	desk := newChargingDesk(second)
-	repeat := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
-	if repeat.status != http.StatusOK || desk.count("tree 17") != 1 {
-		t.Errorf("repeat: %d %s, %d charges", repeat.status, repeat.body, desk.count("tree 17"))
+	duplicate := second.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	if duplicate.status != http.StatusOK || desk.count("tree 17") != 1 {
+		t.Errorf("duplicate: %d %s, %d charges", duplicate.status, duplicate.body, desk.count("tree 17"))
 	}
 }
 
@@ -263,9 +263,9 @@
 		t.Errorf("first: %d %s", first.status, first.body)
 	}
 	h.tables.down.Store(false)
-	repeat := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
-	if repeat.refusal.Execution != fault.Unknown || desk.count("tree 17") != 1 {
-		t.Errorf("repeat: %d %s, %d charges", repeat.status, repeat.body, desk.count("tree 17"))
+	duplicate := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	if duplicate.refusal.Execution != fault.Unknown || desk.count("tree 17") != 1 {
+		t.Errorf("duplicate: %d %s, %d charges", duplicate.status, duplicate.body, desk.count("tree 17"))
 	}
 }
 
@@ -300,9 +300,9 @@
 		t.Error("the call was cancelled when its caller disconnected")
 	}
 	desk.setHook(nil)
-	repeat := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
-	if repeat.status != http.StatusOK || string(repeat.body) != "charge 1" {
-		t.Errorf("repeat: %d %s", repeat.status, repeat.body)
+	duplicate := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", withIdempotencyKey)
+	if duplicate.status != http.StatusOK || string(duplicate.body) != "charge 1" {
+		t.Errorf("duplicate: %d %s", duplicate.status, duplicate.body)
 	}
 }
 
