--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -13,8 +13,8 @@
 // App is the command-line application.
 type App struct {
 	kingpin *kingpin.Application
-	// out receives results. notes receives messages for people, so that programs can
-	// parse out.
+	// out receives results. notes receives messages for people, which programs that parse
+	// out must not see.
 	out   io.Writer
 	notes io.Writer
 
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -38,8 +38,8 @@
 }
 
 // Call makes one call and decodes the answer into reply. It fails with
-// *fault.PeerUnavailable if the VM was not reached, with *AnswerLost if the call may have
-// taken effect, and with *Refused if the VM answered with an error.
+// *fault.PeerUnavailable if the VM was not reached, with *AnswerLost if the call was sent
+// but not answered completely, and with *Refused if the VM answered with an error.
 func (c *Client) Call(ctx context.Context, method, path string, body, reply any, headers ...Header) error {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/ctl/contracts.go
+++ b/internal/ctl/contracts.go
@@ -67,8 +67,8 @@
 	return wanted, nil
 }
 
-// subject reads a contract and its revision from the store; without a contract the
-// revision is 0.
+// subject reads the contract of an account and its revision from the store. If there is no
+// contract, the revision is 0.
 func (a *App) subject(account contract.Account) (contract.Subject, error) {
 	var found contract.Subject
 	err := a.client().Call(context.Background(), http.MethodGet, contractRoute(account), nil, &found)
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -36,7 +36,7 @@
 )
 
 // fakeFleet is a fleet of one VM that applies every revision at once, and of the VMs in
-// pending, which may not have applied it.
+// pending, which need not have applied it.
 type fakeFleet struct {
 	events  *event.Recorder
 	pending []operator.VMRevision
@@ -55,7 +55,7 @@
 	address string
 	tables  *memtables.Tables
 	fleet   *fakeFleet
-	// loseAnswers is the number of next edits that take effect but are not answered.
+	// loseAnswers is the number of following edits that take effect but are not answered.
 	loseAnswers atomic.Int32
 }
 
@@ -162,7 +162,7 @@
 }
 
 // The connection fails after an edit was accepted and before its answer arrives. Guards
-// against a retry with the same ID that makes a second edit or conflicts with the first.
+// against a retry with the same ID that makes a second edit or conflicts with the first one.
 func TestRetryAfterLostAnswerEditsOnce(t *testing.T) {
 	h := newHarness(t)
 	file := contractFile(t, `{"account":"brazicod","share":300}`)
@@ -177,8 +177,8 @@
 	}
 }
 
-// The answer to a grant is lost. Only the tool knows the secret: without the key file it
-// would be lost too, and a retry would grant a second key.
+// The answer to a grant is lost. Only the tool knows the key's secret: without the key file
+// the secret would be lost too, and a retry would grant a second key.
 func TestGrantRetriedAfterLostAnswerKeepsItsKey(t *testing.T) {
 	h := newHarness(t)
 	h.mustRun(t, "contract", "apply", contractFile(t, `{"account":"brazicod"}`))
@@ -412,8 +412,8 @@
 	}
 }
 
-// Scripts decide by the exit code. Guards against codes that differ from the page, which
-// would make scripts retry refused edits or abandon accepted ones.
+// Scripts decide by the exit code. Guards against codes that differ from the operators'
+// page, which would make scripts retry refused edits or treat accepted ones as failed.
 func TestOperatingPageListsTheExitCodes(t *testing.T) {
 	numbers := doccheck.Column(t, "docs/OPERATIONS.md", "exit-codes", 0)
 	lists := doccheck.Column(t, "docs/OPERATIONS.md", "exit-codes", 2)
--- a/internal/ctl/edits.go
+++ b/internal/ctl/edits.go
@@ -47,9 +47,9 @@
 	flags         editFlags
 }
 
-// sendEdit makes an edit and waits as --wait says. If the outcome is not known it fails
-// with *fault.EditOutcomeUnknown and the edit's ID, since only a retry with the same ID is
-// sure not to make the edit twice.
+// sendEdit makes an edit and waits for its confirmation at most as long as --wait says. If the outcome is not known it fails
+// with *fault.EditOutcomeUnknown and the edit's ID, since only a retry with the same ID
+// can't make the edit twice.
 func (a *App) sendEdit(e editRequest) (operator.EditAnswer, error) {
 	var answer operator.EditAnswer
 	if *a.who == "" {
@@ -64,7 +64,7 @@
 	if err != nil {
 		return answer, err
 	}
-	return answer, a.awaitInForce(&answer, *e.flags.wait)
+	return answer, a.awaitConfirmation(&answer, *e.flags.wait)
 }
 
 // outcomeUnknown reports whether an edit that failed with err may have been accepted: the
@@ -74,12 +74,13 @@
 	return fault.Is[*AnswerLost](err) || err != nil && (code == fault.CodeStoreUnavailable || code == fault.CodeInternal)
 }
 
-// confirmPollInterval is the interval at which awaitInForce polls where an edit is in
+// confirmPollInterval is the interval at which awaitConfirmation polls where an edit is in
 // force.
 const confirmPollInterval = 500 * time.Millisecond
 
-// awaitInForce polls until the edit is in force on all VMs, at most for wait.
-func (a *App) awaitInForce(answer *operator.EditAnswer, wait time.Duration) error {
+// awaitConfirmation polls until the edit is in force on all VMs, at most for wait. It fails
+// with *fault.EditPending if the edit is pending then.
+func (a *App) awaitConfirmation(answer *operator.EditAnswer, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
@@ -123,7 +124,7 @@
 }
 
 // pendingLines returns a line for each failure domain where an edit is not known to be in
-// force; for a withdrawal it says how long the key may remain valid there.
+// force. For a withdrawal the line says how long the key may remain valid there.
 func pendingLines(answer operator.EditAnswer) []string {
 	var lines []string
 	for _, d := range answer.PendingDomains {
--- a/internal/ctl/evacuations.go
+++ b/internal/ctl/evacuations.go
@@ -15,18 +15,19 @@
 // Evacuation is one evacuation of a failure domain, according to the events of the VMs.
 type Evacuation struct {
 	Domain string `json:"domain"`
-	// Began is when the first VM learned of it, Known when the last one did.
+	// Began is when the first VM learned of the evacuation, Known when the last one did.
 	Began time.Time `json:"began"`
 	Known time.Time `json:"known"`
-	// VMs counts the VMs that learned of it. Upstreams is the largest number of upstreams
-	// in the failure domain that one of these VMs reported.
+	// VMs counts the VMs that learned of the evacuation. Upstreams is the largest number of
+	// upstreams in the failure domain that one of these VMs reported.
 	VMs       int   `json:"vms"`
 	Upstreams int64 `json:"upstreams"`
-	// Restored counts the VMs that learned of its end, Ended is when the last one did.
+	// Restored counts the VMs that learned of the end of the evacuation, Ended is when the
+	// last one did.
 	Restored int       `json:"restored"`
 	Ended    time.Time `json:"ended,omitzero"`
 
-	// known has the names of the VMs that learned of the evacuation.
+	// known is the set of the VMs that learned of the evacuation.
 	known map[string]bool
 }
 
--- a/internal/ctl/evacuations_test.go
+++ b/internal/ctl/evacuations_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Guards against output that does not match the operators' page.
+// Guards against output of the command that does not match the operators' page.
 func TestEvacuationsOfLogs(t *testing.T) {
 	dir := t.TempDir()
 	a := newVMLog(t, dir, "vm-a")
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -16,7 +16,7 @@
 	ExitNotFound = 4
 	// ExitConflict is an edit that conflicts with an edit of another operator.
 	ExitConflict = 5
-	// ExitUnavailable is a VM or store that did not answer; nothing was edited.
+	// ExitUnavailable is a VM or store that did not answer; no edit was made.
 	ExitUnavailable = 6
 	// ExitPending is an accepted edit that was not known to be in force on all VMs within
 	// the time of --wait.
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -16,11 +16,11 @@
 	"dogwoodpond/internal/operator"
 )
 
-// Explanation tells what happened to a request, or to an item of a step.
+// Explanation describes what happened to a request, or to an item of a step.
 type Explanation struct {
 	Request string `json:"request"`
 	Account string `json:"account"`
-	// Attempts counts the dispatches found in the events.
+	// Attempts counts the dispatched attempts found in the events.
 	Attempts int `json:"attempts"`
 	// Outcome is one of the outcome constants.
 	Outcome string        `json:"outcome"`
@@ -28,10 +28,10 @@
 	// Partial is true if the request's first event was not found, so that attempts may be
 	// missing.
 	Partial bool `json:"partial"`
-	// Missing names the VMs that did not answer; Lines has none of their events.
+	// Missing lists the VMs that did not answer; Lines contains none of their events.
 	Missing []string `json:"missing"`
 
-	// seen has the upstreams named in the request's events.
+	// seen is the set of the upstreams named in the request's events.
 	seen map[string]bool
 }
 
@@ -121,7 +121,7 @@
 	return own, nil
 }
 
-// callsOf returns the request IDs of an item's score calls.
+// callsOf returns the set of the request IDs of an item's score calls.
 func callsOf(item string, events []event.Record) map[string]bool {
 	calls := make(map[string]bool)
 	for _, e := range events {
@@ -132,7 +132,7 @@
 	return calls
 }
 
-// The range of the numbers of events about upstreams.
+// Range of the numbers of events about upstreams.
 const (
 	firstUpstreamEvent event.Number = 1500
 	lastUpstreamEvent  event.Number = 1599
@@ -164,7 +164,7 @@
 	return all
 }
 
-// upstreams lists the upstreams that the request was sent to.
+// upstreams lists the upstreams named in the request's events, sorted.
 func (x *Explanation) upstreams() []string {
 	return slices.Sorted(maps.Keys(x.seen))
 }
@@ -184,8 +184,8 @@
 
 const microsPerMilli = 1000
 
-// explain selects the events of a request or an item of a step, and those of its upstreams
-// before its outcome, from events, which must be in order.
+// explain selects from events, which must be in order, those of a request or an item of a
+// step and those of its upstreams before its outcome.
 func explain(request string, events []event.Record, missing []string) Explanation {
 	explanation := Explanation{Request: request, Outcome: outcomeNotKnown, Lines: []ExplainLine{}, Missing: missing, seen: map[string]bool{}}
 	var start event.Stamp
@@ -211,7 +211,7 @@
 
 // isDuplicateListing reports whether an event records a change of the platform's list of
 // upstreams on another VM than that of the first event. Each VM records all these changes;
-// the explanation shows those of one VM.
+// the explanation shows only those that the VM of the first event recorded.
 func isDuplicateListing(e event.Record, events []event.Record) bool {
 	switch e.Number {
 	case event.UpstreamListed, event.UpstreamUnlisted, event.UpstreamLeaving:
@@ -258,8 +258,8 @@
 	})
 }
 
-// addDisruptions adds the disruption events of the VM of a request without an outcome, up
-// to the next start of the VM's process.
+// addDisruptions adds the disruption events of the VM of the request's first event, up to
+// the next start of that VM's process. They may explain why the request has no outcome.
 func (x *Explanation) addDisruptions(disruptions []event.Record, first event.Record) {
 	for _, e := range disruptions {
 		if e.VM != first.VM {
--- a/internal/ctl/explainstep.go
+++ b/internal/ctl/explainstep.go
@@ -11,23 +11,23 @@
 	"dogwoodpond/internal/event"
 )
 
-// StepAccount tells what happened to a step.
+// StepAccount describes what happened to a step.
 type StepAccount struct {
 	Step    string `json:"step"`
 	Account string `json:"account"`
-	// Owners names the VM of each ownership of the step, in order.
+	// Owners lists the VM of each ownership of the step, in order.
 	Owners []string `json:"owners"`
 	// Listed counts the committed results.
 	Listed int64 `json:"listed"`
 	// LongestGap is the longest time without a new result between the first event and the
-	// end of the step, GapFrom its beginning.
+	// end of the step, GapFrom the time when that gap began.
 	LongestGap time.Duration `json:"longestGapNanos"`
 	GapFrom    time.Time     `json:"gapFrom"`
-	// Failures counts the failed attempts of its items by reason.
+	// Failures counts the failed attempts of the step's items by reason.
 	Failures map[string]int `json:"failures"`
 	// Scored counts the scored items. LongestScoreWait is the longest time from a complete
-	// text to its score, SlowestScore the item that it belongs to. ScoreFailures counts the
-	// failed score calls by reason.
+	// text to its score, SlowestScore the item of that text. ScoreFailures counts the failed
+	// score calls by reason.
 	Scored           int            `json:"scored"`
 	LongestScoreWait time.Duration  `json:"longestScoreWaitNanos"`
 	SlowestScore     string         `json:"slowestScore,omitempty"`
@@ -111,7 +111,7 @@
 	})
 }
 
-// addScore counts a score and updates the longest wait for one.
+// addScore counts a score and updates the longest wait for a score.
 func (s *StepAccount) addScore(e event.Record) {
 	s.Scored++
 	if waited := time.Duration(e.Count) * time.Millisecond; waited >= s.LongestScoreWait {
@@ -119,7 +119,7 @@
 	}
 }
 
-// endGap ends the current time without results and begins the next one.
+// endGap ends the current gap, that is time without results, and begins the next one.
 func (s *StepAccount) endGap(at event.Stamp) {
 	length := since(s.latest.WallMicros, at.WallMicros)
 	if length > s.LongestGap {
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -92,7 +92,8 @@
 }
 
 // newKey generates a key. If keyFile is given, the key is written there before it is
-// granted, so that it isn't lost with the answer to the grant; a retry reads it from there.
+// granted, so that it isn't lost if the answer to the grant is lost; a retry reads it from
+// there.
 func newKey(keyFile string, retry bool) (contract.Presented, error) {
 	key := contract.Presented{ID: randomHex(keyIDBytes), Secret: randomHex(secretBytes)}
 	if keyFile == "" {
@@ -127,7 +128,7 @@
 }
 
 func (a *App) withdrawKey(id string, flags editFlags) error {
-	// Rejects a complete key before its secret is sent to a VM.
+	// Refuse a complete key before its secret is sent to a VM.
 	if strings.HasPrefix(id, contract.KeyPrefix) {
 		return errors.WithStack(&fault.BadRequest{Field: "id", Problem: "is a complete key; give only the part between the underscores"})
 	}
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -21,7 +21,7 @@
 	return command.Flag("logs", "Read events from these collected logs (files or directories) instead of from the VMs.").PlaceHolder("PATH").Strings()
 }
 
-// eventSource returns the events that match a query.
+// eventSource is a function that returns the events that match a query.
 type eventSource func(event.Query) (operator.EventsAnswer, error)
 
 // eventSource returns a source that reads the logs at the given paths, or queries the VMs
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -35,7 +35,7 @@
 }
 
 // The owner of a step was killed and another VM took the step over. The operator has only
-// the log files of both.
+// the log files of both VMs, which must suffice for the explanation.
 func TestStepIsExplainedFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	a, b := newVMLog(t, dir, "vm-a"), newVMLog(t, dir, "vm-b")
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -19,17 +19,19 @@
 	if *a.output == outputJSON {
 		encoder := json.NewEncoder(a.out)
 		encoder.SetIndent("", "  ")
-		return outputFailure(encoder.Encode(value))
+		return outputError(encoder.Encode(value))
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, columnGap, ' ', 0)
 	table(w)
-	return outputFailure(w.Flush())
+	return outputError(w.Flush())
 }
 
 // columnGap is the number of spaces between two columns.
 const columnGap = 2
 
-func outputFailure(err error) error {
+// outputError returns the error of a command whose output can't be written, or nil if err
+// is nil.
+func outputError(err error) error {
 	if err != nil {
 		return errors.WithStack(&fault.Internal{Where: "output"})
 	}
@@ -45,7 +47,7 @@
 	_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 }
 
-// note prints a message for people, apart from the result.
+// note prints a message for people, separate from the result.
 func (a *App) note(format string, values ...any) {
 	_, _ = fmt.Fprintf(a.notes, format+"\n", values...)
 }
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -41,8 +41,8 @@
 	Step    string    `json:"step"`
 	Account string    `json:"account"`
 	Began   time.Time `json:"began"`
-	// Phases has the duration of each phase, 0 if its end is not known. Results ends with
-	// the latest committed results.
+	// Phases holds the duration of each phase, 0 if the end of the phase is not known. The
+	// phase Results ends with the latest committed results.
 	Phases [phases]time.Duration `json:"phasesNanos"`
 	// Whole is the sum of Phases.
 	Whole time.Duration `json:"wholeNanos"`
@@ -51,7 +51,7 @@
 	// Gap is the longest time between two commits of results.
 	Gap time.Duration `json:"gapNanos"`
 	// Owners counts the ownerships of the step, Failed the attempts of its items that
-	// failed or were moved, Abandoned the abandoned items.
+	// failed or were interrupted by a move, Abandoned the abandoned items.
 	Owners    int `json:"owners"`
 	Failed    int `json:"failed"`
 	Abandoned int `json:"abandoned"`
@@ -93,8 +93,8 @@
 	})
 }
 
-// reportOn computes a report from events, which must be in order. Steps without an event of
-// their beginning are left out.
+// reportOn computes a report from events, which must be in order. It leaves out steps whose
+// beginning is not among the events.
 func reportOn(events []event.Record, missing []string) Report {
 	byStep := make(map[string]*StepTimes)
 	report := Report{Steps: []*StepTimes{}, Missing: missing}
@@ -148,7 +148,7 @@
 	}
 }
 
-// addResults adds a commit of results at a wall time in microseconds.
+// addResults adds a commit of results at the wall time at, in microseconds.
 func (s *StepTimes) addResults(at int64) {
 	if s.firstResultAt == 0 {
 		s.firstResultAt = at
--- a/internal/ctl/report_test.go
+++ b/internal/ctl/report_test.go
@@ -9,8 +9,8 @@
 	"dogwoodpond/internal/event"
 )
 
-// Guards against a report that names the wrong phase. The owner of one step dies between two
-// results; the trainer of another step ends it late.
+// Guards against a report that names the wrong phase as the longest. The owner of one step
+// dies between two results; the trainer of another step ends the step late.
 func TestReportNamesTheLongestPhase(t *testing.T) {
 	var events []event.Record
 	at := func(millis int64, vm, step string, number event.Number) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Guards against output that does not match the operators' page, and against a report that
-// fails on logs without steps or drops a step that has not ended.
+// Guards against output of the command that does not match the operators' page, and against
+// a report that fails on logs without steps or drops a step that has not ended.
 func TestReportOfLogs(t *testing.T) {
 	dir := t.TempDir()
 	a := newVMLog(t, dir, "vm-a")
--- a/internal/ctl/timeline.go
+++ b/internal/ctl/timeline.go
@@ -83,8 +83,8 @@
 	row(w, formatTime(stampTime(e.Stamp)), e.Stamp, e.VM, e.Number, e.Name, formatSubject(e.Subject))
 }
 
-// missingLines returns a line for each VM that did not answer. Without it a VM without
-// events in the output would look like one where nothing happened.
+// missingLines returns a line for each VM that did not answer. Without such a line the VM
+// would look as if nothing had happened on it.
 func missingLines(missing []string) []string {
 	var lines []string
 	for _, vm := range missing {
@@ -95,8 +95,8 @@
 
 const (
 	followInterval = time.Second
-	// followOverlap is the time before the newest event that is queried again at each
-	// poll, since an event of one VM may arrive after later events of other VMs.
+	// followOverlap is the span of time before the newest event that each poll queries
+	// again, since an event of one VM may arrive after later events of other VMs.
 	followOverlap = 5 * time.Second
 )
 
@@ -124,7 +124,7 @@
 // printEvent prints one event: a row for people, or one line of JSON.
 func (a *App) printEvent(e event.Record) error {
 	if *a.output == outputJSON {
-		return outputFailure(json.NewEncoder(a.out).Encode(e))
+		return outputError(json.NewEncoder(a.out).Encode(e))
 	}
 	return a.show(e, func(w io.Writer) { eventRow(w, e) })
 }
@@ -178,7 +178,7 @@
 }
 
 // after returns the stamp at which the next query starts, which is not before start, and
-// drops the IDs of older events.
+// drops the IDs of events before that stamp.
 func (f *follower) after(start event.Stamp) event.Stamp {
 	next := event.Stamp{WallMicros: f.newest.WallMicros - followOverlap.Microseconds()}
 	if next.Before(start) {
--- a/internal/doccheck/doccheck.go
+++ b/internal/doccheck/doccheck.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// UpdateVariable is the environment variable that makes Section update a page that
-// differs instead of failing the test; "make docs" sets it.
+// UpdateVariable is the environment variable that makes Section update a page that differs
+// from the code instead of failing the test; "make docs" sets it.
 const UpdateVariable = "DOGWOODPOND_UPDATE_DOCS"
 
 // Path returns the path of a file, given relative to the root of the repository.
@@ -22,7 +22,7 @@
 	return filepath.Join(filepath.Dir(self), "..", "..", name)
 }
 
-// Read returns the text of a page, named as for Path.
+// Read returns the text of a page, given by its path as for Path.
 func Read(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(Path(name))
@@ -65,7 +65,7 @@
 	return cells
 }
 
-// call matches an HTTP method and a path without its query.
+// call matches an HTTP method and a path, without a query.
 var call = regexp.MustCompile("(GET|PUT|POST|DELETE) (/[^ ?`]*)")
 
 // Calls returns the calls in the first column of the table in a page's section, as
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against Column misreading a table, which would make comparisons of pages with the
-// code meaningless.
+// Guards against errors of Column in reading a table: tests that compare a page with the code
+// would then compare the wrong text.
 func TestColumnReturnsCellsWithoutHeadingAndQuotes(t *testing.T) {
 	codes := Column(t, "docs/API.md", "codes", 0)
 	if !slices.Contains(codes, "key_withdrawn") || slices.Contains(codes, "code") {
--- a/internal/doccheck/pages_test.go
+++ b/internal/doccheck/pages_test.go
@@ -20,7 +20,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#:]+)\)`)
 
-// Guards against links to files that were moved or deleted.
+// Guards against links of pages to files that were moved or deleted.
 func TestLinksOfPagesPointToFiles(t *testing.T) {
 	pages := []string{"README.md", "CONTRIBUTING.md"}
 	for _, pattern := range []string{"docs/*.md", "docs/design/*.md"} {
@@ -57,7 +57,7 @@
 
 var required = regexp.MustCompile(`(?m)^\t(\S+) v\S+$`)
 
-// Guards against a library whose choice is not explained on the page of libraries.
+// Guards against a library in go.mod whose choice docs/LIBRARIES.md does not explain.
 func TestLibrariesPageListsAllDirectRequirements(t *testing.T) {
 	page := read(t, "docs/LIBRARIES.md")
 	for _, found := range required.FindAllStringSubmatch(read(t, "go.mod"), -1) {
