--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -21,8 +21,8 @@
 	billing platformapi.Billing
 	events  *event.Recorder
 	config  CloserConfig
-	// observed holds, by row key, the version of each row that is not final and since
-	// when this closer has seen that version.
+	// observed holds, by row key, the version of each row that is not final and when this
+	// closer first saw that version.
 	observed map[string]observation
 	// observedWindow is the window whose rows are in observed.
 	observedWindow Window
@@ -61,9 +61,9 @@
 	return &Closer{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
 }
 
-// Run closes and reports windows until ctx ends or the lease is lost. It waits for period
+// Run closes and reports windows until ctx ends or the lease is lost. It waits for interval
 // after a failed step and when nothing is due.
-func (c *Closer) Run(ctx context.Context, guard fence.Guard, period time.Duration) {
+func (c *Closer) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
 	for ctx.Err() == nil && guard.Check() == nil {
 		more, err := c.Step(ctx, guard)
 		if more && err == nil {
@@ -71,7 +71,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(period):
+		case <-time.After(interval):
 		}
 	}
 }
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -16,11 +16,12 @@
 )
 
 // In each case of the fault matrix two VMs serve during servedWindows. All usage must be
-// reported reportTime later.
+// reported reportTime later. A delayed effect takes place after effectDelay; other faults that
+// last have the duration faultDuration.
 const (
 	servedWindows = 2
 	reportTime    = 2 * time.Minute
-	callDelay     = 8 * time.Second
+	effectDelay   = 8 * time.Second
 	faultDuration = 15 * time.Second
 	flushInterval = time.Second
 	pairCases     = 1500
@@ -181,7 +182,7 @@
 func newFault(kind faultinject.Kind) faultinject.Fault {
 	f := faultinject.Fault{Kind: kind, Duration: faultDuration}
 	if kind == faultinject.DelayEffect {
-		f.Duration = callDelay
+		f.Duration = effectDelay
 	}
 	return f
 }
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -38,14 +38,14 @@
 	opened  bool
 	window  Window
 	version uint64
-	// minWindow is the oldest window that may be opened next: the one after the last
-	// final row.
+	// minWindow is the oldest window that may be opened next: the one after the window
+	// of the last row that became final.
 	minWindow Window
-	// opening is the window of a commit that opens it and whose outcome is unknown, if
-	// openUnconfirmed is true. The commit may still take effect. If the meter opened
-	// another window meanwhile, both rows would contain the same usage. So it opens no
-	// other window until the row exists or the cursor's floor, which the commit depends
-	// on, is past the window.
+	// openUnconfirmed is true while the commit that opens the window opening has an
+	// unknown outcome. The commit may still take effect. If the meter opened another
+	// window meanwhile, both rows would contain the same usage. So it opens no other
+	// window until the row exists, or until the cursor's floor is past the window: the
+	// commit has a precondition on the cursor's row and can't take effect any more.
 	opening         Window
 	openUnconfirmed bool
 }
@@ -85,16 +85,16 @@
 	m.changed = true
 }
 
-// Run flushes until ctx ends. It calls period before each wait, since the flush interval
+// Run flushes until ctx ends. It calls interval before each wait, since the flush interval
 // grows with the fleet.
-func (m *Meter) Run(ctx context.Context, period func() time.Duration) {
+func (m *Meter) Run(ctx context.Context, interval func() time.Duration) {
 	for {
 		// After a failure the next flush writes newer totals.
 		_ = m.Flush(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(jitter(period())):
+		case <-time.After(jitter(interval())):
 		}
 	}
 }
@@ -330,7 +330,7 @@
 }
 
 // noteSwept drops the totals if their row was deleted because it is older than the retention
-// of one day. It is not known any more which usage the row contained, and counting it again
+// of one day. It is unknown which usage the row contained, and counting that usage again
 // might bill it twice.
 func (m *Meter) noteSwept() {
 	m.mu.Lock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -201,8 +201,7 @@
 }
 
 // A VM is killed between two flushes, and the usage that it had not flushed is lost. The
-// report must be marked incomplete, so that the client account's bill does not pass as
-// complete.
+// report must be marked incomplete, or the client account's bill would seem complete.
 func TestReportOfKilledVMIsIncomplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memtables.NewTables(), newBilling(t)
