--- a/internal/provision/plan.go
+++ b/internal/provision/plan.go
@@ -109,7 +109,7 @@
 	return slices.ContainsFunc(reservations, func(r Reservation) bool { return r.State != Running })
 }
 
-// countRound updates the consecutive rounds with queued requests and those without requests.
+// countRound updates queuedRounds and idleRounds by the demand of this round.
 func (p *Planner) countRound(key poolKey, d Demand, reservations []Reservation) {
 	if d.Queued > 0 {
 		p.queuedRounds[key]++
--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkSpending runs random rounds and evictions on unreliable ports.
+// checkSpending runs random rounds and evictions while the platform loses and delays orders.
 func checkSpending(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newFakePlatform(random, 30, "a", "b")
@@ -315,7 +315,8 @@
 }
 
 // The platform answers no orders of a failure domain and delays their execution. If their
-// reservations were released meanwhile, another failure domain would spend the same money.
+// reservations were released meanwhile, another failure domain would order upstreams for the
+// same part of the spending.
 func TestReservationIsHeldWhileAnOrderIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -31,8 +31,8 @@
 	elapsed func() time.Duration
 	// accepted holds the IDs of the start orders that the platform has accepted.
 	accepted map[string]bool
-	// unusedSince holds, by order ID, since when a reservation has had no listed upstream
-	// and no start order with an unknown outcome.
+	// unusedSince holds, by order ID, the time since which a reservation has had neither a
+	// listed upstream nor a start order with an unknown outcome.
 	unusedSince map[string]time.Duration
 }
 
@@ -59,9 +59,10 @@
 	Contracts map[contract.Account]contract.Contract
 }
 
-// Run runs one round: it sends the orders of the failure domain again whose effect has not
-// been seen, and sends new ones. It fails with *fault.StoreUnavailable, *fault.LeaseLost or
-// *fault.OrderFenced; the next round continues from the ledgers.
+// Run runs one round for the failure domain: it sends again the orders whose effect has not
+// been seen, and sends new ones. After any failure the next round continues from the ledgers.
+// Failures are *fault.StoreUnavailable, *fault.LeaseLost, *fault.OrderFenced and, if another
+// process changed a ledger meanwhile, *fault.PreconditionFailed.
 func (p *Provisioner) Run(ctx context.Context, guard fence.Guard, round Round) error {
 	accounts, err := p.readLedgers(ctx)
 	if err != nil {
@@ -209,7 +210,7 @@
 	return p.elapsed()-since >= releaseDelay
 }
 
-// resendOrders sends the orders again whose effect has not been seen, and stops upstreams
+// resendOrders sends again the orders whose effect has not been seen, and stops upstreams
 // without a reservation. Orders keep their IDs, so the platform does not execute one twice.
 func (p *Provisioner) resendOrders(ctx context.Context, guard fence.Guard, stored storedLedger, listed []platformapi.Upstream) (storedLedger, error) {
 	for _, u := range stored.ledger.Orphans(p.domain, listed) {
