--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -97,8 +97,8 @@
 const neverConfirmed = math.MinInt64
 
 // Age returns how long ago the view was last confirmed to be current, or Never. Peers
-// confirm their own views by it. So a VM that has started and reached neither the store nor
-// a peer must return Never: with another age, peers would consider outdated views current.
+// confirm their own views by it. So a VM that has reached neither the store nor a peer since
+// its start must return Never: with another age, peers would consider outdated views current.
 func (s *Syncer) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == neverConfirmed {
