--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -205,7 +205,7 @@
 	return name
 }
 
-// describeType returns the page's and the errors' text for the type of a setting.
+// describeType returns the text for a setting's type, in errors and on the settings page.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int:
