--- a/internal/platformapi/faultinject/process.go
+++ b/internal/platformapi/faultinject/process.go
@@ -75,19 +75,19 @@
 // CallPeer is the Call of steps that are calls to another VM.
 const CallPeer = "peer"
 
-// platformCalls are the Calls of steps that are calls to the table service or the
+// storeCalls are the Calls of steps that are calls to the table service or the
 // partitioned store.
-var platformCalls = []string{"get", "scan", "commit"}
+var storeCalls = []string{"get", "scan", "commit"}
 
 // unreachable reports whether the receiver of a call can't be reached now. An outage
 // of the store affects only calls to the store. A process that is cut off can't reach
 // the store and its peers, but still reaches the upstreams of its own failure domain.
 func (p *Process) unreachable(call string) bool {
-	toPlatform := slices.Contains(platformCalls, call)
+	toStore := slices.Contains(storeCalls, call)
 	p.mu.Lock()
 	cutOff := time.Now().Before(p.cutOffUntil)
 	p.mu.Unlock()
-	return toPlatform && p.cluster.isDown() || cutOff && (toPlatform || call == CallPeer)
+	return toStore && p.cluster.isDown() || cutOff && (toStore || call == CallPeer)
 }
 
 // awaitResume blocks while the process is paused.
@@ -104,8 +104,8 @@
 }
 
 // Call runs one step, with the fault that the script chooses for it. effect executes
-// the call at its receiver and returns the receiver's error. mutates says whether the
-// effect of the call is unknown if its answer is lost.
+// the call at its receiver and returns the receiver's error. mutates is true if the call
+// changes something, so that its effect is unknown when its answer is lost.
 func (p *Process) Call(ctx context.Context, call, subject string, mutates bool, effect func() error) error {
 	p.awaitResume()
 	noAnswer := errors.WithStack(&fault.StoreUnavailable{Operation: call, EffectUnknown: mutates})
--- a/internal/platformapi/http.go
+++ b/internal/platformapi/http.go
@@ -235,7 +235,7 @@
 	}
 	var refusal Refusal
 	if status >= http.StatusBadRequest {
-		// The status alone decides if the body can't be decoded.
+		// If the body can't be decoded, the error depends on the status alone.
 		_ = json.Unmarshal(answer, &refusal)
 	}
 	return status, refusal, nil
