--- a/internal/fleetview/fleetview_test.go
+++ b/internal/fleetview/fleetview_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Guards against a change of the stored form of leases, which package lease writes,
-// that fleetview does not follow: operators would see leases without holders.
+// Guards against a reader that does not decode the rows that package lease writes:
+// after a change of their form, operators would see leases without holders.
 func TestLeasesReadsRowsOfLeaseManager(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables := memtables.NewTables()
