--- a/internal/eventstream/reader_test.go
+++ b/internal/eventstream/reader_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against a partial event, left by an engine that crashes while it sends the
-// event, that is returned as complete: the caller's text would contain a part of it.
+// Guards against a partial event that is returned as complete: the caller's text would
+// contain a part of it. An engine that crashes while it sends an event leaves one.
 func TestNextFailsOnPartialEvent(t *testing.T) {
 	for _, text := range []string{"id: 3\ndata: a\n", "id: 3\ndata: a", "id: 3"} {
 		if _, err := NewReader(strings.NewReader(text)).Next(); err != io.ErrUnexpectedEOF {
