--- a/internal/usagewindow/clock.go
+++ b/internal/usagewindow/clock.go
@@ -1,9 +1,9 @@
 // Package usagewindow counts the requests of client accounts in usage windows and reports
 // each window to billing. Windows are intervals of fleet time, which is the same on
 // all VMs (see FleetClock). Every VM writes its own totals of a window to a row of its own.
-// The holder of a lease adds the totals up, stores the sum in another row, which never
-// changes, and only then reports it. A repeated report therefore has the same counts,
-// also when another VM sends it.
+// The holder of a lease adds the totals up, stores the sum, the final counts of the window,
+// in another row, which never changes, and only then reports it. A repeated report
+// therefore has the same counts, also when another VM sends it.
 package usagewindow
 
 import (
@@ -19,7 +19,7 @@
 )
 
 // The tables and row names of usage. totalsTable has one partition per window with
-// the totals of each VM; reportTable has the stored sums; clockTable has the row of
+// the totals of each VM; reportTable has the final counts; clockTable has the row of
 // the fleet's clock.
 const (
 	totalsTable = "usage"
--- a/internal/usagewindow/matrix_test.go
+++ b/internal/usagewindow/matrix_test.go
@@ -26,7 +26,7 @@
 	// scenarioDuration is how long a scenario runs. All windows must be reported by then,
 	// despite two faults.
 	scenarioDuration = 60 * time.Second
-	// effectDelay is the delay of a late effect, longer than the timeout of its caller.
+	// effectDelay is the delay of a delayed effect, longer than the timeout of its caller.
 	effectDelay = 2200 * time.Millisecond
 	// faultDuration is the duration of faults that last: pauses, outages and cut-offs.
 	faultDuration = 4 * time.Second
@@ -91,10 +91,11 @@
 	}
 }
 
-// check returns an error if the reports are wrong. Reports must agree and have no excess
-// counts. Missing counts are an error only if no VM was killed and there was at most one
-// fault, of 4 s: because reports are due, a window is closed about 7 s after its end even
-// if a VM is unresponsive.
+// check returns an error if the reports are wrong. Reports of one window must be equal and
+// must not count more requests than began. Missing requests are an error only if no VM was
+// killed and there was at most one fault, which lasts 4 s. After two faults requests may be
+// missing: since reports are due, a window is closed about 7 s after its end even if a VM is
+// unresponsive.
 func (s *scenario) check(faults int) error {
 	s.fakeBilling.mu.Lock()
 	defer s.fakeBilling.mu.Unlock()
@@ -144,7 +145,7 @@
 	time.Sleep(scenarioDuration)
 	stop()
 	group.Wait()
-	// Late effects must end before the synctest bubble does.
+	// Delayed effects must take place before the synctest bubble ends.
 	time.Sleep(2 * faultDuration)
 	return s.check(cluster.FaultCount())
 }
--- a/internal/usagewindow/reporter.go
+++ b/internal/usagewindow/reporter.go
@@ -19,9 +19,9 @@
 const (
 	// closeDelay is the time between the last flush of a window's totals, which begins
 	// at most one flush interval after the end of the window, and the close of the window.
-	// A slow store completes the write within this time. The delay is short because a
-	// window that is reported early is less likely to become late through an outage of
-	// the store before the report is due.
+	// A slow store completes the write within this time. The delay is short because
+	// reports are due soon: the earlier a window is reported, the less likely an outage
+	// of the store makes its report late.
 	closeDelay = time.Second
 	// closeTimeout is the time after the end of a window at which it is closed even if a
 	// VM is unresponsive. Reports are due 10 s after the end of their window.
@@ -177,7 +177,7 @@
 	return sinceEnd >= closeTimeout || sinceEnd >= flushInterval(r.CallBudget)+closeDelay && r.NoneAwaited()
 }
 
-// close stores the counts of a window, reports them, and records that the window is
+// close stores the final counts of a window, reports them, and records that the window is
 // reported.
 func (r *Reporter) close(ctx context.Context, guard lease.Guard, window int64) error {
 	counts, err := r.finalCounts(ctx, window)
@@ -203,8 +203,9 @@
 	return err
 }
 
-// finalCounts adds up the totals of a window, stores the sum and returns it. If a sum is
-// already stored, it returns that one instead, since stored sums never change.
+// finalCounts adds up the totals of a window, stores the sum as the window's final counts
+// and returns them. If final counts are already stored, it returns those instead, since
+// they never change.
 func (r *Reporter) finalCounts(ctx context.Context, window int64) (map[string]int64, error) {
 	name := windowName(window)
 	rows, err := rowstore.ReadAll(ctx, r.Store, totalsTable, name)
@@ -228,7 +229,7 @@
 	return r.storeCounts(ctx, name, counts)
 }
 
-// storeCounts stores the counts of a window unless counts are already stored, and returns
+// storeCounts stores the final counts of a window unless some are already stored, and returns
 // the stored ones. name is the window's name as returned by windowName.
 func (r *Reporter) storeCounts(ctx context.Context, name string, counts map[string]int64) (map[string]int64, error) {
 	value, err := json.Marshal(counts)
--- a/internal/usagewindow/usagewindow_test.go
+++ b/internal/usagewindow/usagewindow_test.go
@@ -224,9 +224,9 @@
 	})
 }
 
-// Guards against a window that is billed with too few requests. The store executes a write
-// of totals seconds after its timeout, when the row already has newer totals. Nothing in
-// later windows would show the error.
+// Guards against a window that is billed with too few requests: the store executes a write
+// of totals seconds after its timeout, when the row already has newer totals. No later
+// window would correct the error.
 func TestDelayedTotalsDoNotReplaceNewerOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
@@ -261,8 +261,8 @@
 	return clock.FleetMillis(time.Now()) / windowLength.Milliseconds()
 }
 
-// Guards against windows that are never billed: because of two outages of the store, no
-// VM writes totals before the first holder of the lease searches for the oldest ones.
+// Guards against windows that are never billed because no VM has written totals, after two
+// outages of the store, when the first holder of the lease searches for the oldest window.
 func TestFirstReporterBeginsWhenFleetClockWasSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
@@ -278,9 +278,9 @@
 	})
 }
 
-// Guards against windows that are never billed: the first report is late because of an
-// outage of the store, or because the lease holder died before its first report. The
-// report must not begin with the current window.
+// Guards against windows that are never billed because the first report is late, after an
+// outage of the store or the death of the first lease holder. Reports must not begin with
+// the current window.
 func TestFirstReporterBeginsWithTheOldestWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
