--- a/internal/enginepool/enginepool.go
+++ b/internal/enginepool/enginepool.go
@@ -35,8 +35,8 @@
 }
 
 // Planner plans moves. It counts for how many ticks in a row each pool has had queued
-// requests, starting again after each move to the pool, so that a brief peak causes no
-// move.
+// requests, so that a brief peak causes no move. The count restarts after each move to the
+// pool.
 type Planner struct {
 	// queuedTicks has an entry for each pool with queued requests.
 	queuedTicks map[Pool]int
@@ -50,7 +50,7 @@
 	// engine is moved to it. A move costs the engine its prefix cache and a load.
 	minQueuedTicks = 5
 	// spareDivisor limits how busy a pool may be without the engine that leaves it: at most
-	// one in spareDivisor of its remaining slots.
+	// 1/spareDivisor of its remaining slots may be busy.
 	spareDivisor = 2
 )
 
--- a/internal/enginepool/enginepool_test.go
+++ b/internal/enginepool/enginepool_test.go
@@ -109,6 +109,6 @@
 		seen[id] = true
 	}
 	if len(orders.ids) < 2 {
-		t.Errorf("%d orders were given, want at least 2", len(orders.ids))
+		t.Errorf("%d orders were sent, want at least 2", len(orders.ids))
 	}
 }
--- a/internal/enginepool/mover.go
+++ b/internal/enginepool/mover.go
@@ -26,7 +26,7 @@
 	orderCount int
 }
 
-// NewMover returns a mover that sends its orders by orders.
+// NewMover returns a mover that sends its orders through the given sender.
 func NewMover(orders OrderSender, events *event.Recorder) *Mover {
 	return &Mover{planner: NewPlanner(), orders: orders, events: events}
 }
