--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,7 +27,7 @@
 )
 
 // Demands returns how many requests are running and queued in the failure domain,
-// by account and pool. It is soft state: wrong figures cost money or time within
+// by account and pool. It is soft state: wrong numbers cost money or time within
 // the limits of the contracts, never more.
 type Demands interface {
 	Demand() []provision.Demand
--- a/internal/control/demands.go
+++ b/internal/control/demands.go
@@ -12,8 +12,8 @@
 )
 
 // DomainDemands sums the demands in the digests of a failure domain's VMs. In a
-// large failure domain a VM receives digests only from its own cell; the sum is
-// then scaled up from the VMs whose demand is known to all VMs.
+// large failure domain a VM receives digests only from its own cell. The sum over
+// the VMs whose demand is known is then scaled up to all VMs of the domain.
 type DomainDemands struct {
 	domain    string
 	members   func() []dispatch.Member
--- a/internal/control/demands_test.go
+++ b/internal/control/demands_test.go
@@ -44,7 +44,7 @@
 
 // In a large failure domain a VM receives digests from some VMs only. If their sum
 // were used for the whole domain, too few upstreams would be ordered, and requests
-// would stay queued for ever.
+// would stay queued forever.
 func TestDemandIsScaledToVMsWithUnknownDemand(t *testing.T) {
 	demands := newDemands(t,
 		dispatch.Member{VM: "vm-1", FailureDomain: "a", DemandKnown: true, Flows: []dispatch.FlowDemand{flow("berry", 4, 2)}},
