--- a/internal/sample/progress.go
+++ b/internal/sample/progress.go
@@ -8,7 +8,7 @@
 	"dogwoodpond/internal/fault"
 )
 
-// Progress is the mutable part of a step. Its row in the store alone decides
+// Progress is the mutable part of a step. Its row in the store alone determines
 // which slots have a sample and which numbers are assigned: a change replaces
 // exactly the row version that it was computed from, or has no effect.
 type Progress struct {
--- a/internal/sample/property_test.go
+++ b/internal/sample/property_test.go
@@ -12,21 +12,21 @@
 // Engines may report arbitrary spans. An accepted sample must have exactly one
 // published version for each token, and for each engine one incarnation whose
 // versions never decrease.
-func TestAcceptedSpansNameEveryToken(t *testing.T) {
+func TestAcceptedSpansAttributeEveryToken(t *testing.T) {
 	const latest = 3
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 20000
 	parameters.Rng.Seed(20261203)
 	properties := gopter.NewProperties(parameters)
 	accepted := 0
-	properties.Property("accepted spans name every token", prop.ForAll(
+	properties.Property("accepted spans attribute every token", prop.ForAll(
 		func(spans []Span, extra int) bool {
 			tokens := spans[len(spans)-1].End + extra
 			if CheckAttribution(Slot{Group: "g"}, tokens, spans, latest) != nil {
 				return true
 			}
 			accepted++
-			return namesEveryToken(spans, tokens, latest)
+			return attributesEveryToken(spans, tokens, latest)
 		},
 		gen.SliceOfN(3, genSpan()).FlatMap(joinSpans, spansType),
 		gen.OneConstOf(0, 0, 0, 0, 1, -1),
@@ -37,9 +37,9 @@
 	}
 }
 
-// namesEveryToken checks the spans token by token, so that it shares no logic
+// attributesEveryToken checks the spans token by token, so that it shares no logic
 // with CheckAttribution.
-func namesEveryToken(spans []Span, tokens int, latest int64) bool {
+func attributesEveryToken(spans []Span, tokens int, latest int64) bool {
 	type lastProcess struct {
 		incarnation string
 		version     int64
