--- a/internal/generate/attempts_test.go
+++ b/internal/generate/attempts_test.go
@@ -121,8 +121,8 @@
 func newPolicy() *retry.Policy { return retry.NewPolicy(prometheus.NewRegistry(), newRecorder()) }
 
 // Some or all engines fail every attempt. If each request were retried up to its
-// limit of attempts, the load would multiply by that limit when the engines can
-// bear it least. The retry budget must limit the attempts.
+// limit of attempts, the load would multiply by that limit while the engines have
+// the least capacity. The retry budget must limit the attempts.
 func TestAttemptsPerRequest(t *testing.T) {
 	t.Logf("%d requests, %d engines; attempts per request (share served)", attemptRequests, attemptEngines)
 	t.Logf("%8s %18s %18s %18s", "failing", "no limit", "budget", "budget, circuits")
--- a/internal/generate/local.go
+++ b/internal/generate/local.go
@@ -75,7 +75,7 @@
 }
 
 // run makes attempts until one completes the answer or no other attempt is
-// allowed. Its failure carries the combined execution of all attempts.
+// allowed. Its error is marked with the combined execution of all attempts.
 func (g *generation) run(ctx context.Context) (Result, error) {
 	for {
 		err := g.attempt(ctx)
@@ -142,8 +142,8 @@
 		g.emit(event.StreamResumed, grant.Upstream.ID, "")
 	}
 	reported := false
-	// A panic must release the grant: otherwise the engine would look full for
-	// ever.
+	// A panic must release the grant: otherwise the engine would look full
+	// forever.
 	defer func() {
 		if !reported {
 			report(retry.Inconclusive)
@@ -253,10 +253,10 @@
 	}
 }
 
-// addChunk adds a chunk to the answer and passes it to the sink. A chunk that
-// leaves a gap, repeats tokens or follows the last one would corrupt the answer
-// unnoticed, so its offset must be the next one and the answer must not exceed
-// MaxTokens.
+// addChunk adds a chunk to the answer and delivers it to the sink. A chunk that
+// leaves a gap, repeats tokens or follows the last chunk would corrupt the answer
+// unnoticed. So its offset must be the number of tokens so far, and the answer must
+// not exceed MaxTokens.
 func (g *generation) addChunk(upstreamID string, wire engine.CompletionChunk) error {
 	choice := wire.Choices[0]
 	if problem := g.chunkProblem(wire.Model, choice); problem != "" {
