--- a/internal/request/claim.go
+++ b/internal/request/claim.go
@@ -139,32 +139,32 @@
 	// maxAcquireTries limits how often Acquire tries to claim a key whose claims are
 	// withdrawn in the meantime.
 	maxAcquireTries = 3
-	// inProgressRetryAfter is the time after which a caller may repeat a request
-	// that is running.
+	// inProgressRetryAfter is the time after which a caller may send a duplicate of
+	// a request that is running.
 	inProgressRetryAfter = time.Second
 	// maxFinalizeTries limits the tries to write the end of a claim.
 	maxFinalizeTries = 4
-	// finalizeBackoff is the wait between these tries.
+	// finalizeBackoff is the backoff between these tries.
 	finalizeBackoff = 100 * time.Millisecond
 )
 
-// Finish ends a claim and stores the answer for repeats of the request. It fails
-// with *fault.StoreUnavailable; repeats may then get *fault.ClaimUnknown, which
+// Finish ends a claim and stores the answer for duplicates of the request. It fails
+// with *fault.StoreUnavailable; duplicates may then get *fault.ClaimUnknown, which
 // remains correct.
 func (c *Claims) Finish(ctx context.Context, claim Claim, answer service.Answer) error {
 	defer c.Abandon(claim)
 	return c.finalize(ctx, claim, platformapi.Write{Key: claim.key, Value: claim.encodeRow(&answer)})
 }
 
-// Withdraw removes a claim whose request certainly did not run, so that a repeat
-// can run. It fails with *fault.StoreUnavailable; a repeat may then get
+// Withdraw removes a claim whose request certainly did not run, so that a duplicate
+// can run. It fails with *fault.StoreUnavailable; a duplicate may then get
 // *fault.ClaimUnknown.
 func (c *Claims) Withdraw(ctx context.Context, claim Claim) error {
 	defer c.Abandon(claim)
 	return c.finalize(ctx, claim, platformapi.Write{Key: claim.key, Delete: true})
 }
 
-// Abandon ends a claim whose request has an unknown outcome. A repeat then gets
+// Abandon ends a claim whose request has an unknown outcome. A duplicate then gets
 // *fault.ClaimUnknown instead of *fault.ClaimInProgress.
 func (c *Claims) Abandon(claim Claim) {
 	c.mu.Lock()
--- a/internal/request/claim_test.go
+++ b/internal/request/claim_test.go
@@ -46,7 +46,7 @@
 
 // A caller sends the same payment twice and the two requests reach two VMs. If
 // both ran, the deposit would be charged twice.
-func TestRepeatDoesNotRun(t *testing.T) {
+func TestDuplicateDoesNotRun(t *testing.T) {
 	cluster := faultinject.NewCluster(faultinject.NoFaults)
 	claims := startVMs(cluster, "vm-1", "vm-2")
 	first, err := acquire(claims[0])
@@ -60,15 +60,15 @@
 	if err := claims[0].Finish(context.Background(), first, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	repeat, err := acquire(claims[1])
-	if err != nil || repeat.Answer == nil || string(repeat.Answer.Body) != "paid" {
-		t.Errorf("repeat after the outcome: %+v, %v", repeat, err)
+	duplicate, err := acquire(claims[1])
+	if err != nil || duplicate.Answer == nil || string(duplicate.Answer.Body) != "paid" {
+		t.Errorf("duplicate after the outcome: %+v, %v", duplicate, err)
 	}
 }
 
 // A request ended with an unknown outcome, for example because the connection to
-// the service broke. A repeat on the same VM must not be answered with "in
-// progress", or the caller would repeat it for ever.
+// the service broke. A duplicate on the same VM must not be answered with "in
+// progress", or the caller would send it again forever.
 func TestClaimWithUnknownOutcomeIsNotInProgress(t *testing.T) {
 	claims := startVMs(faultinject.NewCluster(faultinject.NoFaults), "vm-1")
 	claim, err := acquire(claims[0])
@@ -134,9 +134,9 @@
 				if err := claims[1].Finish(context.Background(), second, paidAnswer); err != nil {
 					t.Fatal(err)
 				}
-				repeat, err := acquire(claims[0])
-				if err != nil || repeat.Answer == nil {
-					t.Errorf("repeat after the outcome: %+v, %v", repeat, err)
+				duplicate, err := acquire(claims[0])
+				if err != nil || duplicate.Answer == nil {
+					t.Errorf("duplicate after the outcome: %+v, %v", duplicate, err)
 				}
 			})
 		})
@@ -228,8 +228,8 @@
 	if err := claims[1].Finish(ctx, later, paidAnswer); err != nil {
 		t.Fatal(err)
 	}
-	repeat, err := acquire(claims[0])
-	if err != nil || repeat.Answer == nil || string(repeat.Answer.Body) != "paid" {
-		t.Errorf("repeat: %+v, %v", repeat, err)
+	duplicate, err := acquire(claims[0])
+	if err != nil || duplicate.Answer == nil || string(duplicate.Answer.Body) != "paid" {
+		t.Errorf("duplicate: %+v, %v", duplicate, err)
 	}
 }
--- a/internal/request/statemachine_test.go
+++ b/internal/request/statemachine_test.go
@@ -25,9 +25,9 @@
 }
 
 // system is the system under test: a store, its VMs and the request for a deposit
-// that must run at most once. Its actions are those of spec/claim.pml and call the functions of
-// this package. violation describes a broken guarantee and is empty if there is
-// none.
+// that must run at most once. Its actions are those of the model spec/claim.pml, executed by
+// the functions of this package. violation describes a broken guarantee and is empty if
+// there is none.
 type system struct {
 	cluster   *faultinject.Cluster
 	vms       [systemVMs]vmState
@@ -36,8 +36,8 @@
 	violation string
 }
 
-// lateEffectDelay is the time after which a late commit takes effect.
-const lateEffectDelay = 20 * time.Second
+// effectDelay is the time after which a delayed commit takes effect.
+const effectDelay = 20 * time.Second
 
 func newSystem() *system {
 	sys := &system{}
@@ -45,7 +45,7 @@
 		if s.Call != "commit" {
 			return faultinject.Fault{}
 		}
-		f := faultinject.Fault{Kind: sys.fault, Duration: lateEffectDelay}
+		f := faultinject.Fault{Kind: sys.fault, Duration: effectDelay}
 		sys.fault = faultinject.None
 		return f
 	})
@@ -66,7 +66,7 @@
 	case claim.Answer == nil:
 		vm.claim, vm.ran = &claim, false
 	case sys.runs == 0:
-		sys.violation = "a repeat got an answer although nothing ran"
+		sys.violation = "a duplicate got an answer although nothing ran"
 	}
 }
 
@@ -125,7 +125,7 @@
 	case a.kind == actionRestart:
 		sys.restart(a.vm)
 	case a.kind == actionWait:
-		time.Sleep(lateEffectDelay)
+		time.Sleep(effectDelay)
 	case vm.claim == nil:
 		sys.acquire(vm)
 	case a.kind == actionRun:
@@ -151,7 +151,7 @@
 }
 
 // Two VMs claim, run, finish, withdraw and restart in any order, while commits
-// lose their requests or replies or take effect late. The deposit must run at
+// lose their requests or replies, or are delayed. The deposit must run at
 // most once.
 func TestClaimStateMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -163,7 +163,7 @@
 		properties.Property("the deposit runs at most once", commands.Prop(&commands.ProtoCommands{
 			NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return newSystem() },
 			DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
-				time.Sleep(2 * lateEffectDelay)
+				time.Sleep(2 * effectDelay)
 			},
 			InitialStateGen: gen.Const(0),
 			GenCommandFunc: func(commands.State) gopter.Gen {
