--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -33,8 +33,8 @@
 }
 
 const (
-	// commitDelay is the time after which a delayed commit takes effect.
-	commitDelay = 40 * time.Second
+	// effectDelay is the time after which a delayed commit takes effect.
+	effectDelay = 40 * time.Second
 	// machineAccounts is the number of accounts, small enough that edits conflict.
 	machineAccounts = 2
 )
@@ -45,7 +45,7 @@
 		if s.Call != "commit" {
 			return faultinject.Fault{}
 		}
-		f := faultinject.Fault{Kind: m.fault, Duration: commitDelay}
+		f := faultinject.Fault{Kind: m.fault, Duration: effectDelay}
 		m.fault = faultinject.None
 		return f
 	})
@@ -136,11 +136,11 @@
 	actionLearn
 	actionRestart
 	actionWait
-	actions
+	actionCount
 )
 
-// machineFaults are the faults that may be injected into the next commit of an action.
-var machineFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
+// commitFaults are the faults that may be injected into the next commit of an action.
+var commitFaults = []faultinject.Kind{faultinject.None, faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect}
 
 // action is one command: an action of a VM, and a fault for its next commit.
 type action struct {
@@ -149,14 +149,14 @@
 
 // String implements commands.Command.
 func (a action) String() string {
-	return fmt.Sprintf("%d at VM %d, account %d, %v", a.kind, a.vm, a.account, machineFaults[a.fault])
+	return fmt.Sprintf("%d at VM %d, account %d, %v", a.kind, a.vm, a.account, commitFaults[a.fault])
 }
 
 // Run implements commands.Command.
 func (a action) Run(sut commands.SystemUnderTest) commands.Result {
 	m := sut.(*machine)
 	before := m.syncers[a.vm].view.Load().Revision
-	m.fault = machineFaults[a.fault]
+	m.fault = commitFaults[a.fault]
 	switch a.kind {
 	case actionEdit:
 		m.edit(a.vm, a.account)
@@ -165,7 +165,7 @@
 	case actionLearn:
 		m.learn(a.vm)
 	case actionWait:
-		time.Sleep(commitDelay / 3)
+		time.Sleep(effectDelay / 3)
 	case actionRestart:
 		m.restart(a.vm)
 		before = 0
@@ -205,15 +205,15 @@
 		properties.Property("one history", commands.Prop(&commands.ProtoCommands{
 			NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return newMachine() },
 			DestroySystemUnderTestFunc: func(commands.SystemUnderTest) {
-				time.Sleep(2 * commitDelay)
+				time.Sleep(2 * effectDelay)
 			},
 			InitialStateGen: gen.Const(0),
 			GenCommandFunc: func(commands.State) gopter.Gen {
 				return gopter.CombineGens(
-					gen.IntRange(0, actions-1),
+					gen.IntRange(0, actionCount-1),
 					gen.IntRange(0, machineVMs-1),
 					gen.IntRange(0, machineAccounts-1),
-					gen.IntRange(0, len(machineFaults)-1),
+					gen.IntRange(0, len(commitFaults)-1),
 				).Map(func(drawn []any) commands.Command {
 					return action{kind: drawn[0].(int), vm: drawn[1].(int), account: drawn[2].(int), fault: drawn[3].(int)}
 				})
