--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -99,7 +99,7 @@
 		closer := newCloser(process, processBilling{process: process, billing: s.billing}, s.listed)
 		running.Go(func() {
 			time.Sleep(closerStarts[i])
-			closer.Run(process.Context, heldLease(i+1), 2*time.Second)
+			closer.Run(process.Context, fakeGuard(i+1), 2*time.Second)
 		})
 	}
 	time.Sleep(servedWindows*windowLength + reportTime)
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -195,8 +195,8 @@
 }
 
 // adopt makes w the open window if this incarnation has a row in it. If the row is final
-// the window is not opened, since its report may have been sent to billing; the totals keep
-// only the usage that the row lacks.
+// the window is not opened, since its report may have been sent to billing; only the usage
+// that the row lacks remains in the totals.
 func (m *Meter) adopt(ctx context.Context, w Window) error {
 	row, err := m.tables.Get(ctx, rowKey(w, m.vm, m.incarnation))
 	if err != nil || !row.Exists() {
@@ -288,7 +288,7 @@
 }
 
 // reconcile reads the row after a write that failed or was not answered. If the row is
-// final, the totals keep only the usage that it lacks.
+// final, only the usage that it lacks remains in the totals.
 func (m *Meter) reconcile(ctx context.Context) {
 	row, err := m.tables.Get(ctx, rowKey(m.window, m.vm, m.incarnation))
 	if err != nil {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -114,12 +114,12 @@
 	return counts, incomplete
 }
 
-// heldLease is a lease that is always held; its value is the epoch.
-type heldLease uint64
+// fakeGuard is the guard of a lease that is always held; its value is the epoch.
+type fakeGuard uint64
 
-func (heldLease) Check() error        { return nil }
-func (h heldLease) Epoch() uint64     { return uint64(h) }
-func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (fakeGuard) Check() error        { return nil }
+func (h fakeGuard) Epoch() uint64     { return uint64(h) }
+func (fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
 func newEvents() *event.Recorder {
 	return event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
@@ -158,7 +158,7 @@
 func drive(t *testing.T, c *Closer) {
 	t.Helper()
 	for {
-		more, err := c.Step(t.Context(), heldLease(1))
+		more, err := c.Step(t.Context(), fakeGuard(1))
 		if err != nil {
 			t.Fatalf("Step: %v", err)
 		}
@@ -276,7 +276,7 @@
 		drive(t, closer)
 		time.Sleep(6 * time.Second)
 		between.beforeCommit = func() { flush(t, paused) }
-		_, _ = closer.Step(t.Context(), heldLease(1))
+		_, _ = closer.Step(t.Context(), fakeGuard(1))
 		drive(t, closer)
 		if got, _ := b.sum(berry); got != (Figures{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the request in the sealed row", got)
@@ -418,7 +418,7 @@
 		case 1:
 			_ = m.Flush(t.Context())
 		case 2:
-			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), heldLease(1))
+			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), fakeGuard(1))
 		default:
 			time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 		}
@@ -436,7 +436,7 @@
 		time.Sleep(windowLength)
 		for _, c := range closers {
 			for range 8 {
-				_, _ = c.Step(t.Context(), heldLease(1))
+				_, _ = c.Step(t.Context(), fakeGuard(1))
 			}
 		}
 	}
