--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -158,12 +158,12 @@
 	return offers, nil
 }
 
-// heldLease is a lease that its holder considers held; its value is the epoch.
-type heldLease uint64
+// fakeGuard is the guard of a lease that its holder considers held; its value is the epoch.
+type fakeGuard uint64
 
-func (heldLease) Check() error        { return nil }
-func (h heldLease) Epoch() uint64     { return uint64(h) }
-func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (fakeGuard) Check() error        { return nil }
+func (h fakeGuard) Epoch() uint64     { return uint64(h) }
+func (fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
 func newProvisioner(domain string, tables platformapi.Tables, f *fakePlatform) *Provisioner {
 	started := time.Now()
@@ -199,7 +199,7 @@
 	t.Helper()
 	offers, _ := f.Offers(t.Context())
 	d := Demand{Account: account, Model: model, Queued: queued, Running: running}
-	return p.Run(t.Context(), heldLease(epoch), Round{
+	return p.Run(t.Context(), fakeGuard(epoch), Round{
 		Listed:    f.listed,
 		Offers:    offers,
 		Demands:   []Demand{d},
