--- a/internal/platformapi/commit.go
+++ b/internal/platformapi/commit.go
@@ -27,11 +27,12 @@
 // CommitConfirmed runs a transaction, and tries to confirm it if its outcome is
 // unknown. A commit without an answer may have taken effect, may take effect
 // later, or may never take effect. A plain retry would fail the preconditions of
-// the transaction if the first copy took effect, as if another writer had won.
-// Therefore CommitConfirmed reads the row of the first write, which must not be a
-// deletion. If the row has the nonce of this transaction, the commit took effect.
-// If the row still meets its precondition, the same transaction is sent again.
-// Versions never repeat, so at most one of the copies takes effect.
+// the transaction if the first copy took effect, as if another writer had
+// committed first. Therefore CommitConfirmed reads the row of the first write,
+// which must not be a deletion. If the row has the nonce of this transaction, the
+// commit took effect. If the row still meets its precondition, the same
+// transaction is sent again. Versions never repeat, so at most one of the copies
+// takes effect.
 //
 // CommitConfirmed fails with *fault.PreconditionFailed only if no copy has taken
 // effect or ever will. It fails with *fault.StoreUnavailable, whose EffectUnknown
