--- a/internal/request/claim_test.go
+++ b/internal/request/claim_test.go
@@ -80,9 +80,8 @@
 	wantError[*fault.ClaimUnknown](t, err)
 }
 
-// The commit of a claim loses its request or its reply, or takes effect late. If
-// the VM took its own claim for another VM's, it would refuse a request that may
-// run.
+// The commit of a claim loses its request or its reply, or is delayed. If the VM
+// mistook its own claim for another VM's, it would refuse a request that may run.
 func TestClaimSurvivesCommitFaults(t *testing.T) {
 	for _, kind := range []faultinject.Kind{faultinject.LoseReply, faultinject.LoseRequest, faultinject.DelayEffect} {
 		t.Run(kind.String(), func(t *testing.T) {
