--- a/internal/provision/provision_test.go
+++ b/internal/provision/provision_test.go
@@ -158,12 +158,12 @@
 	return offers, nil
 }
 
-// heldLease is a lease that its holder considers held; its value is the epoch.
-type heldLease uint64
+// fakeGuard is the guard of a lease that its holder considers held; its value is the epoch.
+type fakeGuard uint64
 
-func (heldLease) Check() error        { return nil }
-func (h heldLease) Epoch() uint64     { return uint64(h) }
-func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (fakeGuard) Check() error        { return nil }
+func (h fakeGuard) Epoch() uint64     { return uint64(h) }
+func (fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
 func newProvisioner(domain string, tables platformapi.Tables, f *fakePlatform) *Provisioner {
 	started := time.Now()
@@ -199,7 +199,7 @@
 	t.Helper()
 	offers, _ := f.Offers(t.Context())
 	d := Demand{Account: account, Model: model, Queued: queued, Running: running}
-	return p.Run(t.Context(), heldLease(epoch), Round{
+	return p.Run(t.Context(), fakeGuard(epoch), Round{
 		Listed:    f.listed,
 		Offers:    offers,
 		Demands:   []Demand{d},
@@ -248,7 +248,7 @@
 	}
 }
 
-// checkSpending runs random rounds and evictions on unreliable ports.
+// checkSpending runs random rounds and evictions while the platform loses and delays orders.
 func checkSpending(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	f := newFakePlatform(random, 30, "a", "b")
@@ -315,7 +315,8 @@
 }
 
 // The platform answers no orders of a failure domain and delays their execution. If their
-// reservations were released meanwhile, another failure domain would spend the same money.
+// reservations were released meanwhile, another failure domain would order upstreams for the
+// same part of the spending.
 func TestReservationIsHeldWhileAnOrderIsUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakePlatform(rand.New(rand.NewPCG(1, 1)), 0, "a", "b")
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -16,11 +16,12 @@
 )
 
 // In each case of the fault matrix two VMs serve during servedWindows. All usage must be
-// reported reportTime later.
+// reported reportTime later. A delayed effect takes place after effectDelay; other faults that
+// last have the duration faultDuration.
 const (
 	servedWindows = 2
 	reportTime    = 2 * time.Minute
-	callDelay     = 8 * time.Second
+	effectDelay   = 8 * time.Second
 	faultDuration = 15 * time.Second
 	flushInterval = time.Second
 	pairCases     = 1500
@@ -98,7 +99,7 @@
 		closer := newCloser(process, processBilling{process: process, billing: s.billing}, s.listed)
 		running.Go(func() {
 			time.Sleep(closerStarts[i])
-			closer.Run(process.Context, heldLease(i+1), 2*time.Second)
+			closer.Run(process.Context, fakeGuard(i+1), 2*time.Second)
 		})
 	}
 	time.Sleep(servedWindows*windowLength + reportTime)
@@ -181,7 +182,7 @@
 func newFault(kind faultinject.Kind) faultinject.Fault {
 	f := faultinject.Fault{Kind: kind, Duration: faultDuration}
 	if kind == faultinject.DelayEffect {
-		f.Duration = callDelay
+		f.Duration = effectDelay
 	}
 	return f
 }
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -114,12 +114,12 @@
 	return counts, incomplete
 }
 
-// heldLease is a lease that is always held; its value is the epoch.
-type heldLease uint64
+// fakeGuard is the guard of a lease that is always held; its value is the epoch.
+type fakeGuard uint64
 
-func (heldLease) Check() error        { return nil }
-func (h heldLease) Epoch() uint64     { return uint64(h) }
-func (heldLease) Deadline() time.Time { return time.Now().Add(time.Hour) }
+func (fakeGuard) Check() error        { return nil }
+func (h fakeGuard) Epoch() uint64     { return uint64(h) }
+func (fakeGuard) Deadline() time.Time { return time.Now().Add(time.Hour) }
 
 func newEvents() *event.Recorder {
 	return event.NewRecorder("vm", 64, event.NewClock(time.Now), zap.NewNop())
@@ -158,7 +158,7 @@
 func drive(t *testing.T, c *Closer) {
 	t.Helper()
 	for {
-		more, err := c.Step(t.Context(), heldLease(1))
+		more, err := c.Step(t.Context(), fakeGuard(1))
 		if err != nil {
 			t.Fatalf("Step: %v", err)
 		}
@@ -201,8 +201,7 @@
 }
 
 // A VM is killed between two flushes, and the usage that it had not flushed is lost. The
-// report must be marked incomplete, so that the client account's bill does not pass as
-// complete.
+// report must be marked incomplete, or the client account's bill would seem complete.
 func TestReportOfKilledVMIsIncomplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := memtables.NewTables(), newBilling(t)
@@ -277,7 +276,7 @@
 		drive(t, closer)
 		time.Sleep(6 * time.Second)
 		between.beforeCommit = func() { flush(t, paused) }
-		_, _ = closer.Step(t.Context(), heldLease(1))
+		_, _ = closer.Step(t.Context(), fakeGuard(1))
 		drive(t, closer)
 		if got, _ := b.sum(berry); got != (Figures{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the request in the sealed row", got)
@@ -419,7 +418,7 @@
 		case 1:
 			_ = m.Flush(t.Context())
 		case 2:
-			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), heldLease(1))
+			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), fakeGuard(1))
 		default:
 			time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 		}
@@ -437,7 +436,7 @@
 		time.Sleep(windowLength)
 		for _, c := range closers {
 			for range 8 {
-				_, _ = c.Step(t.Context(), heldLease(1))
+				_, _ = c.Step(t.Context(), fakeGuard(1))
 			}
 		}
 	}
