--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
 # Measures how costs grow with the fleet, as cited in docs/CAPACITY.md, on real daemons
 # on loopback. For each size: the cost of control per VM (processor time, memory,
-# bytes) with one small request in 5 s, so that the loads of engines are polled; the
-# store calls of the fleet; and the time until the answer to an edit lists every VM.
+# bytes) with one small request to each VM every 5 s, so that the loads of engines are
+# polled; the store calls of the fleet; and the time until the answer to an edit lists
+# every VM.
 # Then, at 9 VMs, the cost of a request, a token and a sample. ASK=no leaves out the
 # small requests and the measurement at 9 VMs.
 set -euo pipefail
@@ -12,8 +13,9 @@
 sizes=${SIZES:-3 9 30 60}
 settle=${SETTLE:-8}
 window=${WINDOW:-5}
+# target is the number of VMs to which the measured costs are extrapolated, and
+# target_engines the number of engines in each failure domain at that size.
 target=390
-# target_engines is the number of engines in a failure domain at the target.
 target_engines=103
 domains=(a b c)
 rows="$work/rows"
@@ -42,7 +44,7 @@
   for n in $(vm_names); do awk -v f="$1:" '$1 == f {print $2}' "/proc/${pid_of[$n]}/io"; done | awk '{s += $1} END {printf "%.0f", s}'
 }
 
-start_size() { # start_size <VMs>: with two engines to each VM in the list, served by three processes
+start_size() { # start_size <VMs>: lists two engines per VM, which three processes serve
   local i d vms=()
   operator=
   start_platform
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -4,12 +4,12 @@
  * commits may take effect late.
  *
  * Go functions that the model represents:
- *   insert      request.Claims.Take, platform.CommitSurely (a late copy of the
- *               insert may take effect at any time)
+ *   insert      request.Claims.Acquire, platformapi.CommitConfirmed (a late copy
+ *               of the insert may take effect at any time)
  *   run         the dispatch of the request after its claim
  *   finish      request.Claims.Finish
  *   withdraw    request.Claims.Withdraw (a late copy may take effect at any time)
- *   repeat      request.Claims.Take on a claimed key
+ *   repeat      request.Claims.Acquire on a claimed key
  *
  * weaken: WEAKEN_BLIND_INSERT
  * weaken: WEAKEN_RUN_BEFORE_CLAIM
--- a/spec/edit.pml
+++ b/spec/edit.pml
@@ -1,13 +1,14 @@
 /*
  * Edit, distribution and restart: two operators edit the same key through two VMs,
  * replies are lost, edits are repeated by edit ID, and nodes read the rows, restart
- * and learn from each other. An outage of the store is a step that does not happen.
+ * and learn from each other. An outage of the store needs no step of its own: the
+ * steps that use the store do not happen.
  *
  * Go functions that the model represents:
- *   edit        config.Editor.Apply, try, commit
- *   follow      config.Syncer.fromStore, contract.Snapshot.Apply, View.Advance
+ *   edit        config.Editor.Apply, applyOnce, commit
+ *   follow      config.Syncer.syncFromStore; contract.Snapshot.Apply, contract.View.Advance
  *   bootstrap   config.readSnapshot
- *   learn       config.Syncer.fromPeers, confirm, Age; peer.Gossip.FetchConfig
+ *   learn       config.Syncer.syncFromPeers, confirm, Age; peer.Gossip.FetchConfig
  *
  * weaken: WEAKEN_NO_BASE
  * weaken: WEAKEN_NO_EDIT_ID
@@ -36,7 +37,7 @@
 byte seen[NODES * 2];
 byte known[NODES];	/* the upper bound; valid if everKnown is set */
 bit everKnown[NODES];
-/* Set while a node answers its peer: it does both reads in one incarnation. */
+/* Set while a node answers its peer, so that it does not restart between the two reads. */
 bit answering[NODES];
 byte steps;		/* steps of all nodes so far */
 
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -4,12 +4,14 @@
  * them.
  *
  * Go functions that the model represents, in internal/lease:
- *   contend, take   campaign.tryAcquire, Contender.Observe, Contender.Wait, Contender.Take
- *   renew           campaign.renew, Hold.Renewal, Hold.Renewed, Hold.Seen
- *   check           Hold.CheckAt (Guard.Check)
- *   settle          Settle, SettleTime
- *   release         campaign.release, Hold.Release
- *   compare-and-swap with a lost or late reply: platform.CommitSurely
+ *   contend, acquire  campaign.tryAcquire, Contender.Observe, Contender.RemainingWait,
+ *                     Contender.AcquireRecord
+ *   renew             campaign.renew, Hold.RenewalRecord, Hold.NoteRenewal,
+ *                     Hold.Reconcile
+ *   check             Hold.CheckAt (Guard.Check)
+ *   settle            WaitOrderGracePeriod, OrderGracePeriod
+ *   release           campaign.release, Hold.ReleaseRecord
+ *   compare-and-swap with a lost or late reply: platformapi.CommitConfirmed
  *
  * Time is counted in ticks. A pause is a tick that occurs while a node is
  * between two steps. So a node can be paused anywhere and for any time, except
@@ -40,6 +42,8 @@
 #define MARGIN 1
 #endif
 #define ORDER 1		/* longest time from the check to an order's effect */
+/* SETTLE is the order grace period: the ticks for which a new holder waits before its
+ * first order to the receiver that ignores fencing tokens. */
 #ifdef WEAKEN_NO_SETTLE
 #define SETTLE 0
 #else
@@ -134,7 +138,8 @@
 	toIgnoring[i] = 0
 }
 
-/* Wire delivers orders at any time; those with a due tick arrive by then. */
+/* Wire delivers orders at any time, those to the receiver that ignores fencing tokens
+ * by their due tick. */
 proctype Wire() {
 end:	do
 	:: atomic { toChecking[0] != 0 -> arriveAtChecking(0) }
--- a/spec/score.pml
+++ b/spec/score.pml
@@ -1,7 +1,7 @@
 /*
  * Path of one item from its complete text to its committed score, over two VMs that take
  * the step over from each other, a store of texts and results, and a scoring service
- * whose answers may be failures, be lost or arrive after the call was cancelled.
+ * whose answers may be failures, be lost or arrive after the call was canceled.
  *
  * Go functions that the model represents:
  *   generate    step.run.runAttempt, handleComplete and awaitScore
--- a/spec/step.pml
+++ b/spec/step.pml
@@ -3,7 +3,7 @@
  * two VMs and a store whose answers may be lost and whose commits may take effect late.
  *
  * Go functions that the model represents:
- *   accept      step.Manager.Submit, kept.CommitSurely
+ *   accept      step.Manager.Submit, rowstore.CommitConfirmed
  *   take over   step.Manager.takeOver: replaces the state row, then reads the results
  *   commit      step.run.commitResults: expects the version of the state row and the
  *               absence of its own row
--- a/spec/turn.pml
+++ b/spec/turn.pml
@@ -1,6 +1,6 @@
 /*
  * First sender of a cold engine: the owners of open steps are ranked for the engine, by
- * each VM from the states that it has read, and only the first one may send. Time advances
+ * each VM from the states of steps that it has read, and only the first one may send. Time advances
  * in ticks. States reach a VM late, each at its own time, or not at all for a while. The
  * end of steps is left out: the owner of a step that ended may still count as first for
  * MAX_AGE ticks, beside the next first sender.
@@ -8,8 +8,8 @@
  * Go functions that the model represents:
  *   open            step.Manager.handleSubmitOutcome: the state is written, then recorded
  *                   by its owner
- *   read            kept.Watcher.follow: all changes up to now
- *   isFirstSender   step.Manager.FirstSender
+ *   read            rowstore.Watcher.follow: all changes up to now
+ *   isFirstSender   step.Manager.IsFirstSender
  *
  * weaken: WEAKEN_OLD_STATES
  * weaken: WEAKEN_NO_SETTLING
@@ -26,8 +26,8 @@
 #define MAX_AGE 2	/* maximum age of the states of a first sender; below GRACE */
 #endif
 
-/* The ticks since each VM's step was opened, counted up to GRACE, or NEVER; and since the
- * VM read the states, counted up to MAX_AGE + 1. */
+/* For each VM, the ticks since its step was opened, counted up to GRACE, or NEVER; and the
+ * ticks since it read the states, counted up to MAX_AGE + 1. */
 byte openFor[VMS], readFor[VMS];
 
 /* The ticks since each VM learned of each step, or NEVER. Only a weakened form uses the
--- a/spec/usage.pml
+++ b/spec/usage.pml
@@ -3,10 +3,12 @@
  * closers of which one may be paused past the end of its lease, and billing, which
  * accepts a report again if the counts are the same.
  *
- * Go functions that the model represents, in internal/usage: the methods of Meter
- * that open a window, flush absolute totals and seal the row; the methods of Closer
- * that read all rows, write one report row if it is absent, and send exactly that row
- * to billing.
+ * Go functions that the model represents, in internal/usage:
+ *   VM          Meter.open (opens a window), Meter.write (flushes absolute totals),
+ *               Meter.Seal
+ *   Closer      Closer.close (reads all rows), Closer.insertReports (writes one report
+ *               row if it is absent), Closer.sendReports (sends exactly that row to
+ *               billing)
  *
  * weaken: WEAKEN_INCREMENTS
  * weaken: WEAKEN_OPEN_AFTER_USE
