--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -68,7 +68,7 @@
 	callers, operators *http.Server
 }
 
-// Run serves until stop is cancelled, then drains. It returns nil after a graceful stop.
+// Run serves until stop is canceled, then drains. It returns nil after a graceful stop.
 func (d *Daemon) Run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -226,8 +226,8 @@
 // reads of the weight store, by all VMs together.
 const maxSearchesPerSecond = 50
 
-// stepSearchInterval returns the function for the interval of one VM's searches and reads.
-// The interval grows with the fleet, so that the load of the platform does not.
+// stepSearchInterval returns a function that computes the interval of one VM's searches and
+// reads. The interval grows with the fleet, so that the load of the platform does not.
 func stepSearchInterval(gossip *peer.Gossip) func() time.Duration {
 	return func() time.Duration {
 		return fleetInterval(time.Second, len(gossip.VMs()), maxSearchesPerSecond)
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -98,9 +98,9 @@
 // is known.
 const defaultMaxVersionLag = 1
 
-// maxVersionLag returns how many versions older than the announced one the next step may
-// use: the version lag that the latest step had when it was submitted. If a version has been
-// announced since then, the lag of that step is larger now; the smaller value is used.
+// maxVersionLag returns by how many versions the weights that the next step uses may be
+// older than the announced version. This is the version lag that the latest step had when it
+// was submitted, not its present one, which each later announcement has made larger.
 func maxVersionLag(announced int64, demand step.ModelDemand) int64 {
 	if demand.Steps == 0 {
 		return defaultMaxVersionLag
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,8 +35,8 @@
 	// become unready: the load balancer polls readiness once a second and stops sending
 	// callers after the second failed poll.
 	unreadyGracePeriod = 2600 * time.Millisecond
-	// killMargin is the time before the end of the grace period, when the process is killed,
-	// at which the drain ends even if requests are still open.
+	// killMargin is how long before the process would be killed the drain ends, even if
+	// requests are still open. The process is killed at the end of its grace period.
 	killMargin = 1200 * time.Millisecond
 	// handoverTimeout is the timeout of the handover of steps and leases.
 	handoverTimeout = 3 * time.Second
@@ -78,7 +78,8 @@
 	// Background holds loops that run until the process ends: they watch the platform's
 	// tables and probe the store.
 	Background Loops
-	// SyncClock sets the fleet's clock: it reads or sets the offset in the store.
+	// SyncClock synchronizes the fleet's clock: it reads the clock's offset from the store,
+	// or sets it there if there is none yet.
 	SyncClock func(ctx context.Context) error
 	// FlushLog waits briefly until the last log lines are written.
 	FlushLog func()
@@ -86,7 +87,7 @@
 	Reload Reloader
 }
 
-// Run serves callers until stop is cancelled, then hands over steps and leases and drains. It
+// Run serves callers until stop is canceled, then hands over steps and leases and drains. It
 // returns nil after a graceful stop.
 func (n *Node) Run(stop context.Context) error {
 	debug.SetGCPercent(gcPercent)
@@ -98,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	// Duties end as soon as stop is cancelled, so that new holders of their leases need not wait.
+	// Duties end as soon as stop is canceled, so that new holders of their leases need not wait.
 	// The loops that serve callers run until the drain has ended.
 	duties, endDuties := context.WithCancel(ctx)
 	defer endDuties()
