--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -23,7 +23,7 @@
 const (
 	// FaultRefuse answers 503 and doesn't execute the request.
 	FaultRefuse FaultMode = "refuse"
-	// FaultDelay delays the execution of the request.
+	// FaultDelay delays the execution of the request by Millis milliseconds.
 	FaultDelay FaultMode = "delay"
 	// FaultLoseReply executes the request and then closes the connection without
 	// an answer.
--- a/internal/standin/loadplan.go
+++ b/internal/standin/loadplan.go
@@ -74,7 +74,8 @@
 }
 
 const (
-	// minLoadTokens and maxLoadTokens limit the token limit of a request.
+	// minLoadTokens and maxLoadTokens are the smallest and the largest token limit of a
+	// request.
 	maxLoadTokens = 1024
 	minLoadTokens = 8
 	// groupSkew is the exponent of the Zipf distribution of the groups.
