--- a/internal/processtest/control_test.go
+++ b/internal/processtest/control_test.go
@@ -92,25 +92,25 @@
 func TestPausedHolderSendsNoOrderAfterLeaseExpiry(t *testing.T) {
 	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "300ms"}})
 	f.grant(testContract("strathallan"))
-	first := f.awaitHolder("domain/a", nil)
-	second := f.publish()
-	await(t, "the first weight update", func() bool { return f.enginesServe(second) })
+	paused := f.awaitHolder("domain/a", nil)
+	version2 := f.publish()
+	await(t, "the first weight update", func() bool { return f.enginesServe(version2) })
 
-	third := f.publish()
+	version3 := f.publish()
 	time.Sleep(200 * time.Millisecond)
-	first.signal(t, syscall.SIGSTOP)
-	f.awaitHolder("domain/a", first)
-	await(t, "the new holder's weight update", func() bool { return f.enginesServe(third) })
+	paused.signal(t, syscall.SIGSTOP)
+	f.awaitHolder("domain/a", paused)
+	await(t, "the new holder's weight update", func() bool { return f.enginesServe(version3) })
 	// One engine fails every weight load, so that every VM that considers itself
 	// the holder keeps sending orders.
 	f.addFault("http://"+f.engines[0].Address, standin.Fault{Path: engine.PathOrders, Mode: standin.FaultFailSwap})
-	fourth := f.publish()
+	version4 := f.publish()
 	time.Sleep(2 * time.Second)
-	first.signal(t, syscall.SIGCONT)
-	first.find(t, `DWP-1203`)
+	paused.signal(t, syscall.SIGCONT)
+	paused.find(t, `DWP-1203`)
 	time.Sleep(2 * time.Second)
 	f.clearFaults("http://" + f.engines[0].Address)
-	await(t, "the last weight update", func() bool { return f.enginesServe(fourth) })
+	await(t, "the last weight update", func() bool { return f.enginesServe(version4) })
 	for _, e := range f.engines {
 		if c := f.counts(e); c.StaleOrders != 0 {
 			t.Errorf("%s received %d orders from a holder whose lease had expired", e.ID, c.StaleOrders)
@@ -123,14 +123,14 @@
 func TestNewHolderCompletesWeightUpdateOfKilledHolder(t *testing.T) {
 	f := startFleet(t, topology{domains: []string{"a"}, vms: 3, engines: 4, engineArgs: []string{"--swap-time", "500ms"}})
 	f.grant(testContract("strathallan"))
-	first := f.awaitHolder("domain/a", nil)
+	killed := f.awaitHolder("domain/a", nil)
 	time.Sleep(1500 * time.Millisecond)
 	version := f.publish()
 	time.Sleep(300 * time.Millisecond)
-	killed := time.Now()
-	first.kill()
+	killedAt := time.Now()
+	killed.kill()
 	await(t, "the new holder's weight update", func() bool { return f.enginesServe(version) })
-	t.Logf("all engines served the version %v after the kill; the term of the lease is 2s", time.Since(killed).Round(time.Millisecond))
+	t.Logf("all engines served the version %v after the kill; the term of the lease is 2s", time.Since(killedAt).Round(time.Millisecond))
 }
 
 // reports returns the usage reports that billing accepted.
--- a/internal/processtest/drain_test.go
+++ b/internal/processtest/drain_test.go
@@ -70,7 +70,7 @@
 	workers  sync.WaitGroup
 
 	mu       sync.Mutex
-	served   map[string]int
+	calls    map[string]int // calls made, also failed ones, by kind
 	failures []string
 }
 
@@ -99,7 +99,7 @@
 func (l *loadGenerator) noteCall(kind string, v *vm, problem string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.served[kind]++
+	l.calls[kind]++
 	if problem != "" {
 		l.failures = append(l.failures, fmt.Sprintf("%s at %s: %s", kind, v.id, problem))
 	}
@@ -121,7 +121,8 @@
 	return problemOf(status, answer)
 }
 
-// stream reads a stream that lasts longer than the notice period of a drain.
+// stream reads a stream that lasts longer than the unready grace period of
+// a drain.
 func (l *loadGenerator) stream(v *vm, _ int) string { return l.readStream(v, streamTokens) }
 
 func (l *loadGenerator) readStream(v *vm, maxTokens int) string {
@@ -140,8 +141,8 @@
 }
 
 // streamTokens is the maximum number of tokens of a stream. It makes streams last
-// at least three seconds at 2 ms per token; the notice period of a drain is two
-// seconds.
+// at least three seconds at 2 ms per token; the unready grace period of a drain is
+// two seconds.
 const streamTokens = 6000
 
 // problemOf returns "" for status 200, otherwise the status and the answer.
@@ -168,7 +169,7 @@
 		defer mu.Unlock()
 		return append([]*vm{}, vms...)
 	}
-	l := &loadGenerator{fleet: f, balancer: newBalancer(f, list), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, list), key: key, stop: make(chan struct{}), calls: make(map[string]int)}
 	l.run("stream", 9, l.stream)
 	l.run("generate", 3, l.generate)
 	l.run("keyed", 2, l.charge)
@@ -187,12 +188,12 @@
 	}
 	close(l.stop)
 	l.workers.Wait()
-	t.Logf("calls: %v, failed: %d", l.served, len(l.failures))
+	t.Logf("calls: %v, failed: %d", l.calls, len(l.failures))
 	for _, problem := range l.failures[:min(len(l.failures), 10)] {
 		t.Error(problem)
 	}
-	if l.served["stream"] < 2*len(f.vms) {
-		t.Errorf("only %d streams were read", l.served["stream"])
+	if l.calls["stream"] < 2*len(f.vms) {
+		t.Errorf("only %d streams were read", l.calls["stream"])
 	}
 }
 
--- a/internal/processtest/leaving_test.go
+++ b/internal/processtest/leaving_test.go
@@ -22,7 +22,7 @@
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 2, services: 2})
 	key := f.grant(testContract("strathallan"))
-	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), calls: make(map[string]int)}
 	l.run("generate", 4, l.generate)
 	l.run("unkeyed", 4, l.unkeyed)
 	engine, service := f.engines[0], f.services[0]
@@ -33,8 +33,8 @@
 	}
 	time.Sleep(leavingGracePeriod)
 	engineBefore, serviceBefore := f.counts(engine).Started, f.counts(service).Started
-	served := l.total()
-	await(t, "200 more calls", func() bool { return l.total() > served+200 })
+	before := l.total()
+	await(t, "200 more calls", func() bool { return l.total() > before+200 })
 	if now := f.counts(engine).Started; now != engineBefore {
 		t.Errorf("the leaving engine received %d new requests", now-engineBefore)
 	}
@@ -53,7 +53,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	total := 0
-	for _, n := range l.served {
+	for _, n := range l.calls {
 		total += n
 	}
 	return total
@@ -64,12 +64,12 @@
 func TestKilledEngineFailsNoStream(t *testing.T) {
 	f := startFleet(t, topology{domains: []string{"a", "b"}, vms: 2, engines: 2, services: 1, engineArgs: []string{"--token-time", "5ms"}})
 	key := f.grant(testContract("strathallan"))
-	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), served: make(map[string]int)}
+	l := &loadGenerator{fleet: f, balancer: newBalancer(f, func() []*vm { return f.vms }), key: key, stop: make(chan struct{}), calls: make(map[string]int)}
 	l.run("stream", 6, l.shortStream)
 	await(t, "streams at the engine", func() bool { return f.counts(f.engines[0]).Started > 3 })
 	f.engines[0].kill()
-	served := l.total()
-	await(t, "24 more streams", func() bool { return l.total() > served+24 })
+	before := l.total()
+	await(t, "24 more streams", func() bool { return l.total() > before+24 })
 	close(l.stop)
 	l.workers.Wait()
 	t.Logf("streams: %d, failed: %d", l.total(), len(l.failures))
