--- a/internal/config/bootstrap.go
+++ b/internal/config/bootstrap.go
@@ -57,7 +57,7 @@
 }
 
 func scanSubjects(ctx context.Context, tables platformapi.Tables) (*contract.Snapshot, error) {
-	snapshot := contract.Empty()
+	snapshot := contract.EmptySnapshot()
 	for _, prefix := range []string{contractPrefix, keyPrefix} {
 		if err := scanInto(ctx, tables, prefix, snapshot); err != nil {
 			return nil, err
--- a/internal/config/editor.go
+++ b/internal/config/editor.go
@@ -45,7 +45,7 @@
 // first in all tries. After *fault.StoreUnavailable the outcome may be unknown, and the
 // operator retries with the same edit ID.
 func (e *Editor) Apply(ctx context.Context, edit contract.Edit) (contract.Entry, error) {
-	if err := edit.Check(); err != nil {
+	if err := edit.Validate(); err != nil {
 		return contract.Entry{}, err
 	}
 	var last error
@@ -103,7 +103,7 @@
 	if err := row.Decode(&accepted); err != nil {
 		return contract.Entry{}, err
 	}
-	if !edit.Accepts(accepted) {
+	if !edit.MatchesEntry(accepted) {
 		return contract.Entry{}, errors.WithStack(&fault.EditInvalid{Field: "id", Problem: "was used for a different edit"})
 	}
 	return accepted, nil
--- a/internal/config/editor_test.go
+++ b/internal/config/editor_test.go
@@ -133,17 +133,17 @@
 func TestKindMustMatchTheKey(t *testing.T) {
 	key := contract.Key{ID: "k1", Account: "farm", SecretSHA256: contract.HashSecret("0123456789abcdef"), Withdrawn: true}
 	edit := contract.Edit{ID: "a", Kind: contract.EditGrant, Who: "clerk", Key: &key}
-	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
+	if err := edit.Validate(); !fault.Is[*fault.EditInvalid](err) {
 		t.Errorf("a grant of a withdrawn key: %v, want *fault.EditInvalid", err)
 	}
 	key.Withdrawn = false
 	edit.Kind = contract.EditWithdraw
-	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
+	if err := edit.Validate(); !fault.Is[*fault.EditInvalid](err) {
 		t.Errorf("a withdrawal of a key that is not withdrawn: %v, want *fault.EditInvalid", err)
 	}
 	edit.Kind = contract.EditGrant
 	key.Account = "a/b"
-	if err := edit.Check(); !fault.Is[*fault.EditInvalid](err) {
+	if err := edit.Validate(); !fault.Is[*fault.EditInvalid](err) {
 		t.Errorf("an account with a slash: %v, want *fault.EditInvalid", err)
 	}
 }
--- a/internal/config/machine_test.go
+++ b/internal/config/machine_test.go
@@ -111,7 +111,7 @@
 // edit that was accepted before the time given by its age.
 func (m *machine) auditVM(s *Syncer, entries []contract.Entry) {
 	view := s.view.Load()
-	want := contract.Empty()
+	want := contract.EmptySnapshot()
 	for _, entry := range entries[:view.Revision] {
 		want, _ = want.Apply(entry)
 	}
@@ -119,7 +119,7 @@
 		m.violation = fmt.Sprintf("the view at revision %d differs from the history", view.Revision)
 	}
 	age := s.Age()
-	if age == Never {
+	if age == AgeUnknown {
 		return
 	}
 	for i, at := range m.accepted {
--- a/internal/config/matrix_test.go
+++ b/internal/config/matrix_test.go
@@ -131,7 +131,7 @@
 		return
 	}
 	age := f.syncer.Age()
-	if age == Never {
+	if age == AgeUnknown {
 		return
 	}
 	currentAt := time.Now().Add(-age)
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -21,14 +21,14 @@
 	FetchConfig(ctx context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error)
 }
 
-// Never is the age of a view that was never confirmed to be current. Ages from peers were
+// AgeUnknown is the age of a view that was never confirmed to be current. Ages from peers were
 // converted to milliseconds and back, which changes Never. So every age of maxPeerAge or
 // more counts as Never; used as a duration it would overflow and look recent.
-const Never time.Duration = math.MaxInt64
+const AgeUnknown time.Duration = math.MaxInt64
 
 const (
 	// maxPeerAge is the age from which on an age from a peer counts as Never.
-	maxPeerAge = Never / 2
+	maxPeerAge = AgeUnknown / 2
 	// agePrecision is added to the age from a peer, which is truncated to milliseconds.
 	// Otherwise the age would decrease with each exchange between two VMs.
 	agePrecision = time.Millisecond
@@ -66,9 +66,9 @@
 // Option configures a Syncer.
 type Option func(*Syncer)
 
-// WithFleet sets the function that returns the number of VMs that poll the store. The poll
+// WithFleetSize sets the function that returns the number of VMs that poll the store. The poll
 // interval grows with a large fleet, so that the rate of all polls does not.
-func WithFleet(size func() int) Option {
+func WithFleetSize(size func() int) Option {
 	return func(s *Syncer) { s.fleetSize = size }
 }
 
@@ -102,13 +102,13 @@
 func (s *Syncer) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == neverConfirmed {
-		return Never
+		return AgeUnknown
 	}
 	return time.Since(s.started) - time.Duration(at)
 }
 
-// Poke makes Run poll at once, for example after a peer's digest with a newer revision.
-func (s *Syncer) Poke() {
+// PollNow makes Run poll at once, for example after a peer's digest with a newer revision.
+func (s *Syncer) PollNow() {
 	select {
 	case s.pollNow <- struct{}{}:
 	default:
@@ -185,7 +185,7 @@
 // reportStaleness emits an event when the view becomes stale and when it is confirmed again.
 func (s *Syncer) reportStaleness() {
 	age := s.Age()
-	if age == Never {
+	if age == AgeUnknown {
 		age = time.Since(s.started)
 	}
 	stale := age > staleAfter
--- a/internal/config/syncer_test.go
+++ b/internal/config/syncer_test.go
@@ -22,7 +22,7 @@
 // FetchConfig implements Peers.
 func (p peerSyncers) FetchConfig(_ context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error) {
 	var newest *contract.Snapshot
-	age := Never
+	age := AgeUnknown
 	for _, peer := range p {
 		// As on the wire, the age is in whole milliseconds.
 		age = min(age, peer.Age().Truncate(time.Millisecond))
@@ -96,7 +96,7 @@
 			fresh.sync(ctx)
 			second.sync(ctx)
 		}
-		if a, b := fresh.Age(), second.Age(); a != Never || b != Never {
+		if a, b := fresh.Age(), second.Age(); a != AgeUnknown || b != AgeUnknown {
 			t.Errorf("ages of the new VMs are %v and %v, want never", a, b)
 		}
 		if got := known.Age(); got < 10*time.Minute {
@@ -181,7 +181,7 @@
 		vms  int
 		want time.Duration
 	}{{9, time.Second}, {390, 7800 * time.Millisecond}} {
-		s := testSyncer(nil, nil, WithFleet(func() int { return c.vms }))
+		s := testSyncer(nil, nil, WithFleetSize(func() int { return c.vms }))
 		for range 100 {
 			got := s.pollInterval()
 			if got < c.want*9/10 || got > c.want*11/10 {
--- a/internal/contract/authenticate_test.go
+++ b/internal/contract/authenticate_test.go
@@ -9,7 +9,7 @@
 // An attacker presents guessed key IDs and measures the response times. If an unknown ID were
 // refused without the full comparison, the time would reveal which IDs exist.
 func TestUnknownKeyIsComparedInFull(t *testing.T) {
-	s := Empty()
+	s := EmptySnapshot()
 	s.Keys["k1"] = Key{ID: "k1", Account: "a", SecretSHA256: HashSecret("the secret of k1")}
 	known, _ := s.candidate("k1")
 	unknown, found := s.candidate("k2")
@@ -17,7 +17,7 @@
 		t.Errorf("an unknown key is compared with %d digits, a known one with %d",
 			len(unknown.SecretSHA256), len(known.SecretSHA256))
 	}
-	for _, p := range []Presented{{ID: "k2", Secret: "the secret of k1"}, {ID: "k1", Secret: "another secret..."}, {}} {
+	for _, p := range []PresentedKey{{ID: "k2", Secret: "the secret of k1"}, {ID: "k1", Secret: "another secret..."}, {}} {
 		if _, _, err := s.Authenticate(p); !fault.Is[*fault.KeyInvalid](err) {
 			t.Errorf("key %v: got %v, want *fault.KeyInvalid", p, err)
 		}
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -57,8 +57,8 @@
 	ServeSeconds int64 `json:"serveSeconds" validate:"min=0,max=86400"`
 }
 
-// Duration returns ServeSeconds as a duration.
-func (i Isolation) Duration() time.Duration { return time.Duration(i.ServeSeconds) * time.Second }
+// ServeDuration returns ServeSeconds as a duration.
+func (i Isolation) ServeDuration() time.Duration { return time.Duration(i.ServeSeconds) * time.Second }
 
 // Limits are the limits of one account's requests on one VM.
 type Limits struct {
--- a/internal/contract/edit.go
+++ b/internal/contract/edit.go
@@ -26,8 +26,8 @@
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Check fails with *fault.EditInvalid if the edit is not well formed.
-func (e Edit) Check() error {
+// Validate fails with *fault.EditInvalid if the edit is not well formed.
+func (e Edit) Validate() error {
 	if err := validate.Struct(e); err != nil {
 		return editInvalid(err)
 	}
@@ -41,10 +41,10 @@
 	return nil
 }
 
-// Accepts reports whether an accepted entry with the edit's ID has the kind and content of
+// MatchesEntry reports whether an accepted entry with the edit's ID has the kind and content of
 // the edit. An edit with the ID of a different one must not get that one's answer: the
 // operator would consider it accepted.
-func (e Edit) Accepts(accepted Entry) bool {
+func (e Edit) MatchesEntry(accepted Entry) bool {
 	return accepted.Kind == e.Kind &&
 		reflect.DeepEqual(accepted.Contract, e.Contract) &&
 		reflect.DeepEqual(accepted.Key, e.Key)
--- a/internal/contract/key.go
+++ b/internal/contract/key.go
@@ -23,23 +23,23 @@
 	Withdrawn    bool   `json:"withdrawn"`
 }
 
-// Presented is a key as a caller sent it.
-type Presented struct {
+// PresentedKey is a key as a caller sent it.
+type PresentedKey struct {
 	ID     string
 	Secret string
 }
 
 // ParseKey parses "dwp_<id>_<secret>". It fails with *fault.KeyInvalid.
-func ParseKey(text string) (Presented, error) {
+func ParseKey(text string) (PresentedKey, error) {
 	rest, ok := strings.CutPrefix(text, KeyPrefix)
 	if !ok {
-		return Presented{}, errors.WithStack(&fault.KeyInvalid{})
+		return PresentedKey{}, errors.WithStack(&fault.KeyInvalid{})
 	}
 	id, secret, ok := strings.Cut(rest, "_")
 	if !ok || id == "" || len(secret) < minSecretLength {
-		return Presented{}, errors.WithStack(&fault.KeyInvalid{})
+		return PresentedKey{}, errors.WithStack(&fault.KeyInvalid{})
 	}
-	return Presented{ID: id, Secret: secret}, nil
+	return PresentedKey{ID: id, Secret: secret}, nil
 }
 
 // minSecretLength is the smallest length of a secret in bytes.
--- a/internal/contract/snapshot.go
+++ b/internal/contract/snapshot.go
@@ -44,8 +44,8 @@
 	Keys      map[string]Key       `json:"keys"`
 }
 
-// Empty returns the snapshot at revision 0, before the first edit.
-func Empty() *Snapshot {
+// EmptySnapshot returns the snapshot at revision 0, before the first edit.
+func EmptySnapshot() *Snapshot {
 	return &Snapshot{Contracts: map[Account]Contract{}, Keys: map[string]Key{}}
 }
 
@@ -70,7 +70,7 @@
 
 // Authenticate returns the key and contract for a presented key. It fails with
 // *fault.KeyInvalid, *fault.KeyWithdrawn or *fault.AccountUnknown.
-func (s *Snapshot) Authenticate(p Presented) (Key, Contract, error) {
+func (s *Snapshot) Authenticate(p PresentedKey) (Key, Contract, error) {
 	key, known := s.candidate(p.ID)
 	if !key.Matches(p.Secret) || !known {
 		return Key{}, Contract{}, errors.WithStack(&fault.KeyInvalid{})
@@ -109,7 +109,7 @@
 // NewView returns a view of the empty snapshot.
 func NewView() *View {
 	v := &View{}
-	v.current.Store(Empty())
+	v.current.Store(EmptySnapshot())
 	return v
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -55,7 +55,7 @@
 	WeightUpdater *weightupdate.Updater
 	Mover         *enginepool.Mover
 	Provisioner   *provision.Provisioner
-	Closer        *usage.Closer
+	Reporter      *usage.Reporter
 	// DomainInterval is the interval between two rounds of orders for the failure domain.
 	DomainInterval time.Duration
 	// CloseInterval is the interval between two checks for usage windows to close.
@@ -92,7 +92,7 @@
 	if err := lease.WaitOrderGracePeriod(ctx, guard, c.ReportTimeout); err != nil {
 		return false, err
 	}
-	c.Closer.Run(ctx, guard, c.CloseInterval)
+	c.Reporter.Run(ctx, guard, c.CloseInterval)
 	return false, guard.Check()
 }
 
--- a/internal/ctl/contracts.go
+++ b/internal/ctl/contracts.go
@@ -127,7 +127,7 @@
 		row(w, "ACCOUNT", "SHARE", "VERSIONS", "SECONDS", "CENTS/H", "RECLAIMABLE", "SERVE ALONE")
 		for _, c := range list {
 			row(w, c.Account, c.Share, c.Staleness.MaxVersions, c.Staleness.MaxSeconds,
-				c.Spending.CentsPerHour, fmt.Sprintf("%d%%", c.Reclaimable.Percent), c.Isolation.Duration())
+				c.Spending.CentsPerHour, fmt.Sprintf("%d%%", c.Reclaimable.Percent), c.Isolation.ServeDuration())
 		}
 	})
 }
@@ -176,7 +176,7 @@
 	for _, vm := range e.InForce.VMs {
 		row(w, "    "+vm.VM, formatTime(vm.At))
 	}
-	if len(e.InForce.NotKnown) > 0 {
-		_, _ = fmt.Fprintf(w, "  when in force is not known on %s\n", strings.Join(e.InForce.NotKnown, ", "))
+	if len(e.InForce.Unknown) > 0 {
+		_, _ = fmt.Fprintf(w, "  when in force is not known on %s\n", strings.Join(e.InForce.Unknown, ", "))
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -42,7 +42,7 @@
 	pending []operator.VMRevision
 }
 
-func (f *fakeFleet) InForce() []operator.VMRevision {
+func (f *fakeFleet) Revisions() []operator.VMRevision {
 	return append([]operator.VMRevision{{VM: "vm-1", FailureDomain: "a", Revision: 1 << 40, Known: true}}, f.pending...)
 }
 
@@ -75,7 +75,7 @@
 		Steps:       rows,
 		Usage:       rows,
 		Events:      events,
-		Advanced:    func() {},
+		ApplyNewest: func() {},
 	})
 	handler := server.Handler()
 	listener := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -287,7 +287,7 @@
 	h := newHarness(t)
 	rows := map[string]any{
 		"progress/strathallan/round-1":  sample.Progress{Model: "berry-1", Slots: 12, Filled: []byte{0x1f, 0}, Committed: 5, Acked: 3},
-		"report/000000000001/brazicod":  usage.Report{Window: 1, Account: "brazicod", Figures: usage.Figures{Requests: 7, Tokens: 70}, Incomplete: true},
+		"report/000000000001/brazicod":  usage.Report{Window: 1, Account: "brazicod", Counts: usage.Counts{Requests: 7, Tokens: 70}, Incomplete: true},
 		"lease/usage-reports":           json.RawMessage(`{"holder":"vm-3","epoch":12}`),
 		"report/000000000002/something": usage.Report{Window: 2, Account: "something"},
 	}
--- a/internal/ctl/explainstep.go
+++ b/internal/ctl/explainstep.go
@@ -11,14 +11,14 @@
 	"dogwoodpond/internal/event"
 )
 
-// StepAccount describes what happened to a step.
-type StepAccount struct {
+// StepExplanation describes what happened to a step.
+type StepExplanation struct {
 	Step    string `json:"step"`
 	Account string `json:"account"`
 	// Owners lists the VM of each ownership of the step, in order.
 	Owners []string `json:"owners"`
-	// Listed counts the committed results.
-	Listed int64 `json:"listed"`
+	// Committed counts the committed results.
+	Committed int64 `json:"listed"`
 	// LongestGap is the longest time without a new result between the first event and the
 	// end of the step, GapFrom the time when that gap began.
 	LongestGap time.Duration `json:"longestGapNanos"`
@@ -43,17 +43,17 @@
 // it processes.
 var disruptionEvents = []event.Number{
 	event.ProcessStarted, event.DrainStarted, event.ProcessStopped,
-	event.DependencyLost, event.DependencyRegained, event.BeatFailed,
+	event.DependencyLost, event.DependencyRegained, event.HeartbeatFailed,
 }
 
 // explainStep explains a step by its own events and by the disruption events of its owners
 // between its first and last event. ok is false if no event of the step is known.
-func explainStep(step string, queryEvents eventSource) (explanation StepAccount, ok bool, err error) {
+func explainStep(step string, queryEvents eventSource) (explanation StepExplanation, ok bool, err error) {
 	own, err := queryEvents(event.Query{Step: step})
 	if err != nil || len(own.Events) == 0 {
 		return explanation, false, err
 	}
-	explanation = StepAccount{Step: step, Failures: map[string]int{}, ScoreFailures: map[string]int{}, Missing: own.Missing}
+	explanation = StepExplanation{Step: step, Failures: map[string]int{}, ScoreFailures: map[string]int{}, Missing: own.Missing}
 	first, latest := own.Events[0].Stamp, own.Events[len(own.Events)-1].Stamp
 	disruptions, err := queryEvents(event.Query{Numbers: disruptionEvents, After: first})
 	if err != nil {
@@ -82,7 +82,7 @@
 	return owners
 }
 
-func (s *StepAccount) add(e event.Record, first event.Stamp) {
+func (s *StepExplanation) add(e event.Record, first event.Stamp) {
 	if e.Step == s.Step && e.Account != "" {
 		s.Account = e.Account
 	}
@@ -100,7 +100,7 @@
 	case event.StepOwned:
 		s.Owners = append(s.Owners, e.VM)
 	case event.SamplesCommitted:
-		s.Listed += e.Count
+		s.Committed += e.Count
 		s.endGap(e.Stamp)
 	case event.StepEnded:
 		s.endGap(e.Stamp)
@@ -112,7 +112,7 @@
 }
 
 // addScore counts a score and updates the longest wait for a score.
-func (s *StepAccount) addScore(e event.Record) {
+func (s *StepExplanation) addScore(e event.Record) {
 	s.Scored++
 	if waited := time.Duration(e.Count) * time.Millisecond; waited >= s.LongestScoreWait {
 		s.LongestScoreWait, s.SlowestScore = waited, e.Slot
@@ -120,7 +120,7 @@
 }
 
 // endGap ends the current gap, that is time without results, and begins the next one.
-func (s *StepAccount) endGap(at event.Stamp) {
+func (s *StepExplanation) endGap(at event.Stamp) {
 	length := since(s.latest.WallMicros, at.WallMicros)
 	if length > s.LongestGap {
 		s.LongestGap, s.GapFrom = length, stampTime(s.latest)
@@ -128,8 +128,8 @@
 	s.latest = at
 }
 
-func stepTable(w io.Writer, s StepAccount) {
-	_, _ = fmt.Fprintf(w, "step %s of client account %s: %d results committed, run by %s\n", s.Step, orDash(s.Account), s.Listed, orDash(strings.Join(s.Owners, ", then ")))
+func stepTable(w io.Writer, s StepExplanation) {
+	_, _ = fmt.Fprintf(w, "step %s of client account %s: %d results committed, run by %s\n", s.Step, orDash(s.Account), s.Committed, orDash(strings.Join(s.Owners, ", then ")))
 	for _, l := range s.Lines {
 		row(w, formatTime(l.At), fmt.Sprintf("+%.1f ms", float64(l.SinceMicros)/microsPerMilli), l.VM, l.Text)
 	}
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -41,7 +41,7 @@
 	row(w)
 	row(w, "FAILURE DOMAIN", "VMS HEARD", "REVISION", "UPSTREAMS", "STATE")
 	for _, d := range s.Domains {
-		row(w, d.FailureDomain, fmt.Sprintf("%d of %d", d.Heard, d.VMs), d.Revision, d.Upstreams, domainState(d))
+		row(w, d.FailureDomain, fmt.Sprintf("%d of %d", d.Responsive, d.VMs), d.Revision, d.Upstreams, domainState(d))
 	}
 	row(w)
 	row(w, "VM", "FAILURE DOMAIN", "REVISION", "HEARD", "STATE")
@@ -75,7 +75,7 @@
 	if !vm.Known {
 		return "never"
 	}
-	return (time.Duration(vm.HeardMillis) * time.Millisecond).String() + " ago"
+	return (time.Duration(vm.AgeMillis) * time.Millisecond).String() + " ago"
 }
 
 func vmState(vm operator.VMRevision) string {
--- a/internal/ctl/keys.go
+++ b/internal/ctl/keys.go
@@ -94,8 +94,8 @@
 // newKey generates a key. If keyFile is given, the key is written there before it is
 // granted, so that it isn't lost if the answer to the grant is lost; a retry reads it from
 // there.
-func newKey(keyFile string, retry bool) (contract.Presented, error) {
-	key := contract.Presented{ID: randomHex(keyIDBytes), Secret: randomHex(secretBytes)}
+func newKey(keyFile string, retry bool) (contract.PresentedKey, error) {
+	key := contract.PresentedKey{ID: randomHex(keyIDBytes), Secret: randomHex(secretBytes)}
 	if keyFile == "" {
 		return key, nil
 	}
@@ -115,7 +115,7 @@
 	return key, nil
 }
 
-func keyText(key contract.Presented) string {
+func keyText(key contract.PresentedKey) string {
 	return contract.KeyPrefix + key.ID + "_" + key.Secret
 }
 
--- a/internal/ctl/logs.go
+++ b/internal/ctl/logs.go
@@ -40,7 +40,7 @@
 		all = merge(all, records)
 	}
 	return func(query event.Query) (operator.EventsAnswer, error) {
-		matching := slices.DeleteFunc(slices.Clone(all), func(r event.Record) bool { return !query.Picks(r) })
+		matching := slices.DeleteFunc(slices.Clone(all), func(r event.Record) bool { return !query.Matches(r) })
 		return operator.EventsAnswer{Events: matching}, nil
 	}, nil
 }
--- a/internal/ctl/report.go
+++ b/internal/ctl/report.go
@@ -44,8 +44,8 @@
 	// Phases holds the duration of each phase, 0 if the end of the phase is not known. The
 	// phase Results ends with the latest committed results.
 	Phases [phases]time.Duration `json:"phasesNanos"`
-	// Whole is the sum of Phases.
-	Whole time.Duration `json:"wholeNanos"`
+	// Total is the sum of Phases.
+	Total time.Duration `json:"wholeNanos"`
 	// Longest is the name of the longest phase.
 	Longest string `json:"longest"`
 	// Gap is the longest time between two commits of results.
@@ -115,7 +115,7 @@
 	for _, s := range report.Steps {
 		s.sumPhases()
 	}
-	slices.SortStableFunc(report.Steps, func(a, b *StepTimes) int { return cmp.Compare(b.Whole, a.Whole) })
+	slices.SortStableFunc(report.Steps, func(a, b *StepTimes) int { return cmp.Compare(b.Total, a.Total) })
 	return report
 }
 
@@ -173,7 +173,7 @@
 func (s *StepTimes) sumPhases() {
 	longest := Acceptance
 	for p, duration := range s.Phases {
-		s.Whole += duration
+		s.Total += duration
 		if duration > s.Phases[longest] {
 			longest = Phase(p)
 		}
@@ -195,7 +195,7 @@
 	_, _ = fmt.Fprintln(w)
 	row(w, "step", "account", "began", "whole", "acceptance", "ownership", "first result", "results", "reading", "longest gap", "owners", "failed runs", "given up", "")
 	for _, s := range report.Steps[:min(len(report.Steps), max(top, 0))] {
-		cells := []any{s.Step, orDash(s.Account), formatTime(s.Began), seconds(s.Whole)}
+		cells := []any{s.Step, orDash(s.Account), formatTime(s.Began), seconds(s.Total)}
 		for _, duration := range s.Phases {
 			cells = append(cells, seconds(duration))
 		}
--- a/internal/ctl/report_test.go
+++ b/internal/ctl/report_test.go
@@ -41,7 +41,7 @@
 	if late.Phases != want || late.Longest != "results" || late.Gap != 4*time.Second || late.Owners != 2 || late.Failed != 1 || !late.Ended {
 		t.Errorf("the late step: %+v", late)
 	}
-	if read.Longest != "reading" || read.Whole != 2500*time.Millisecond {
+	if read.Longest != "reading" || read.Total != 2500*time.Millisecond {
 		t.Errorf("the step that was read late: %+v", read)
 	}
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -57,16 +57,16 @@
 	return provision.NewProvisioner(s.FailureDomain, client, client, events, newElapsed())
 }
 
-func newCloser(s settings.Daemon, client *platformapi.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Closer {
-	return usage.NewCloser(client, client, events, usage.CloserConfig{
-		Length:    s.UsageWindow(),
-		Now:       time.Now,
-		Elapsed:   newElapsed(),
-		Grace:     s.UsageWindow() / closeDivisor,
-		DeadAfter: s.UsageWindow() / deadDivisor,
-		GiveUp:    s.UsageWindow() * maxWaitWindows,
-		Accounts:  func() []contract.Account { return accountsOf(view.Load()) },
-		Listed:    func(vm string) bool { return isListed(gossip.VMs(), vm) },
+func newCloser(s settings.Daemon, client *platformapi.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Reporter {
+	return usage.NewReporter(client, client, events, usage.ReporterConfig{
+		WindowLength:    s.UsageWindow(),
+		Now:             time.Now,
+		Elapsed:         newElapsed(),
+		GracePeriod:     s.UsageWindow() / closeDivisor,
+		DeadAfter:       s.UsageWindow() / deadDivisor,
+		ListedDeadAfter: s.UsageWindow() * maxWaitWindows,
+		Accounts:        func() []contract.Account { return accountsOf(view.Load()) },
+		IsListed:        func(vm string) bool { return isListed(gossip.VMs(), vm) },
 	})
 }
 
@@ -97,7 +97,7 @@
 	updater *weightupdate.Updater,
 	mover *enginepool.Mover,
 	provisioner *provision.Provisioner,
-	closer *usage.Closer,
+	closer *usage.Reporter,
 	h *hooks,
 ) *control.Controller {
 	members := func() []dispatch.Member { return h.members() }
@@ -111,7 +111,7 @@
 		WeightUpdater:  updater,
 		Mover:          mover,
 		Provisioner:    provisioner,
-		Closer:         closer,
+		Reporter:       closer,
 		DomainInterval: domainInterval,
 		CloseInterval:  s.UsageWindow() / closeDivisor,
 		OrderTimeout:   s.OrderTimeout(),
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -142,13 +142,13 @@
 	d.events.Emit(event.DrainStarted, event.Subject{})
 	d.entry.Drain()
 	time.Sleep(unreadyGracePeriod)
-	d.entry.Refuse()
-	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Drain())
+	d.entry.RefuseNewRequests()
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout())
 	defer cancel()
 	if err := open.callers.Shutdown(ctx); err != nil {
 		return errors.WithStack(&fault.DeadlineExceeded{})
 	}
-	d.entry.Wait()
+	d.entry.WaitDetached()
 	d.rollouts.Close()
 	return open.operators.Shutdown(ctx)
 }
@@ -159,7 +159,7 @@
 // flushInterval returns the interval between usage flushes. It grows with the fleet, so that
 // the load of the store does not.
 func (d *Daemon) flushInterval() time.Duration {
-	return fleetInterval(d.settings.UsageFlush(), len(d.gossip.VMs()), maxFlushesPerSecond)
+	return fleetInterval(d.settings.UsageFlushInterval(), len(d.gossip.VMs()), maxFlushesPerSecond)
 }
 
 const (
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -40,9 +40,9 @@
 
 func (h *hooks) draining() bool { return h.entry.Draining() }
 
-func (h *hooks) pollRevision() { h.syncer.Poke() }
+func (h *hooks) pollRevision() { h.syncer.PollNow() }
 
-func (h *hooks) revoke(s *contract.Snapshot) { h.entry.Revoke(s) }
+func (h *hooks) revoke(s *contract.Snapshot) { h.entry.CancelWithdrawnKeys(s) }
 
 // Age implements peer.Ager.
 func (h *hooks) Age() time.Duration { return h.syncer.Age() }
@@ -119,13 +119,13 @@
 	h.gossip = peer.NewGossip(peer.GossipConfig{
 		Self:        peer.Identity{VM: s.VM, FailureDomain: s.FailureDomain, PeerAddress: s.PeerAddress},
 		Seeds:       s.Seeds,
-		Period:      s.DigestPeriod(),
+		Period:      s.DigestInterval(),
 		Events:      events,
 		View:        view,
 		Client:      client,
 		Draining:    h.draining,
 		OnRevision:  h.pollRevision,
-		Age:         h.Age,
+		ConfigAge:   h.Age,
 		Demand:      scheduler.Demand,
 		Unreachable: scheduler.Unreachable,
 		Metrics:     counters,
@@ -138,8 +138,8 @@
 }
 
 func newSyncer(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, view *contract.View, events *event.Recorder, h *hooks) *config.Syncer {
-	h.syncer = config.NewSyncer(tables, gossip, view, events, s.RevisionPoll(), h.revoke,
-		config.WithFleet(func() int { return len(gossip.VMs()) }))
+	h.syncer = config.NewSyncer(tables, gossip, view, events, s.RevisionPollInterval(), h.revoke,
+		config.WithFleetSize(func() int { return len(gossip.VMs()) }))
 	return h.syncer
 }
 
@@ -149,12 +149,12 @@
 
 func newMeter(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, events *event.Recorder) *usage.Meter {
 	return usage.NewMeter(usage.MeterConfig{
-		Tables:      tables,
-		Events:      events,
-		VM:          s.VM,
-		Incarnation: gossip.Incarnation(),
-		Now:         time.Now,
-		Length:      s.UsageWindow(),
+		Tables:       tables,
+		Events:       events,
+		VM:           s.VM,
+		Incarnation:  gossip.Incarnation(),
+		Now:          time.Now,
+		WindowLength: s.UsageWindow(),
 	})
 }
 
@@ -251,18 +251,18 @@
 	h *hooks,
 ) *entry.Server {
 	h.entry = entry.NewServer(entry.Config{
-		View:       view,
-		Ager:       syncer,
-		Runner:     runner,
-		Dispatcher: dispatcher,
-		Retries:    retries,
-		Services:   services,
-		Claims:     claims,
-		Steps:      metrics.NewSteps(steps, m),
-		Usage:      meter,
-		Events:     events,
-		Registry:   registry,
-		DrainTime:  s.Drain(),
+		View:             view,
+		ConfigurationAge: syncer,
+		Runner:           runner,
+		Dispatcher:       dispatcher,
+		Retries:          retries,
+		Services:         services,
+		Claims:           claims,
+		Steps:            metrics.NewSteps(steps, m),
+		Usage:            meter,
+		Events:           events,
+		Registry:         registry,
+		DrainTimeout:     s.DrainTimeout(),
 	})
 	return h.entry
 }
@@ -280,6 +280,6 @@
 		Steps:       rows,
 		Usage:       rows,
 		Events:      events,
-		Advanced:    h.pollRevision,
+		ApplyNewest: h.pollRevision,
 	})
 }
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -84,7 +84,7 @@
 	if borrowed && !hasSpareCapacity(u, report, now) {
 		return candidate{}, false
 	}
-	standing := c.Health.Standing(u.ID, now)
+	standing := c.Health.State(u.ID, now)
 	switch standing {
 	case upstream.Ejected:
 		return candidate{}, false
@@ -137,7 +137,7 @@
 			continue
 		}
 		reported++
-		if report.Misses >= missesUntilUnreachable {
+		if report.MissedPolls >= missesUntilUnreachable {
 			unresponsive[u.ID] = true
 		}
 	}
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -169,7 +169,7 @@
 	u := c.upstream
 	p.inFlight[u.ID]++
 	if c.probe {
-		p.scheduler.config.Health.Probe(u.ID)
+		p.scheduler.config.Health.NoteProbe(u.ID)
 	}
 	p.scheduler.metrics.recordGrant(c)
 	var done atomic.Bool
@@ -205,11 +205,11 @@
 	peers := p.upstreamIDs()
 	switch {
 	case r.Failed:
-		health.Failed(u.ID, peers, now)
+		health.NoteFailure(u.ID, peers, now)
 	case r.Cost > 0:
-		health.Succeeded(u.ID, peers, elapsed/time.Duration(r.Cost), now)
+		health.NoteSuccess(u.ID, peers, elapsed/time.Duration(r.Cost), now)
 	default:
-		health.Abandon(u.ID)
+		health.CancelProbe(u.ID)
 	}
 }
 
@@ -251,5 +251,5 @@
 // and the other reported ones weighted by the report's age.
 func expectedLoad(u platformapi.Upstream, inFlight int, report upstream.Report, now time.Time) float64 {
 	others := max(0, report.Running+report.Waiting-inFlight)
-	return (float64(inFlight) + report.Weight(now)*float64(others)) / float64(max(1, u.Slots))
+	return (float64(inFlight) + report.Confidence(now)*float64(others)) / float64(max(1, u.Slots))
 }
--- a/internal/dispatch/scheduler.go
+++ b/internal/dispatch/scheduler.go
@@ -74,7 +74,7 @@
 
 func (s *Scheduler) tick() {
 	s.tracker.update(s.config)
-	s.metrics.ejected.Set(float64(s.config.Health.Out()))
+	s.metrics.ejected.Set(float64(s.config.Health.EjectedCount()))
 	for _, p := range s.allPools() {
 		p.tick()
 	}
@@ -192,7 +192,7 @@
 func (s *Scheduler) Unreachable() []uint32 {
 	var list []uint32
 	for _, u := range s.PolledEngines() {
-		if report, ok := s.config.Loads.Get(u.ID); ok && report.Misses >= missesUntilUnreachable {
+		if report, ok := s.config.Loads.Get(u.ID); ok && report.MissedPolls >= missesUntilUnreachable {
 			list = append(list, engineHash(u.ID))
 		}
 	}
--- a/internal/dispatch/scheduler_test.go
+++ b/internal/dispatch/scheduler_test.go
@@ -274,7 +274,7 @@
 		},
 		"vanished": func(vm testVM) { vm.directory.Replace([]platformapi.Upstream{engineOf("e2", "a", 8)}) },
 		"unreachable": func(vm testVM) {
-			vm.loads.Set("e1", upstream.Report{Misses: 2})
+			vm.loads.Set("e1", upstream.Report{MissedPolls: 2})
 			vm.loads.Set("e2", upstream.Report{Load: engine.Load{Model: "berry-1"}, At: time.Now()})
 		},
 		"other model": func(vm testVM) {
@@ -347,8 +347,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		vm := newTestVM(ctx, engineOf("e1", "a", 1), engineOf("e2", "a", 1))
-		vm.loads.Set("e1", upstream.Report{Misses: 5})
-		vm.loads.Set("e2", upstream.Report{Misses: 5})
+		vm.loads.Set("e1", upstream.Report{MissedPolls: 5})
+		vm.loads.Set("e2", upstream.Report{MissedPolls: 5})
 		acquireCtx, stop := context.WithTimeout(ctx, time.Minute)
 		defer stop()
 		if _, err := vm.Acquire(acquireCtx, engineWork("fields", 10)); err != nil {
@@ -471,16 +471,16 @@
 	ids := []string{"e1", "e2"}
 	now := time.Now()
 	for range 3 {
-		health.Failed("e1", ids, now)
+		health.NoteFailure("e1", ids, now)
 	}
-	health.Succeeded("e1", ids, time.Millisecond, now)
-	if health.Standing("e1", now) != upstream.Ejected {
+	health.NoteSuccess("e1", ids, time.Millisecond, now)
+	if health.State("e1", now) != upstream.Ejected {
 		t.Error("an earlier answer ended the ejection")
 	}
 	for range 5 {
-		health.Failed("e1", ids, now)
+		health.NoteFailure("e1", ids, now)
 	}
-	if health.Standing("e1", now.Add(3*time.Second)) != upstream.Probing {
+	if health.State("e1", now.Add(3*time.Second)) != upstream.Probing {
 		t.Error("earlier failures prolonged the ejection")
 	}
 }
@@ -494,10 +494,10 @@
 	now := time.Now()
 	for range 20 {
 		for _, id := range ids {
-			health.Failed(id, ids, now)
+			health.NoteFailure(id, ids, now)
 		}
 	}
-	if out := health.Out(); out != 2 {
+	if out := health.EjectedCount(); out != 2 {
 		t.Fatalf("%d of 5 upstreams are ejected, want 2", out)
 	}
 }
@@ -509,14 +509,14 @@
 	ids := []string{"e1", "e2", "e3"}
 	now := time.Now()
 	for range 20 {
-		health.Succeeded("e1", ids, 10*time.Millisecond, now)
-		health.Succeeded("e2", ids, time.Millisecond, now)
-		health.Succeeded("e3", ids, time.Millisecond, now)
+		health.NoteSuccess("e1", ids, 10*time.Millisecond, now)
+		health.NoteSuccess("e2", ids, time.Millisecond, now)
+		health.NoteSuccess("e3", ids, time.Millisecond, now)
 	}
-	if health.Standing("e1", now) != upstream.Ejected {
+	if health.State("e1", now) != upstream.Ejected {
 		t.Fatal("the slow engine still gets work")
 	}
-	if health.Standing("e2", now) != upstream.Healthy || health.Standing("e3", now) != upstream.Healthy {
+	if health.State("e2", now) != upstream.Healthy || health.State("e3", now) != upstream.Healthy {
 		t.Fatal("a healthy engine is not in rotation")
 	}
 }
--- a/internal/dispatch/tracker.go
+++ b/internal/dispatch/tracker.go
@@ -32,8 +32,8 @@
 			c.Events.Emit(event.UpstreamLeaving, event.Subject{Upstream: id})
 		}
 	}
-	c.Health.Keep(listed)
-	c.Loads.Keep(listed)
+	c.Health.Retain(listed)
+	c.Loads.Retain(listed)
 	t.list, t.live = list, live
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -32,10 +32,10 @@
 	maxLoadBytes = 1 << 16
 )
 
-// Patience holds the timeouts of a stream. An engine that hangs leaves its
+// StreamTimeouts holds the timeouts of a stream. An engine that hangs leaves its
 // connection open, so without timeouts its callers would wait until their deadline
 // although another engine could continue the stream.
-type Patience struct {
+type StreamTimeouts struct {
 	// First is the timeout for the first chunk. It includes the time in the engine's
 	// queue.
 	First time.Duration
@@ -43,23 +43,23 @@
 	Next time.Duration
 }
 
-// DefaultPatience holds the stream timeouts of a client that NewClient returns.
-var DefaultPatience = Patience{First: 2 * time.Minute, Next: 20 * time.Second}
+// DefaultStreamTimeouts holds the stream timeouts of a client that NewClient returns.
+var DefaultStreamTimeouts = StreamTimeouts{First: 2 * time.Minute, Next: 20 * time.Second}
 
 // Client is an HTTP client of model engines. It is safe for concurrent use.
 type Client struct {
 	http     *http.Client
-	timeouts Patience
+	timeouts StreamTimeouts
 	// orders is the HTTP client for orders, which are guarded by a lease; see package
 	// fence.
 	orders *http.Client
 }
 
 // NewClient returns a client with the default stream timeouts.
-func NewClient() *Client { return NewPatientClient(DefaultPatience) }
+func NewClient() *Client { return NewClientWithTimeouts(DefaultStreamTimeouts) }
 
-// NewPatientClient returns a client with the given stream timeouts.
-func NewPatientClient(timeouts Patience) *Client {
+// NewClientWithTimeouts returns a client with the given stream timeouts.
+func NewClientWithTimeouts(timeouts StreamTimeouts) *Client {
 	return &Client{
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
--- a/internal/enginepool/mover.go
+++ b/internal/enginepool/mover.go
@@ -51,7 +51,7 @@
 		Adapter: move.To.Adapter,
 	}
 	subject := event.Subject{Upstream: move.Engine.ID, Epoch: order.Epoch, Detail: move.To.Model + "+" + move.To.Adapter}
-	m.events.Emit(event.OrderGiven, subject)
+	m.events.Emit(event.OrderSent, subject)
 	err := m.orders.Order(fence.WithGuard(ctx, guard), move.Engine.Address, order)
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -91,7 +91,7 @@
 // key was checked.
 type checkedHeader struct {
 	clientCall
-	presented contract.Presented
+	presented contract.PresentedKey
 	snapshot  *contract.Snapshot
 }
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		return checkedHeader{}, err
 	}
-	if age := s.Ager.Age(); age > c.Isolation.Duration() {
+	if age := s.ConfigurationAge.Age(); age > c.Isolation.ServeDuration() {
 		return checkedHeader{}, errors.WithStack(&fault.ConfigurationStale{Account: string(c.Account), Age: age})
 	}
 	return checkedHeader{
@@ -150,14 +150,14 @@
 }
 
 // presentedKey returns the key in the Authorization header.
-func presentedKey(r *http.Request) (contract.Presented, error) {
+func presentedKey(r *http.Request) (contract.PresentedKey, error) {
 	header := r.Header.Get("Authorization")
 	if header == "" {
-		return contract.Presented{}, errors.WithStack(&fault.KeyMissing{})
+		return contract.PresentedKey{}, errors.WithStack(&fault.KeyMissing{})
 	}
 	text, ok := strings.CutPrefix(header, "Bearer ")
 	if !ok {
-		return contract.Presented{}, errors.WithStack(&fault.KeyInvalid{})
+		return contract.PresentedKey{}, errors.WithStack(&fault.KeyInvalid{})
 	}
 	return contract.ParseKey(text)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,32 +37,32 @@
 	Ack(ctx context.Context, account contract.Account, step string, through int64) error
 }
 
-// Ager reports how long ago the configuration was last known to be current.
-type Ager interface {
+// ConfigurationAge reports how long ago the configuration was last known to be current.
+type ConfigurationAge interface {
 	Age() time.Duration
 }
 
 // UsageRecorder counts what an account used.
 type UsageRecorder interface {
-	Add(account contract.Account, figures usage.Figures)
+	Add(account contract.Account, figures usage.Counts)
 }
 
 // Config holds the dependencies and settings of a Server.
 type Config struct {
-	View       *contract.View
-	Ager       Ager
-	Runner     generate.Runner
-	Dispatcher dispatch.Dispatcher
-	Retries    *retry.Policy
-	Services   *service.Client
-	Claims     *request.Claims
-	Steps      Steps
-	Usage      UsageRecorder
-	Events     *event.Recorder
-	Registry   *prometheus.Registry
-	// DrainTime is how long a planned stop waits for running requests. The
+	View             *contract.View
+	ConfigurationAge ConfigurationAge
+	Runner           generate.Runner
+	Dispatcher       dispatch.Dispatcher
+	Retries          *retry.Policy
+	Services         *service.Client
+	Claims           *request.Claims
+	Steps            Steps
+	Usage            UsageRecorder
+	Events           *event.Recorder
+	Registry         *prometheus.Registry
+	// DrainTimeout is how long a planned stop waits for running requests. The
 	// timeouts of all requests are capped at it. 0 means no cap.
-	DrainTime time.Duration
+	DrainTimeout time.Duration
 	// WriteTimeout is the timeout of a single write to a caller. 0 means 30
 	// seconds.
 	WriteTimeout time.Duration
@@ -103,22 +103,22 @@
 // the meantime must not fail because of a planned stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Refuse ends the notice period that Drain started: new requests are refused as
+// RefuseNewRequests ends the notice period that Drain started: new requests are refused as
 // not run. Running requests continue.
-func (s *Server) Refuse() { s.refusing.Store(true) }
+func (s *Server) RefuseNewRequests() { s.refusing.Store(true) }
 
-// capTimeout caps the timeout of a request at DrainTime. A request with a
+// capTimeout caps the timeout of a request at DrainTimeout. A request with a
 // longer timeout could be interrupted by a planned stop.
 func (s *Server) capTimeout(timeout time.Duration) time.Duration {
-	if s.DrainTime == 0 {
+	if s.DrainTimeout == 0 {
 		return timeout
 	}
-	return min(timeout, s.DrainTime)
+	return min(timeout, s.DrainTimeout)
 }
 
-// Wait blocks until the calls that continued after their callers disconnected
+// WaitDetached blocks until the calls that continued after their callers disconnected
 // have ended.
-func (s *Server) Wait() { s.detached.Wait() }
+func (s *Server) WaitDetached() { s.detached.Wait() }
 
 // Draining reports whether Drain was called.
 func (s *Server) Draining() bool { return s.draining.Load() }
--- a/internal/entry/exposure.go
+++ b/internal/entry/exposure.go
@@ -99,7 +99,7 @@
 
 // isActive reports whether the key exists, is not withdrawn and has the
 // presented secret.
-func (d keyDetector) isActive(p contract.Presented) bool {
+func (d keyDetector) isActive(p contract.PresentedKey) bool {
 	key, known := d.snapshot.Keys[p.ID]
 	return known && !key.Withdrawn && key.Matches(p.Secret)
 }
--- a/internal/entry/faulty_answers_test.go
+++ b/internal/entry/faulty_answers_test.go
@@ -17,7 +17,7 @@
 )
 
 // shortTimeouts make attempts at unresponsive engines fail soon.
-var shortTimeouts = engine.Patience{First: 300 * time.Millisecond, Next: 300 * time.Millisecond}
+var shortTimeouts = engine.StreamTimeouts{First: 300 * time.Millisecond, Next: 300 * time.Millisecond}
 
 // faultyStreams are the faults that an engine's stream can have. Another engine
 // must complete the answer "abcd" after the tokens that arrived before the
--- a/internal/entry/generate.go
+++ b/internal/entry/generate.go
@@ -152,7 +152,7 @@
 
 // noteAnswered records the usage and the event of an answered generate call.
 func (s *Server) noteAnswered(c clientCall, result generate.Result) {
-	s.Usage.Add(c.contract.Account, usage.Figures{Requests: 1, Tokens: int64(len(result.Tokens))})
+	s.Usage.Add(c.contract.Account, usage.Counts{Requests: 1, Tokens: int64(len(result.Tokens))})
 	s.Events.Emit(event.RequestAnswered, event.Subject{
 		Request: c.requestID,
 		Account: string(c.contract.Account),
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -72,7 +72,7 @@
 type harnessOptions struct {
 	// timeouts are the stream timeouts of the engine client; zero means its
 	// defaults.
-	timeouts engine.Patience
+	timeouts engine.StreamTimeouts
 	// runner replaces the local runner of generate calls.
 	runner generate.Runner
 	// quiet discards the log.
@@ -97,14 +97,14 @@
 	h.events = event.NewRecorder("vm-1", 4096, event.NewClock(time.Now), log)
 	h.configure()
 	retries := retry.NewPolicy(h.registry, h.events)
-	if options.timeouts == (engine.Patience{}) {
-		options.timeouts = engine.DefaultPatience
+	if options.timeouts == (engine.StreamTimeouts{}) {
+		options.timeouts = engine.DefaultStreamTimeouts
 	}
 	if options.runner == nil {
-		options.runner = generate.NewLocal(h.view, h.dispatcher, engine.NewPatientClient(options.timeouts), retries, h.events)
+		options.runner = generate.NewLocal(h.view, h.dispatcher, engine.NewClientWithTimeouts(options.timeouts), retries, h.events)
 	}
 	h.server = NewServer(Config{
-		View: h.view, Ager: h.ager, Runner: options.runner, Dispatcher: h.dispatcher, Retries: retries,
+		View: h.view, ConfigurationAge: h.ager, Runner: options.runner, Dispatcher: h.dispatcher, Retries: retries,
 		Services: service.NewClient(), Claims: request.NewClaims(h.tables), Steps: h.steps,
 		Usage: discardUsage{}, Events: h.events, Registry: h.registry, WriteTimeout: options.writeTimeout,
 		BodyTimeout: options.bodyTimeout,
@@ -152,7 +152,7 @@
 	}
 	h.view.Advance(next)
 	if h.server != nil {
-		h.server.Revoke(next)
+		h.server.CancelWithdrawnKeys(next)
 	}
 }
 
@@ -235,7 +235,7 @@
 type discardUsage struct{}
 
 // Add implements UsageRecorder.
-func (discardUsage) Add(contract.Account, usage.Figures) {}
+func (discardUsage) Add(contract.Account, usage.Counts) {}
 
 // fakeSteps is a Steps whose methods return err.
 type fakeSteps struct{ err error }
--- a/internal/entry/idempotency_test.go
+++ b/internal/entry/idempotency_test.go
@@ -295,7 +295,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	close(proceed)
-	h.server.Wait()
+	h.server.WaitDetached()
 	if cancelled.Load() {
 		t.Error("the call was cancelled when its caller disconnected")
 	}
@@ -315,7 +315,7 @@
 		// The slot is granted at the moment of the withdrawal.
 		h.dispatcher.hook = func(context.Context, dispatch.Work) error { h.withdraw("k1"); return nil }
 		got := h.call(http.MethodPost, "/v1/services/desk/deposit", "tree 17", change)
-		h.server.Wait()
+		h.server.WaitDetached()
 		if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || desk.count("tree 17") != 0 {
 			t.Errorf("got %d %s, %d charges", got.status, got.body, desk.count("tree 17"))
 		}
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -261,7 +261,7 @@
 		if next != nil && len(next) >= len(text) {
 			t.Errorf("unescaping %q gave %q, which is not shorter", text, next)
 		}
-		detector := keyDetector{secret: []byte(testSecret), snapshot: contract.Empty()}
+		detector := keyDetector{secret: []byte(testSecret), snapshot: contract.EmptySnapshot()}
 		escaped := append([]byte(percentEscaped(testSecret)), text...)
 		if !detector.containsKey(escaped) {
 			t.Errorf("the escaped secret before %q was not found", text)
--- a/internal/entry/refusal_execution_test.go
+++ b/internal/entry/refusal_execution_test.go
@@ -125,7 +125,7 @@
 func failureCases() []failureCase {
 	return []failureCase{
 		{name: "refused while draining", code: fault.CodeDraining, want: fault.NotRun,
-			arrange: func(h *harness) { h.server.Refuse() }, call: generateCall()},
+			arrange: func(h *harness) { h.server.RefuseNewRequests() }, call: generateCall()},
 		{name: "no key", code: fault.CodeKeyMissing, want: fault.NotRun,
 			call: generateCall(func(r *http.Request) { r.Header.Del("Authorization") })},
 		{name: "malformed key", code: fault.CodeKeyInvalid, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Basic x"))},
--- a/internal/entry/refusal_timing_test.go
+++ b/internal/entry/refusal_timing_test.go
@@ -71,7 +71,7 @@
 	{name: "configuration stale", path: "/v1/generate", body: generateText, code: fault.CodeConfigurationStale, wantAfter: 0,
 		arrange: func(h *harness) { h.ager.age.Store(int64(time.Hour)) }},
 	{name: "draining", path: "/v1/generate", body: generateText, code: fault.CodeDraining, wantAfter: 0,
-		arrange: func(h *harness) { h.server.Refuse() }},
+		arrange: func(h *harness) { h.server.RefuseNewRequests() }},
 	{name: "store down", path: "/v1/services/desk/x", body: "tree", code: fault.CodeStoreUnavailable, wantAfter: 0,
 		arrange: func(h *harness) { h.tables.down.Store(true) }},
 }
--- a/internal/entry/services.go
+++ b/internal/entry/services.go
@@ -325,7 +325,7 @@
 		s.Events.Emit(event.AttemptFailed, subject)
 		return service.Answer{}, grant.Upstream.ID, err
 	}
-	s.Usage.Add(c.contract.Account, usage.Figures{Requests: 1})
+	s.Usage.Add(c.contract.Account, usage.Counts{Requests: 1})
 	s.Events.Emit(event.RequestAnswered, subject)
 	return answer, grant.Upstream.ID, nil
 }
--- a/internal/entry/sessions.go
+++ b/internal/entry/sessions.go
@@ -94,9 +94,9 @@
 	return cancelled
 }
 
-// Revoke cancels the running requests of all keys that are withdrawn in the
+// CancelWithdrawnKeys cancels the running requests of all keys that are withdrawn in the
 // snapshot.
-func (s *Server) Revoke(snapshot *contract.Snapshot) {
+func (s *Server) CancelWithdrawnKeys(snapshot *contract.Snapshot) {
 	for i := range s.sessions.shards {
 		for keyID, count := range s.sessions.shards[i].cancelWithdrawn(snapshot) {
 			s.Events.Emit(event.KeyWithdrawn, event.Subject{Detail: keyID, Count: int64(count)})
--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -46,12 +46,12 @@
 	TextsSaved       Number = 1415
 	SampleScored     Number = 1416
 	ScoreFailed      Number = 1417
-	StepNotTaken     Number = 1418
+	TakeoverFailed   Number = 1418
 
 	UpstreamEjected  Number = 1501
 	UpstreamRestored Number = 1502
 	UpstreamLeaving  Number = 1503
-	OrderGiven       Number = 1504
+	OrderSent        Number = 1504
 	OrderFailed      Number = 1505
 	WeightsPublished Number = 1506
 	WeightsLoaded    Number = 1507
@@ -64,10 +64,10 @@
 	UsageReported   Number = 1602
 	UsageIncomplete Number = 1603
 
-	PeerSilent   Number = 1701
-	PeerReturned Number = 1702
-	BeatFailed   Number = 1703
-	PeerRemoved  Number = 1704
+	PeerUnresponsive Number = 1701
+	PeerResponsive   Number = 1702
+	HeartbeatFailed  Number = 1703
+	PeerRemoved      Number = 1704
 
 	DependencyLost     Number = 1801
 	DependencyRegained Number = 1802
@@ -120,11 +120,11 @@
 	{TextsSaved, zap.InfoLevel, "texts saved", "The texts of Count unfinished items were stored for a possible takeover of the step."},
 	{SampleScored, zap.InfoLevel, "sample scored", "The score call for the item's complete text returned a score. Request is the call, Upstream sent the last event of the text, Count is the time in milliseconds since the text was complete."},
 	{ScoreFailed, zap.WarnLevel, "score failed", "The score call for the item did not return a score; it is retried unless the item is abandoned. Count is the number of upstreams that have answered with a failure."},
-	{StepNotTaken, zap.WarnLevel, "takeover failed", "The takeover of a step of a dead owner was not committed and is retried; Detail gives the reason."},
+	{TakeoverFailed, zap.WarnLevel, "takeover failed", "The takeover of a step of a dead owner was not committed and is retried; Detail gives the reason."},
 	{UpstreamEjected, zap.WarnLevel, "upstream ejected", "The upstream failed too often and receives no work for a while."},
 	{UpstreamRestored, zap.InfoLevel, "upstream restored", "The upstream receives work again."},
 	{UpstreamLeaving, zap.InfoLevel, "upstream leaving", "The upstream is leaving and receives no new work."},
-	{OrderGiven, zap.InfoLevel, "order sent", "An order was sent to the platform or an engine."},
+	{OrderSent, zap.InfoLevel, "order sent", "An order was sent to the platform or an engine."},
 	{OrderFailed, zap.WarnLevel, "order failed", "An order was refused, or its outcome is unknown."},
 	{WeightsPublished, zap.InfoLevel, "weights published", "The weight store has a new version; Count is the version."},
 	{WeightsLoaded, zap.InfoLevel, "weights loaded", "An engine has loaded the weight version in Count."},
@@ -135,9 +135,9 @@
 	{WindowSealed, zap.InfoLevel, "window sealed", "The VM stored its final usage of the window that starts at Count."},
 	{UsageReported, zap.InfoLevel, "usage reported", "Billing accepted the account's report of the window that starts at Count; Detail says whether the report corrects an earlier window."},
 	{UsageIncomplete, zap.WarnLevel, "usage incomplete", "Usage of a window was not stored or not reported; Detail gives the reason. Without Detail, the account's report lacks usage of a dead VM."},
-	{PeerSilent, zap.WarnLevel, "peer unresponsive", "A peer has not answered for a while."},
-	{PeerReturned, zap.InfoLevel, "peer responsive", "An unresponsive peer answers again."},
-	{BeatFailed, zap.WarnLevel, "heartbeat failed", "The VM failed to write its status row; Detail gives the error."},
+	{PeerUnresponsive, zap.WarnLevel, "peer unresponsive", "A peer has not answered for a while."},
+	{PeerResponsive, zap.InfoLevel, "peer responsive", "An unresponsive peer answers again."},
+	{HeartbeatFailed, zap.WarnLevel, "heartbeat failed", "The VM failed to write its status row; Detail gives the error."},
 	{PeerRemoved, zap.InfoLevel, "peer removed", "The status row of a VM without a heartbeat for Count milliseconds was removed; the VM writes it again if it returns."},
 	{DependencyLost, zap.WarnLevel, "dependency lost", "A dependency does not answer; Detail gives its name and the error."},
 	{DependencyRegained, zap.InfoLevel, "dependency regained", "The dependency in Detail is available again; Count is the length of the outage in milliseconds."},
--- a/internal/event/dependency.go
+++ b/internal/event/dependency.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Lost returns a function that records that a dependency does not answer, with
+// OnDependencyLost returns a function that records that a dependency does not answer, with
 // the error.
-func (r *Recorder) Lost(dependency string) func(error) {
+func (r *Recorder) OnDependencyLost(dependency string) func(error) {
 	return func(err error) {
 		r.Emit(DependencyLost, Subject{Detail: dependency + ": " + err.Error()})
 	}
 }
 
-// Regained returns a function that records that a dependency is available again
+// OnDependencyRegained returns a function that records that a dependency is available again
 // after an outage of the given duration.
-func (r *Recorder) Regained(dependency string) func(time.Duration) {
+func (r *Recorder) OnDependencyRegained(dependency string) func(time.Duration) {
 	return func(outage time.Duration) {
 		r.Emit(DependencyRegained, Subject{Detail: dependency, Count: outage.Milliseconds()})
 	}
--- a/internal/event/query.go
+++ b/internal/event/query.go
@@ -19,8 +19,8 @@
 	Numbers []Number `json:"numbers,omitempty"`
 }
 
-// Picks reports whether a record matches the query.
-func (q Query) Picks(r Record) bool {
+// Matches reports whether a record matches the query.
+func (q Query) Matches(r Record) bool {
 	return q.After.Before(r.Stamp) &&
 		matches(q.Request, r.Request) &&
 		matches(q.Step, r.Step) &&
@@ -40,5 +40,5 @@
 // Select returns the events in the ring buffer that match the query, oldest
 // first.
 func (r *Recorder) Select(q Query) []Record {
-	return slices.DeleteFunc(r.Since(q.After), func(e Record) bool { return !q.Picks(e) })
+	return slices.DeleteFunc(r.Since(q.After), func(e Record) bool { return !q.Matches(e) })
 }
--- a/internal/fault/types.go
+++ b/internal/fault/types.go
@@ -609,8 +609,8 @@
 	return fmt.Sprintf("settings: %s", joinFaults(e.Faults))
 }
 
-// Names reports whether the setting of the given field is invalid.
-func (e *SettingsInvalid) Names(field string) bool {
+// Contains reports whether the setting of the given field is invalid.
+func (e *SettingsInvalid) Contains(field string) bool {
 	return slices.ContainsFunc(e.Faults, func(f SettingFault) bool { return f.Field == field })
 }
 
--- a/internal/fleetview/fleetview.go
+++ b/internal/fleetview/fleetview.go
@@ -113,8 +113,8 @@
 		reports = append(reports, platformapi.UsageReport{
 			Window:             int64(report.Window) * int64(r.window/time.Second),
 			Account:            string(report.Account),
-			Requests:           report.Figures.Requests,
-			Tokens:             report.Figures.Tokens,
+			Requests:           report.Counts.Requests,
+			Tokens:             report.Counts.Tokens,
 			CorrectionRequests: report.Corrections.Requests,
 			CorrectionTokens:   report.Corrections.Tokens,
 			Incomplete:         report.Incomplete,
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -192,13 +192,13 @@
 	vm.ViaPeers = l.viaPeers()
 	value, err := json.Marshal(vm)
 	if err != nil {
-		l.events.Emit(event.BeatFailed, event.Subject{Detail: err.Error()})
+		l.events.Emit(event.HeartbeatFailed, event.Subject{Detail: err.Error()})
 		return
 	}
 	key := rowstore.Key{Table: table, Part: vm.FailureDomain, Name: vm.ID}
 	_, err = l.store.Commit(ctx, rowstore.Txn{Puts: []rowstore.Put{{Key: key, Value: value}}})
 	if failed := err != nil; failed != l.heartbeatFailing.Swap(failed) && failed {
-		l.events.Emit(event.BeatFailed, event.Subject{Detail: err.Error()})
+		l.events.Emit(event.HeartbeatFailed, event.Subject{Detail: err.Error()})
 	}
 }
 
@@ -322,9 +322,9 @@
 	if isAlive == wasAlive {
 		return
 	}
-	number := event.PeerSilent
+	number := event.PeerUnresponsive
 	if isAlive {
-		number = event.PeerReturned
+		number = event.PeerResponsive
 		status.returnedAt = l.polledAt
 	}
 	l.events.Emit(number, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Incarnation})
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -108,8 +108,10 @@
 	return min(max(demand.VersionLag, 0), announced)
 }
 
-// KeepRunning implements weightload.Demands.
-func (d *Demands) KeepRunning(model string) bool { return !d.steps.ModelDemands()[model].SingleVersion }
+// AllowsMixedVersions implements weightload.Demands.
+func (d *Demands) AllowsMixedVersions(model string) bool {
+	return !d.steps.ModelDemands()[model].SingleVersion
+}
 
 // Upstreams implements scaling.DesiredCounts.
 func (d *Demands) Upstreams(domain string) map[string]scaling.KindCounts {
--- a/internal/operator/edits.go
+++ b/internal/operator/edits.go
@@ -129,7 +129,7 @@
 	if err != nil {
 		return EditAnswer{}, err
 	}
-	s.Advanced()
+	s.ApplyNewest()
 	return s.awaitConfirmation(ctx, entry), nil
 }
 
@@ -139,7 +139,7 @@
 	answer := EditAnswer{Entry: withoutHash(entry)}
 	deadline := time.Now().Add(confirmTimeout)
 	for {
-		answer.Confirmation = confirmationOf(s.Fleet.InForce(), entry.Revision)
+		answer.Confirmation = confirmationOf(s.Fleet.Revisions(), entry.Revision)
 		if len(answer.Pending) == 0 || time.Now().After(deadline) {
 			return answer
 		}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -69,8 +69,8 @@
 type Domain struct {
 	FailureDomain string `json:"failureDomain"`
 	VMs           int    `json:"vms"`
-	// Heard counts the VMs that recently reported their revision; see unresponsiveAfter.
-	Heard int `json:"heard"`
+	// Responsive counts the VMs that recently reported their revision; see unresponsiveAfter.
+	Responsive int `json:"heard"`
 	// Revision is the lowest revision in force on the VMs counted by Heard.
 	Revision  contract.Revision `json:"revision"`
 	Upstreams int               `json:"upstreams"`
@@ -105,7 +105,7 @@
 // heardRecently reports whether the VM's latest report is not older than
 // unresponsiveAfter.
 func (v VMRevision) heardRecently() bool {
-	return v.Known && v.HeardMillis <= unresponsiveAfter.Milliseconds()
+	return v.Known && v.AgeMillis <= unresponsiveAfter.Milliseconds()
 }
 
 // cutOff reports whether no VM of a failure domain has recently reported its revision.
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return confirmationOf(s.Fleet.InForce(), revision), nil
+	return confirmationOf(s.Fleet.Revisions(), revision), nil
 }
 
 // status answers even if the store does not; the leases are then unknown.
@@ -155,7 +155,7 @@
 	answer := Status{
 		VM:        s.VM,
 		Revision:  s.View.Load().Revision,
-		VMs:       s.Fleet.InForce(),
+		VMs:       s.Fleet.Revisions(),
 		Upstreams: s.Upstreams(),
 	}
 	answer.Domains = domainsOf(answer.VMs, answer.Upstreams)
@@ -183,8 +183,8 @@
 		if !vm.heardRecently() {
 			continue
 		}
-		d.Heard++
-		if d.Heard == 1 || vm.Revision < d.Revision {
+		d.Responsive++
+		if d.Responsive == 1 || vm.Revision < d.Revision {
 			d.Revision = vm.Revision
 		}
 	}
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -36,16 +36,16 @@
 	InForce InForce          `json:"inForce"`
 }
 
-// InForce holds the times when an edit came into force on the VMs that are known now.
+// Revisions holds the times when an edit came into force on the VMs that are known now.
 type InForce struct {
 	// Everywhere is when the last VM applied the edit; nil unless the time is known for
 	// every VM.
 	Everywhere *time.Time `json:"everywhere,omitempty"`
 	// VMs lists the VMs for which the time is known.
 	VMs []VMInForce `json:"vms"`
-	// NotKnown lists the VMs that did not answer, that started after the edit, or whose
+	// Unknown lists the VMs that did not answer, that started after the edit, or whose
 	// ring buffer no longer contains the event.
-	NotKnown []string `json:"notKnown"`
+	Unknown []string `json:"notKnown"`
 }
 
 // VMInForce is when a VM applied an edit.
@@ -112,7 +112,7 @@
 // vmNames returns the names of the known VMs and of those that did not answer.
 func (s *Server) vmNames(missing []string) []string {
 	names := slices.Clone(missing)
-	for _, vm := range s.Fleet.InForce() {
+	for _, vm := range s.Fleet.Revisions() {
 		names = append(names, vm.VM)
 	}
 	slices.Sort(names)
@@ -226,12 +226,12 @@
 
 // inForceTimes returns when a revision came into force on each VM.
 func inForceTimes(revision contract.Revision, applied map[string][]appliedRevision, vms []string) InForce {
-	answer := InForce{VMs: []VMInForce{}, NotKnown: []string{}}
+	answer := InForce{VMs: []VMInForce{}, Unknown: []string{}}
 	var latest time.Time
 	for _, vm := range vms {
 		at, ok := firstApplied(applied[vm], revision)
 		if !ok {
-			answer.NotKnown = append(answer.NotKnown, vm)
+			answer.Unknown = append(answer.Unknown, vm)
 			continue
 		}
 		answer.VMs = append(answer.VMs, VMInForce{VM: vm, At: at})
@@ -239,7 +239,7 @@
 			latest = at
 		}
 	}
-	if len(answer.NotKnown) == 0 && len(answer.VMs) > 0 {
+	if len(answer.Unknown) == 0 && len(answer.VMs) > 0 {
 		answer.Everywhere = &latest
 	}
 	return answer
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -34,8 +34,8 @@
 
 // Fleet provides the revisions and events of all VMs.
 type Fleet interface {
-	// InForce returns the revision in force on each known VM.
-	InForce() []VMRevision
+	// Revisions returns the revision in force on each known VM.
+	Revisions() []VMRevision
 	// Events returns the events of all reachable VMs that match the query, in order,
 	// and the names of the VMs that did not answer.
 	Events(ctx context.Context, query event.Query) (records []event.Record, missing []string)
@@ -46,9 +46,9 @@
 	VM            string            `json:"vm"`
 	FailureDomain string            `json:"failureDomain"`
 	Revision      contract.Revision `json:"revision"`
-	// HeardMillis is the age of the VM's latest report of its revision, in milliseconds.
-	HeardMillis int64 `json:"heardMillis"`
-	Draining    bool  `json:"draining"`
+	// AgeMillis is the age of the VM's latest report of its revision, in milliseconds.
+	AgeMillis int64 `json:"heardMillis"`
+	Draining  bool  `json:"draining"`
 	// Known is false if the VM has never reported its revision.
 	Known bool `json:"known"`
 }
@@ -80,9 +80,9 @@
 	Steps       Steps
 	Usage       Usage
 	Events      *event.Recorder
-	// Advanced makes the VM apply the newest revision at once, after an edit was
+	// ApplyNewest makes the VM apply the newest revision at once, after an edit was
 	// committed.
-	Advanced func()
+	ApplyNewest func()
 }
 
 // Server serves the operators' API.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -76,10 +76,10 @@
 	missing []string
 }
 
-func (f *fakeFleet) InForce() []VMRevision { return f.vms }
+func (f *fakeFleet) Revisions() []VMRevision { return f.vms }
 
 func (f *fakeFleet) Events(_ context.Context, query event.Query) ([]event.Record, []string) {
-	picked := slices.DeleteFunc(slices.Clone(f.records), func(e event.Record) bool { return !query.Picks(e) })
+	picked := slices.DeleteFunc(slices.Clone(f.records), func(e event.Record) bool { return !query.Matches(e) })
 	return picked, slices.Clone(f.missing)
 }
 
@@ -125,7 +125,7 @@
 		Steps:       unavailableStore{},
 		Usage:       unavailableStore{},
 		Events:      event.NewRecorder("vm-1", 64, event.NewClock(time.Now), zap.NewNop()),
-		Advanced:    func() {},
+		ApplyNewest: func() {},
 	})
 	return h
 }
@@ -179,15 +179,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness()
 		h.grant("k1")
-		first, _ := contract.Empty().Apply(contract.Entry{
+		first, _ := contract.EmptySnapshot().Apply(contract.Entry{
 			Revision: 1,
 			Contract: &contract.Contract{Account: "brazicod", Isolation: contract.Isolation{ServeSeconds: 90}},
 		})
 		h.server.View.Advance(first)
 		h.fleet.vms = []VMRevision{
 			{VM: "vm-1", FailureDomain: "a", Revision: 5, Known: true},
-			{VM: "vm-2", FailureDomain: "a", Revision: 0, Known: true, HeardMillis: 400},
-			{VM: "vm-3", FailureDomain: "b", Revision: 0, Known: true, HeardMillis: 60_000},
+			{VM: "vm-2", FailureDomain: "a", Revision: 0, Known: true, AgeMillis: 400},
+			{VM: "vm-3", FailureDomain: "b", Revision: 0, Known: true, AgeMillis: 60_000},
 			{VM: "vm-4", FailureDomain: "b"},
 		}
 		var answer EditAnswer
@@ -233,7 +233,7 @@
 func TestAnswersDoNotContainTheHashOfASecret(t *testing.T) {
 	h := newHarness()
 	_, granted := h.call(t, http.MethodPut, "/v1/keys/k1", `{"account":"brazicod","secretSha256":"`+testHash+`"}`, nil)
-	snapshot, err := contract.Empty().Apply(h.editor.entries[0])
+	snapshot, err := contract.EmptySnapshot().Apply(h.editor.entries[0])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,8 +302,8 @@
 	if got.Everywhere != nil {
 		t.Errorf("in force everywhere at %v, want not known", got.Everywhere)
 	}
-	if !slices.Equal(got.NotKnown, []string{"replaced", "silent"}) {
-		t.Errorf("not known on %v", got.NotKnown)
+	if !slices.Equal(got.Unknown, []string{"replaced", "silent"}) {
+		t.Errorf("not known on %v", got.Unknown)
 	}
 	if want := []VMInForce{{VM: "whole", At: time.UnixMicro(3).UTC()}}; !slices.Equal(got.VMs, want) {
 		t.Errorf("known on %v, want %v", got.VMs, want)
@@ -322,7 +322,7 @@
 	if !status.LeasesUnknown {
 		t.Error("the status does not say that the leases are not known")
 	}
-	if want := []Domain{{FailureDomain: "a", VMs: 1, Heard: 1, Revision: 7}}; !slices.Equal(status.Domains, want) {
+	if want := []Domain{{FailureDomain: "a", VMs: 1, Responsive: 1, Revision: 7}}; !slices.Equal(status.Domains, want) {
 		t.Errorf("failure domains are %+v, want %+v", status.Domains, want)
 	}
 }
--- a/internal/peer/fleet.go
+++ b/internal/peer/fleet.go
@@ -37,15 +37,15 @@
 // operation.
 const maxConcurrentCalls = 16
 
-// InForce implements operator.Fleet. It returns the known revisions of this VM and
+// Revisions implements operator.Fleet. It returns the known revisions of this VM and
 // of the VMs in the platform's list.
 //
 // Digests from a given VM arrive rarely, so the answer to an edit would take longer
-// than the edit itself if it waited for them. InForce therefore starts exchanges
+// than the edit itself if it waited for them. Revisions therefore starts exchanges
 // with all VMs that are not known to have this VM's revision and returns without
 // waiting. An exchange also informs the peer of the revision; a later call
 // returns the results.
-func (f *Fleet) InForce() []operator.VMRevision {
+func (f *Fleet) Revisions() []operator.VMRevision {
 	known := f.gossip.Known()
 	self := f.gossip.self
 	revision := f.view.Load().Revision
@@ -101,7 +101,7 @@
 	}
 	r.Known = true
 	r.Revision = contract.Revision(k.Digest.GetRevision())
-	r.HeardMillis = time.Since(k.HeardAt).Milliseconds()
+	r.AgeMillis = time.Since(k.ReceivedAt).Milliseconds()
 	r.Draining = k.Digest.GetDraining()
 	return r
 }
--- a/internal/peer/gossip.go
+++ b/internal/peer/gossip.go
@@ -86,8 +86,8 @@
 	Draining func() bool
 	// OnRevision is called when a peer has a newer configuration revision.
 	OnRevision func()
-	// Age returns the time since the configuration was last known to be current.
-	Age func() time.Duration
+	// ConfigAge returns the time since the configuration was last known to be current.
+	ConfigAge func() time.Duration
 	// Demand returns the VM's demands, the largest first.
 	Demand func() []dispatch.FlowDemand
 	// Unreachable returns the hashed IDs of the engines that do not answer this VM.
@@ -106,7 +106,7 @@
 		period:      c.Period,
 		draining:    c.Draining,
 		onRevision:  c.OnRevision,
-		configAge:   c.Age,
+		configAge:   c.ConfigAge,
 		demand:      c.Demand,
 		unreachable: c.Unreachable,
 		metrics:     c.Metrics,
@@ -235,7 +235,7 @@
 	all := make(map[string]Known, len(g.peers))
 	for id, state := range g.peers {
 		if state.digest != nil {
-			all[id] = Known{Digest: state.digest, HeardAt: state.receivedAt}
+			all[id] = Known{Digest: state.digest, ReceivedAt: state.receivedAt}
 		}
 	}
 	return all
@@ -383,7 +383,7 @@
 	if len(encoded) == 0 {
 		return nil, nil
 	}
-	snapshot := contract.Empty()
+	snapshot := contract.EmptySnapshot()
 	err := json.Unmarshal(encoded, snapshot)
 	return snapshot, err
 }
--- a/internal/peer/gossip_test.go
+++ b/internal/peer/gossip_test.go
@@ -40,7 +40,7 @@
 		Client:     NewClient(n.events, metrics),
 		Draining:   func() bool { return false },
 		OnRevision: func() { n.revisionReads++ },
-		Age:        func() time.Duration { return 0 },
+		ConfigAge:  func() time.Duration { return 0 },
 		Demand:     func() []dispatch.FlowDemand { return n.flows },
 		// The largest number that a digest may contain, so that the digest has its
 		// largest size.
@@ -164,11 +164,11 @@
 	if n.queued("vm-a2") >= 0 {
 		t.Fatal("the peer is still a member after the timeout")
 	}
-	if n.count(event.PeerSilent) != 2 {
-		t.Errorf("%d events of unresponsive peers, want 2", n.count(event.PeerSilent))
+	if n.count(event.PeerUnresponsive) != 2 {
+		t.Errorf("%d events of unresponsive peers, want 2", n.count(event.PeerUnresponsive))
 	}
 	n.Receive(peer.Digest())
-	if n.queued("vm-a2") < 0 || n.count(event.PeerReturned) != 1 {
+	if n.queued("vm-a2") < 0 || n.count(event.PeerResponsive) != 1 {
 		t.Error("the peer is not a member again after its digest")
 	}
 }
@@ -290,7 +290,7 @@
 	confirmed := 0
 	for range 200 {
 		confirmed = 0
-		for _, r := range fleet.InForce() {
+		for _, r := range fleet.Revisions() {
 			if r.Known && r.Revision >= 5 {
 				confirmed++
 			}
--- a/internal/peer/members.go
+++ b/internal/peer/members.go
@@ -13,8 +13,8 @@
 // Known is the latest digest of a peer.
 type Known struct {
 	Digest *peerpb.Digest
-	// HeardAt is when the digest was received, by the local monotonic clock.
-	HeardAt time.Time
+	// ReceivedAt is when the digest was received, by the local monotonic clock.
+	ReceivedAt time.Time
 }
 
 // peerState is the state of one peer as Gossip sees it.
@@ -152,9 +152,9 @@
 		return
 	}
 	state.unresponsive = unresponsive
-	number := event.PeerReturned
+	number := event.PeerResponsive
 	if unresponsive {
-		number = event.PeerSilent
+		number = event.PeerUnresponsive
 	}
 	g.events.Emit(number, event.Subject{Peer: id})
 }
--- a/internal/processtest/control_test.go
+++ b/internal/processtest/control_test.go
@@ -103,7 +103,7 @@
 	await(t, "the new holder's weight update", func() bool { return f.enginesServe(version3) })
 	// One engine fails every weight load, so that every VM that considers itself
 	// the holder keeps sending orders.
-	f.addFault("http://"+f.engines[0].Address, standin.Fault{Path: engine.PathOrders, Mode: standin.FaultFailSwap})
+	f.addFault("http://"+f.engines[0].Address, standin.Fault{Path: engine.PathOrders, Mode: standin.FaultFailOrder})
 	version4 := f.publish()
 	time.Sleep(2 * time.Second)
 	paused.signal(t, syscall.SIGCONT)
--- a/internal/processtest/eviction_test.go
+++ b/internal/processtest/eviction_test.go
@@ -77,7 +77,7 @@
 // order, with a complete text and a weight version for every token.
 func checkStep(t *testing.T, got standin.TrainerResult) {
 	t.Helper()
-	if got.Samples != got.Wanted || got.Repeated != 0 || got.Gaps != 0 || got.Unattributed != 0 || got.Wrong != 0 {
+	if got.Samples != got.Wanted || got.Repeated != 0 || got.Gaps != 0 || got.Unattributed != 0 || got.WrongLength != 0 {
 		t.Errorf("the result of the step is %+v", got)
 	}
 }
--- a/internal/provision/ledger.go
+++ b/internal/provision/ledger.go
@@ -34,8 +34,8 @@
 
 // Reservation reserves the price of one upstream in the spending of an account.
 type Reservation struct {
-	// Order is the ID of the start order.
-	Order         string `json:"order"`
+	// StartOrderID is the ID of the start order.
+	StartOrderID  string `json:"order"`
 	FailureDomain string `json:"failureDomain"`
 	Model         string `json:"model"`
 	Adapter       string `json:"adapter,omitempty"`
@@ -79,7 +79,7 @@
 	next.Reservations = nil
 	for _, r := range l.Reservations {
 		switch {
-		case r.Order != order:
+		case r.StartOrderID != order:
 			next.Reservations = append(next.Reservations, r)
 		case changed != nil:
 			next.Reservations = append(next.Reservations, *changed)
@@ -110,7 +110,7 @@
 // findUpstream returns the index of the upstream that was started by the reservation's
 // order, or -1.
 func findUpstream(r Reservation, listed []platformapi.Upstream) int {
-	return slices.IndexFunc(listed, func(u platformapi.Upstream) bool { return u.OrderID == r.Order })
+	return slices.IndexFunc(listed, func(u platformapi.Upstream) bool { return u.OrderID == r.StartOrderID })
 }
 
 // Orphans returns the listed upstreams of the account in a failure domain that have no
@@ -122,7 +122,7 @@
 		if u.FailureDomain != domain || u.Account != string(l.Account) || u.OrderID == "" {
 			continue
 		}
-		reserved := slices.ContainsFunc(l.Reservations, func(r Reservation) bool { return r.Order == u.OrderID })
+		reserved := slices.ContainsFunc(l.Reservations, func(r Reservation) bool { return r.StartOrderID == u.OrderID })
 		if !reserved {
 			orphans = append(orphans, u)
 		}
--- a/internal/provision/provisioner.go
+++ b/internal/provision/provisioner.go
@@ -185,7 +185,7 @@
 	next := stored.ledger.Reconcile(p.domain, listed)
 	for _, r := range next.Reservations {
 		if r.FailureDomain == p.domain && p.isExpired(r, findUpstream(r, listed) >= 0) {
-			next = next.withReservation(r.Order, nil)
+			next = next.withReservation(r.StartOrderID, nil)
 		}
 	}
 	if slices.Equal(stored.ledger.Reservations, next.Reservations) {
@@ -197,14 +197,14 @@
 // isExpired reports whether a reservation has been without an upstream for releaseDelay. A
 // reservation whose start order has an unknown outcome does not expire.
 func (p *Provisioner) isExpired(r Reservation, listed bool) bool {
-	outcomeUnknown := r.State == Starting && !p.accepted[r.Order]
+	outcomeUnknown := r.State == Starting && !p.accepted[r.StartOrderID]
 	if listed || outcomeUnknown {
-		delete(p.unusedSince, r.Order)
+		delete(p.unusedSince, r.StartOrderID)
 		return false
 	}
-	since, seen := p.unusedSince[r.Order]
+	since, seen := p.unusedSince[r.StartOrderID]
 	if !seen {
-		p.unusedSince[r.Order] = p.elapsed()
+		p.unusedSince[r.StartOrderID] = p.elapsed()
 		return false
 	}
 	return p.elapsed()-since >= releaseDelay
@@ -227,7 +227,7 @@
 		case Starting:
 			stored, err = p.sendStart(ctx, guard, stored, r)
 		case Stopping:
-			err = p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
+			err = p.send(ctx, guard, stopOrder(p.domain, r.StartOrderID, r.Upstream))
 		}
 		if endsRound(err) {
 			return stored, err
@@ -245,7 +245,7 @@
 
 // start reserves the price in the ledger and then sends the start order.
 func (p *Provisioner) start(ctx context.Context, guard fence.Guard, stored storedLedger, c contract.Contract, r Reservation) (storedLedger, error) {
-	r.Order = uuid.NewString()
+	r.StartOrderID = uuid.NewString()
 	next, err := stored.ledger.Reserve(r, c.Spending)
 	if err != nil {
 		return stored, err
@@ -260,7 +260,7 @@
 // sendStart sends a start order. If it is refused, the ledger records that.
 func (p *Provisioner) sendStart(ctx context.Context, guard fence.Guard, stored storedLedger, r Reservation) (storedLedger, error) {
 	err := p.send(ctx, guard, platformapi.Order{
-		ID:            r.Order,
+		ID:            r.StartOrderID,
 		FailureDomain: r.FailureDomain,
 		Kind:          platformapi.OrderStart,
 		Account:       string(stored.ledger.Account),
@@ -270,23 +270,23 @@
 		CentsPerHour:  r.CentsPerHour,
 	})
 	if err == nil {
-		p.accepted[r.Order] = true
+		p.accepted[r.StartOrderID] = true
 	}
 	if !fault.Is[*fault.PlatformRefused](err) {
 		return stored, err
 	}
 	r.State = Refused
-	return p.writeLedger(ctx, stored, stored.ledger.withReservation(r.Order, &r))
+	return p.writeLedger(ctx, stored, stored.ledger.withReservation(r.StartOrderID, &r))
 }
 
 // stop records in the ledger that the upstream is stopping and then sends the stop order.
 func (p *Provisioner) stop(ctx context.Context, guard fence.Guard, stored storedLedger, r Reservation) (storedLedger, error) {
 	r.State = Stopping
-	stored, err := p.writeLedger(ctx, stored, stored.ledger.withReservation(r.Order, &r))
+	stored, err := p.writeLedger(ctx, stored, stored.ledger.withReservation(r.StartOrderID, &r))
 	if err != nil {
 		return stored, err
 	}
-	return stored, p.send(ctx, guard, stopOrder(p.domain, r.Order, r.Upstream))
+	return stored, p.send(ctx, guard, stopOrder(p.domain, r.StartOrderID, r.Upstream))
 }
 
 // stopOrder returns the stop order of an upstream. Its ID is derived from the start order's.
@@ -306,7 +306,7 @@
 	}
 	order.Epoch = guard.Epoch()
 	subject := event.Subject{Upstream: order.Upstream, Account: order.Account, Epoch: order.Epoch, Detail: string(order.Kind)}
-	p.events.Emit(event.OrderGiven, subject)
+	p.events.Emit(event.OrderSent, subject)
 	err := p.orders.Order(fence.WithGuard(ctx, guard), order)
 	if err != nil {
 		subject.Detail = string(fault.CodeOf(err))
--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -136,7 +136,7 @@
 	for _, s := range samples {
 		tokens += int64(s.Tokens)
 	}
-	o.usage.Add(o.ref.account, usage.Figures{Requests: int64(len(samples)), Tokens: tokens})
+	o.usage.Add(o.ref.account, usage.Counts{Requests: int64(len(samples)), Tokens: tokens})
 	o.metrics.committed.WithLabelValues(account).Add(float64(len(samples)))
 	o.metrics.commits.WithLabelValues(account).Inc()
 	o.events.Emit(event.SamplesCommitted, event.Subject{Account: account, Step: o.ref.step, Count: int64(len(samples))})
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -231,7 +231,7 @@
 	mu       sync.Mutex
 	injected map[string]faultsByCall
 	rows     int
-	used     usage.Figures
+	used     usage.Counts
 }
 
 func (c *cluster) countWrites(rows int) {
@@ -248,7 +248,7 @@
 }
 
 // Add implements UsageRecorder.
-func (c *cluster) Add(_ contract.Account, figures usage.Figures) {
+func (c *cluster) Add(_ contract.Account, figures usage.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.used.Requests += figures.Requests
@@ -283,7 +283,7 @@
 	c.tables = c.platform.Rows
 	terms := contract.DefaultContract(testAccount)
 	terms.Staleness = staleness
-	next, err := contract.Empty().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
+	next, err := contract.EmptySnapshot().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -170,7 +170,7 @@
 		tr := newTrainer(c, "s", d)
 		tr.open(d)
 		tr.finish()
-		if want := (usage.Figures{Requests: 20, Tokens: 20 * testTokens}); c.used != want {
+		if want := (usage.Counts{Requests: 20, Tokens: 20 * testTokens}); c.used != want {
 			t.Fatalf("usage is %+v, want %+v", c.used, want)
 		}
 	})
--- a/internal/rollout/scorer_test.go
+++ b/internal/rollout/scorer_test.go
@@ -68,7 +68,7 @@
 			defer server.Close()
 			view := contract.NewView()
 			terms := contract.DefaultContract(testAccount)
-			next, err := contract.Empty().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
+			next, err := contract.EmptySnapshot().Apply(contract.Entry{Revision: 1, Kind: contract.EditContract, Contract: &terms})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scaling/orderer.go
+++ b/internal/scaling/orderer.go
@@ -143,7 +143,7 @@
 		return
 	}
 	if last, known := o.lastOrder[key]; !known || last.count != count {
-		o.Events.Emit(event.OrderGiven, subject)
+		o.Events.Emit(event.OrderSent, subject)
 	}
 	o.lastOrder[key] = lastOrder{count: count, repeatAt: time.Now().Add(repeatInterval)}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,14 +98,14 @@
 // LeaseTerm returns the term of every lease.
 func (d Daemon) LeaseTerm() time.Duration { return millis(d.LeaseTermMillis) }
 
-// DigestPeriod returns the interval of the exchange of digests with a peer.
-func (d Daemon) DigestPeriod() time.Duration { return millis(d.DigestPeriodMillis) }
+// DigestInterval returns the interval of the exchange of digests with a peer.
+func (d Daemon) DigestInterval() time.Duration { return millis(d.DigestPeriodMillis) }
 
-// RevisionPoll returns the shortest interval between polls of the configuration's revision.
-func (d Daemon) RevisionPoll() time.Duration { return millis(d.RevisionPollMillis) }
+// RevisionPollInterval returns the shortest interval between polls of the configuration's revision.
+func (d Daemon) RevisionPollInterval() time.Duration { return millis(d.RevisionPollMillis) }
 
-// UsageFlush returns the shortest flush interval of usage totals.
-func (d Daemon) UsageFlush() time.Duration { return millis(d.UsageFlushMillis) }
+// UsageFlushInterval returns the shortest flush interval of usage totals.
+func (d Daemon) UsageFlushInterval() time.Duration { return millis(d.UsageFlushMillis) }
 
 // UsageWindow returns the length of a usage window.
 func (d Daemon) UsageWindow() time.Duration { return time.Duration(d.UsageWindowSeconds) * time.Second }
@@ -113,8 +113,8 @@
 // OrderTimeout returns the timeout of one order to an engine.
 func (d Daemon) OrderTimeout() time.Duration { return millis(d.OrderTimeoutMillis) }
 
-// Drain returns the timeout of a graceful shutdown.
-func (d Daemon) Drain() time.Duration { return time.Duration(d.DrainSeconds) * time.Second }
+// DrainTimeout returns the timeout of a graceful shutdown.
+func (d Daemon) DrainTimeout() time.Duration { return time.Duration(d.DrainSeconds) * time.Second }
 
 func millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
@@ -139,7 +139,7 @@
 	}
 	failure := &fault.SettingsInvalid{Faults: faults}
 	for _, f := range check(d) {
-		if !failure.Names(f.Field) {
+		if !failure.Contains(f.Field) {
 			failure.Faults = append(failure.Faults, f)
 		}
 	}
@@ -236,7 +236,7 @@
 		faults = append(faults, fault.SettingFault{
 			Field:   field,
 			Value:   fmt.Sprint(violation.Value()),
-			Allowed: Allowed(violation.Tag(), violation.Param()),
+			Allowed: DescribeRule(violation.Tag(), violation.Param()),
 		})
 	}
 	return faults
@@ -254,8 +254,8 @@
 	"hexadecimal": "hexadecimal digits",
 }
 
-// Allowed describes the values that a validation rule allows.
-func Allowed(tag, parameter string) string {
+// DescribeRule describes the values that a validation rule allows.
+func DescribeRule(tag, parameter string) string {
 	text, ok := allowedTexts[tag]
 	if !ok {
 		return strings.TrimSpace(tag + " " + parameter)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -168,7 +168,7 @@
 		case "dive":
 			rules = append(rules, "each")
 		default:
-			rules = append(rules, Allowed(tag, parameter))
+			rules = append(rules, DescribeRule(tag, parameter))
 		}
 	}
 	return strings.Join(rules, ", ")
--- a/internal/standin/app.go
+++ b/internal/standin/app.go
@@ -65,8 +65,8 @@
 	command.Flag("token-time", "The time per token of a request that runs alone.").Default("1ms").DurationVar(&config.TokenTime)
 	command.Flag("prefill-time", "The time per prompt word that is not in the prefix cache.").Default("200us").DurationVar(&config.PrefillTime)
 	command.Flag("cached-prefixes", "The number of prompts in the prefix cache.").Default("64").IntVar(&config.CachedPrefixes)
-	command.Flag("load-lag", "The greatest age of a load report.").Default("500ms").DurationVar(&config.LoadLag)
-	command.Flag("swap-time", "The duration of a weight load.").Default("50ms").DurationVar(&config.SwapTime)
+	command.Flag("load-lag", "The greatest age of a load report.").Default("500ms").DurationVar(&config.LoadReportLag)
+	command.Flag("swap-time", "The duration of a weight load.").Default("50ms").DurationVar(&config.WeightLoadTime)
 	command.Flag("checks-fencing", "Refuse orders with an outdated epoch.").BoolVar(&config.ChecksFencing)
 	command.Flag("weight-version", "The weight version at the start.").Default("1").Int64Var(&config.Version)
 	command.Action(func(*kingpin.ParseContext) error {
@@ -113,7 +113,7 @@
 		if config.Plan, err = readLoadPlan(*plan); err != nil {
 			return err
 		}
-		result, err := NewLoad(config).Run(ctx)
+		result, err := NewLoadGenerator(config).Run(ctx)
 		if err != nil {
 			return err
 		}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -32,10 +32,10 @@
 	PrefillTime time.Duration
 	// CachedPrefixes is the capacity of the prefix cache in prompts.
 	CachedPrefixes int
-	// LoadLag is the age at which a load report is renewed.
-	LoadLag time.Duration
-	// SwapTime is the duration of a weight load.
-	SwapTime time.Duration
+	// LoadReportLag is the age at which a load report is renewed.
+	LoadReportLag time.Duration
+	// WeightLoadTime is the duration of a weight load.
+	WeightLoadTime time.Duration
 	// ChecksFencing makes the engine refuse orders with an epoch older than the
 	// newest that it has received.
 	ChecksFencing bool
@@ -63,9 +63,9 @@
 	// order.
 	StaleOrders int64 `json:"staleOrders"`
 	Orders      int64 `json:"orders"`
-	// Runs counts executions by request ID, or by a description of the call at a
+	// Executions counts executions by request ID, or by a description of the call at a
 	// service.
-	Runs map[string]int64 `json:"runs"`
+	Executions map[string]int64 `json:"runs"`
 }
 
 // Engine is a stand-in for a model engine.
@@ -102,7 +102,7 @@
 		model:       config.Model,
 		adapter:     config.Adapter,
 		orders:      make(map[string]bool),
-		counts:      Counts{Runs: make(map[string]int64)},
+		counts:      Counts{Executions: make(map[string]int64)},
 	}
 }
 
@@ -164,14 +164,14 @@
 		return false
 	}
 	e.counts.Started++
-	e.counts.Runs[request.RequestID]++
+	e.counts.Executions[request.RequestID]++
 	return true
 }
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request engine.CompletionRequest) {
 	path := r.URL.Path
-	breakFault, breaks := e.faults.consume(path, FaultBreak)
-	_, misreports := e.faults.consume(path, FaultMisreport)
+	breakFault, breaks := e.faults.consume(path, FaultTruncate)
+	_, misreports := e.faults.consume(path, FaultOmitVersion)
 	if !e.sleep(r, e.prefill(request)) {
 		return
 	}
@@ -297,7 +297,7 @@
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Since(e.reportedAt) >= e.config.LoadLag {
+	if time.Since(e.reportedAt) >= e.config.LoadReportLag {
 		e.reportedAt = time.Now()
 		e.report = engine.Load{
 			Running:       int(e.running.Load()),
@@ -321,11 +321,11 @@
 		w.WriteHeader(http.StatusPreconditionFailed)
 		return
 	}
-	if _, fails := e.faults.consume(r.URL.Path, FaultFailSwap); fails {
+	if _, fails := e.faults.consume(r.URL.Path, FaultFailOrder); fails {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	time.Sleep(e.config.SwapTime)
+	time.Sleep(e.config.WeightLoadTime)
 	e.execute(order)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -30,13 +30,13 @@
 	FaultLoseReply FaultMode = "lose_reply"
 	// FaultFreeze delays the request until the faults are cleared.
 	FaultFreeze FaultMode = "freeze"
-	// FaultBreak makes an engine close the connection of a stream after Tokens
+	// FaultTruncate makes an engine close the connection of a stream after Tokens
 	// tokens, and a service truncate its answer.
-	FaultBreak FaultMode = "break"
-	// FaultMisreport makes an engine omit the weight version from its answer.
-	FaultMisreport FaultMode = "misreport"
-	// FaultFailSwap makes an engine answer an order with 500.
-	FaultFailSwap FaultMode = "fail_swap"
+	FaultTruncate FaultMode = "break"
+	// FaultOmitVersion makes an engine omit the weight version from its answer.
+	FaultOmitVersion FaultMode = "misreport"
+	// FaultFailOrder makes an engine answer an order with 500.
+	FaultFailOrder FaultMode = "fail_swap"
 	// FaultSlow multiplies an engine's time per token by Factor. It is matched
 	// again for each chunk of a stream.
 	FaultSlow FaultMode = "slow"
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -61,8 +61,8 @@
 	outstanding atomic.Int64 // open requests
 }
 
-// Load is a load generator that runs a plan against real daemons.
-type Load struct {
+// LoadGenerator is a load generator that runs a plan against real daemons.
+type LoadGenerator struct {
 	config   LoadConfig
 	http     *http.Client
 	started  time.Time
@@ -73,9 +73,9 @@
 	next atomic.Uint64
 }
 
-// NewLoad returns a load generator for one run.
-func NewLoad(config LoadConfig) *Load {
-	l := &Load{
+// NewLoadGenerator returns a load generator for one run.
+func NewLoadGenerator(config LoadConfig) *LoadGenerator {
+	l := &LoadGenerator{
 		config: config,
 		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}},
 	}
@@ -93,12 +93,12 @@
 }
 
 // duration returns how long the plan sends requests.
-func (l *Load) duration() time.Duration {
+func (l *LoadGenerator) duration() time.Duration {
 	return time.Duration(l.config.Plan.Seconds * float64(time.Second))
 }
 
 // Run sends the plan's requests and returns the results.
-func (l *Load) Run(ctx context.Context) (LoadResult, error) {
+func (l *LoadGenerator) Run(ctx context.Context) (LoadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, l.duration()+l.config.Drain)
 	defer cancel()
 	poller := newEnginePoller(l.config.Engines)
@@ -118,7 +118,7 @@
 
 // send sends each of the account's requests when it is due, without waiting for
 // earlier answers. It returns when all requests have ended.
-func (l *Load) send(ctx context.Context, a *accountLoad) {
+func (l *LoadGenerator) send(ctx context.Context, a *accountLoad) {
 	var open sync.WaitGroup
 	defer open.Wait()
 	for _, r := range a.account.generateRequests(l.duration(), l.config.Plan.Seed) {
@@ -143,7 +143,7 @@
 func (a *accountLoad) noteOffered(r loadRequest) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.result.Sent++
+	a.result.Offered++
 	a.result.OfferedTokens += int64(AnswerLength(r.prompt, r.seed, r.maxTokens))
 }
 
@@ -156,7 +156,7 @@
 // sendRequest sends a request and reads its answer. Latencies count from the time
 // at which the request was due, not from when it was sent. Otherwise a slow load
 // generator would hide the latency of a slow system (coordinated omission).
-func (l *Load) sendRequest(ctx context.Context, a *accountLoad, r loadRequest) {
+func (l *LoadGenerator) sendRequest(ctx context.Context, a *accountLoad, r loadRequest) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := l.sendToAnyEntry(ctx, a, r)
@@ -183,7 +183,7 @@
 // before the first token, the time waited so far is recorded as the latency of
 // the first token. Otherwise requests that are never served would improve the
 // latencies.
-func (l *Load) noteIncomplete(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
+func (l *LoadGenerator) noteIncomplete(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
 	if ctx.Err() == nil {
 		a.count(&a.result.Failed)
 		return
@@ -196,7 +196,7 @@
 
 // sendToAnyEntry sends the request to the entries one after the other until one
 // responds. Successive requests start at successive entries.
-func (l *Load) sendToAnyEntry(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
+func (l *LoadGenerator) sendToAnyEntry(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
 	body, err := json.Marshal(entry.GenerateBody{
 		Model:          l.config.Model,
 		Prompt:         r.prompt,
@@ -232,7 +232,7 @@
 
 // readStream reads a stream to its end. It returns the number of tokens and
 // whether the answer was complete.
-func (l *Load) readStream(a *accountLoad, r loadRequest, response *http.Response) (tokens int, complete bool) {
+func (l *LoadGenerator) readStream(a *accountLoad, r loadRequest, response *http.Response) (tokens int, complete bool) {
 	for e, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxStreamEvent}) {
 		if err != nil {
 			return tokens, false
@@ -260,12 +260,14 @@
 }
 
 // sinceDue returns the time since a request was due.
-func (l *Load) sinceDue(r loadRequest) time.Duration { return time.Since(l.started.Add(r.after)) }
+func (l *LoadGenerator) sinceDue(r loadRequest) time.Duration {
+	return time.Since(l.started.Add(r.after))
+}
 
 // noteTokens counts received tokens in the timeline. They also count for the
 // account if they arrive while requests are sent; later the offered load has
 // ended.
-func (l *Load) noteTokens(a *accountLoad, tokens int) {
+func (l *LoadGenerator) noteTokens(a *accountLoad, tokens int) {
 	now := time.Since(l.started)
 	if now < l.duration() {
 		a.mu.Lock()
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -33,18 +33,18 @@
 	// Of 1000 tokens, small is entitled to the 100 that it requests, flood to 300
 	// and large to 600.
 	for i, want := range []float64{800.0 / 300, 0.5, 0.25} {
-		if math.Abs(accounts[i].OverShare-want) > 1e-9 {
-			t.Errorf("%s got %.3f of its share, expected %.3f", accounts[i].Name, accounts[i].OverShare, want)
+		if math.Abs(accounts[i].ShareRatio-want) > 1e-9 {
+			t.Errorf("%s got %.3f of its share, expected %.3f", accounts[i].Name, accounts[i].ShareRatio, want)
 		}
 	}
-	if worst != accounts[2].OverShare {
+	if worst != accounts[2].ShareRatio {
 		t.Errorf("worst share is %.3f", worst)
 	}
 }
 
 // The service stops at a fault and reaches its expected rate two seconds later.
 func TestRecoveryEndsAtExpectedRate(t *testing.T) {
-	plan := LoadPlan{Seconds: 10, Faults: []LoadFault{{Name: "vm", AtSeconds: 4, Keeps: 50}}}
+	plan := LoadPlan{Seconds: 10, Faults: []LoadFault{{Name: "vm", AtSeconds: 4, RemainingPercent: 50}}}
 	served := make([]int64, 44)
 	for i := range served {
 		switch {
--- a/internal/standin/loadplan.go
+++ b/internal/standin/loadplan.go
@@ -34,7 +34,7 @@
 	Name string `json:"name"`
 	Key  string `json:"key"`
 	// Share is the share in the account's contract. It is used to compute
-	// AccountResult.OverShare.
+	// AccountResult.ShareRatio.
 	Share int `json:"share"`
 	// Rate is the mean number of requests per second. The times between requests
 	// are exponentially distributed.
@@ -59,9 +59,9 @@
 	Name string `json:"name"`
 	// AtSeconds is the time of the fault since the start of the run.
 	AtSeconds float64 `json:"atSeconds"`
-	// Keeps is the share of the engines' slots that remains after the fault, in
+	// RemainingPercent is the share of the engines' slots that remains after the fault, in
 	// percent of the slots before the first fault.
-	Keeps float64 `json:"keeps"`
+	RemainingPercent float64 `json:"keeps"`
 }
 
 func readLoadPlan(path string) (LoadPlan, error) {
--- a/internal/standin/loadresult.go
+++ b/internal/standin/loadresult.go
@@ -19,8 +19,8 @@
 type AccountResult struct {
 	Name  string `json:"name"`
 	Share int    `json:"share"`
-	// Sent counts the requests that were due, including dropped ones.
-	Sent     int64 `json:"sent"`
+	// Offered counts the requests that were due, including dropped ones.
+	Offered  int64 `json:"sent"`
 	Answered int64 `json:"answered"`
 	// Refused counts answers with status 429 or 503.
 	Refused int64 `json:"refused"`
@@ -37,14 +37,14 @@
 	// were sent.
 	OfferedTokens int64 `json:"offeredTokens"`
 	Tokens        int64 `json:"tokens"`
-	// OverShare is the ratio of Tokens to the number of tokens that the account is
+	// ShareRatio is the ratio of Tokens to the number of tokens that the account is
 	// entitled to by its share.
-	OverShare float64 `json:"overShare"`
+	ShareRatio float64 `json:"overShare"`
 	// FirstP50Millis and FirstP99Millis are percentiles of the time to the first
-	// token, WholeP99Millis of the time to the end of the answer.
-	FirstP50Millis float64 `json:"firstP50Millis"`
-	FirstP99Millis float64 `json:"firstP99Millis"`
-	WholeP99Millis float64 `json:"wholeP99Millis"`
+	// token, CompleteP99Millis of the time to the end of the answer.
+	FirstP50Millis    float64 `json:"firstP50Millis"`
+	FirstP99Millis    float64 `json:"firstP99Millis"`
+	CompleteP99Millis float64 `json:"wholeP99Millis"`
 }
 
 // FaultResult holds the recovery time of a fault.
@@ -60,9 +60,9 @@
 // LoadResult holds the results of a run.
 type LoadResult struct {
 	Accounts []AccountResult `json:"accounts"`
-	// WorstOverShare is the lowest OverShare of any account; -1 if no account is
+	// LowestShareRatio is the lowest ShareRatio of any account; -1 if no account is
 	// entitled to any tokens.
-	WorstOverShare float64 `json:"worstOverShare"`
+	LowestShareRatio float64 `json:"worstOverShare"`
 	// EngineUse is the mean share of the engines' slots that were in use, in
 	// percent. EngineQueue is the mean number of requests queued in one engine.
 	EngineUse   float64 `json:"engineUse"`
@@ -77,19 +77,19 @@
 	ServedTokens []int64 `json:"servedTokens"`
 }
 
-func (l *Load) summarize(poller *enginePoller) LoadResult {
+func (l *LoadGenerator) summarize(poller *enginePoller) LoadResult {
 	var result LoadResult
 	for _, a := range l.accounts {
 		a.mu.Lock()
 		r := a.result
 		r.FirstP50Millis = millisAt(a.firstToken, 50)
 		r.FirstP99Millis = millisAt(a.firstToken, 99)
-		r.WholeP99Millis = millisAt(a.complete, 99)
+		r.CompleteP99Millis = millisAt(a.complete, 99)
 		a.mu.Unlock()
 		result.Accounts = append(result.Accounts, r)
 		result.Tokens += r.Tokens
 	}
-	result.WorstOverShare = compareWithShares(result.Accounts)
+	result.LowestShareRatio = compareWithShares(result.Accounts)
 	result.EngineUse, result.EngineQueue, result.CacheHits = poller.averages()
 	for i := range l.served {
 		result.ServedTokens = append(result.ServedTokens, l.served[i].Load())
@@ -102,7 +102,7 @@
 	return float64(h.ValueAtQuantile(quantile)) / 1000
 }
 
-// compareWithShares sets OverShare in each account and returns the lowest. An
+// compareWithShares sets ShareRatio in each account and returns the lowest. An
 // account is entitled to its max-min fair part of all served tokens: in proportion
 // to its share, but at most what it requested. Tokens that an account does not
 // request are divided among the others in proportion to their shares.
@@ -145,9 +145,9 @@
 		if entitled[i] <= 0 {
 			continue
 		}
-		accounts[i].OverShare = float64(accounts[i].Tokens) / entitled[i]
-		if worst < 0 || accounts[i].OverShare < worst {
-			worst = accounts[i].OverShare
+		accounts[i].ShareRatio = float64(accounts[i].Tokens) / entitled[i]
+		if worst < 0 || accounts[i].ShareRatio < worst {
+			worst = accounts[i].ShareRatio
 		}
 	}
 	return worst
@@ -182,7 +182,7 @@
 		r := FaultResult{Name: f.Name, RecoverySeconds: -1}
 		at := bucketOf(f.AtSeconds)
 		for b := at; b+bucketsPerSecond <= end; b++ {
-			if float64(sum(served[b:b+bucketsPerSecond])) >= recoveredFraction*baseline*f.Keeps/100 {
+			if float64(sum(served[b:b+bucketsPerSecond])) >= recoveredFraction*baseline*f.RemainingPercent/100 {
 				r.RecoverySeconds = float64(b-at) / float64(bucketsPerSecond)
 				break
 			}
@@ -204,12 +204,12 @@
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "account\tshare\tsent\tanswered\trefused\tfailed\tdropped\tunfinished\ttokens\tover share\tfirst p50 ms\tfirst p99 ms\t")
 	for _, a := range r.Accounts {
-		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.0f\t%.0f\t\n", a.Name, a.Share, a.Sent, a.Answered,
-			a.Refused, a.Failed, a.Dropped, a.Unfinished, a.Tokens, a.OverShare, a.FirstP50Millis, a.FirstP99Millis)
+		_, _ = fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.0f\t%.0f\t\n", a.Name, a.Share, a.Offered, a.Answered,
+			a.Refused, a.Failed, a.Dropped, a.Unfinished, a.Tokens, a.ShareRatio, a.FirstP50Millis, a.FirstP99Millis)
 	}
 	_ = table.Flush()
 	_, _ = fmt.Fprintf(out, "worst over share %.2f, engine use %.0f %%, waiting in each engine %.1f, cache hits %.0f %%, %d tokens\n",
-		r.WorstOverShare, r.EngineUse, r.EngineQueue, r.CacheHits, r.Tokens)
+		r.LowestShareRatio, r.EngineUse, r.EngineQueue, r.CacheHits, r.Tokens)
 	for _, f := range r.Faults {
 		_, _ = fmt.Fprintf(out, "recovery after %s: %.2f s\n", f.Name, f.RecoverySeconds)
 	}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -20,7 +20,7 @@
 
 // NewService returns a service that has executed no calls.
 func NewService() *Service {
-	return &Service{faults: newFaults(), counts: Counts{Runs: make(map[string]int64)}}
+	return &Service{faults: newFaults(), counts: Counts{Executions: make(map[string]int64)}}
 }
 
 // ServiceAnswer is the body of every answer except to score calls.
@@ -51,7 +51,7 @@
 		return
 	}
 	answer := ServiceAnswer{Method: r.Method, Path: r.URL.Path, Body: string(body), Charge: s.count(r, string(body))}
-	if _, breaks := s.faults.consume(r.URL.Path, FaultBreak); breaks {
+	if _, breaks := s.faults.consume(r.URL.Path, FaultTruncate); breaks {
 		w.Header().Set("Content-Length", "4096")
 		writeJSON(w, http.StatusOK, answer)
 		panic(http.ErrAbortHandler)
@@ -67,7 +67,7 @@
 		return
 	}
 	s.mu.Lock()
-	s.counts.Runs["score "+request.Step+"/"+request.Slot.Name()]++
+	s.counts.Executions["score "+request.Step+"/"+request.Slot.Name()]++
 	s.mu.Unlock()
 	score := float64(len(request.Text))
 	writeJSON(w, http.StatusOK, rollout.ScoreReply{Score: &score})
@@ -80,7 +80,7 @@
 		s.counts.KeysSeen++
 	}
 	s.counts.Started++
-	s.counts.Runs[r.Method+" "+r.URL.Path+" "+body]++
+	s.counts.Executions[r.Method+" "+r.URL.Path+" "+body]++
 	if r.Method == http.MethodPost {
 		s.counts.Completed++
 	}
--- a/internal/standin/trainer.go
+++ b/internal/standin/trainer.go
@@ -42,8 +42,8 @@
 	Gaps int `json:"gaps"`
 	// Unattributed counts samples without a weight version for every token.
 	Unattributed int `json:"unattributed"`
-	// Wrong counts samples whose text length doesn't match the number of tokens.
-	Wrong int `json:"wrong"`
+	// WrongLength counts samples whose text length doesn't match the number of tokens.
+	WrongLength int `json:"wrong"`
 	// Mixed counts samples with tokens of more than one weight version.
 	Mixed int `json:"mixed"`
 	// Newest is the newest weight version of any sample.
@@ -218,7 +218,7 @@
 		t.result.Unattributed++
 	}
 	if len(got.Text) != got.Tokens*len(Token("", 0, 0)) {
-		t.result.Wrong++
+		t.result.WrongLength++
 	}
 }
 
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -142,7 +142,7 @@
 		Replace:         func(rows []rowstore.Row) { m.replace(rows) },
 		Apply:           func(rows []rowstore.Row) { m.apply(rows) },
 		OnRead:          func() { m.statesReadAt.Store(time.Now().UnixNano()) },
-		OnOutage:        m.Events.Lost("states of steps"), OnRecovery: m.Events.Regained("states of steps"),
+		OnOutage:        m.Events.OnDependencyLost("states of steps"), OnRecovery: m.Events.OnDependencyRegained("states of steps"),
 	}
 	var loops sync.WaitGroup
 	loops.Go(func() { watcher.Run(ctx) })
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -138,7 +138,7 @@
 
 // emitTakeoverFailed emits the event that this VM failed to take over a step.
 func (m *Manager) emitTakeoverFailed(next State, err error) {
-	m.Events.Emit(event.StepNotTaken, event.Subject{Step: next.ID, Account: next.Account, Epoch: uint64(next.Epoch), Detail: err.Error()})
+	m.Events.Emit(event.TakeoverFailed, event.Subject{Step: next.ID, Account: next.Account, Epoch: uint64(next.Epoch), Detail: err.Error()})
 }
 
 // isCurrent reports whether r is still the newest known state of the step and the step has
--- a/internal/upstream/health.go
+++ b/internal/upstream/health.go
@@ -8,14 +8,14 @@
 	"dogwoodpond/internal/event"
 )
 
-// Standing is the health state of an upstream. It determines which requests the upstream
+// State is the health state of an upstream. It determines which requests the upstream
 // gets.
-type Standing int
+type State int
 
 // The health states of an upstream.
 const (
 	// Healthy upstreams get requests.
-	Healthy Standing = iota
+	Healthy State = iota
 	// Probing upstreams get one request, the probe, because the duration of their
 	// ejection has passed.
 	Probing
@@ -75,8 +75,8 @@
 	return &Health{events: events, records: make(map[string]*record)}
 }
 
-// Standing returns the health state of an upstream.
-func (h *Health) Standing(id string, now time.Time) Standing {
+// State returns the health state of an upstream.
+func (h *Health) State(id string, now time.Time) State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r, ok := h.records[id]
@@ -90,9 +90,9 @@
 	}
 }
 
-// Probe records that the probe of an ejected upstream starts. It has no effect on a
+// NoteProbe records that the probe of an ejected upstream starts. It has no effect on a
 // healthy upstream.
-func (h *Health) Probe(id string) {
+func (h *Health) NoteProbe(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r, ok := h.records[id]; ok && r.ejected {
@@ -100,9 +100,9 @@
 	}
 }
 
-// Abandon ends a probe without a result, such as one that its caller cancelled. The
+// CancelProbe ends a probe without a result, such as one that its caller cancelled. The
 // upstream can be probed again.
-func (h *Health) Abandon(id string) {
+func (h *Health) CancelProbe(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r, ok := h.records[id]; ok {
@@ -110,9 +110,9 @@
 	}
 }
 
-// Succeeded records a complete answer. tokenTime is the time per token, 0 if unknown.
+// NoteSuccess records a complete answer. tokenTime is the time per token, 0 if unknown.
 // pool lists the IDs of the upstreams in the pool.
-func (h *Health) Succeeded(id string, pool []string, tokenTime time.Duration, now time.Time) {
+func (h *Health) NoteSuccess(id string, pool []string, tokenTime time.Duration, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(id)
@@ -144,9 +144,9 @@
 	h.events.Emit(event.UpstreamRestored, event.Subject{Upstream: id})
 }
 
-// Failed records an attempt that failed by a fault of the upstream. pool lists the IDs
+// NoteFailure records an attempt that failed by a fault of the upstream. pool lists the IDs
 // of the upstreams in the pool.
-func (h *Health) Failed(id string, pool []string, now time.Time) {
+func (h *Health) NoteFailure(id string, pool []string, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	r := h.record(id)
@@ -228,9 +228,9 @@
 	}
 }
 
-// Keep removes the health records of all upstreams that are not in ids, so that records
+// Retain removes the health records of all upstreams that are not in ids, so that records
 // of upstreams that no longer exist do not accumulate.
-func (h *Health) Keep(ids map[string]bool) {
+func (h *Health) Retain(ids map[string]bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for id := range h.records {
@@ -240,8 +240,8 @@
 	}
 }
 
-// Out returns the number of ejected upstreams.
-func (h *Health) Out() int {
+// EjectedCount returns the number of ejected upstreams.
+func (h *Health) EjectedCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -14,17 +14,17 @@
 type Report struct {
 	engine.Load
 	At time.Time
-	// Misses counts consecutive polls that failed.
-	Misses int
+	// MissedPolls counts consecutive polls that failed.
+	MissedPolls int
 }
 
 // weightDecayTime is the age at which a report has lost two thirds of its weight.
 const weightDecayTime = 2 * time.Second
 
-// Weight returns the factor, from 1 down to 0, with which a report of this age is to be
+// Confidence returns the factor, from 1 down to 0, with which a report of this age is to be
 // taken into account. It is 0 if the engine has not reported yet, or if the time of the
 // report is in the future after a jump of the clock.
-func (r Report) Weight(now time.Time) float64 {
+func (r Report) Confidence(now time.Time) float64 {
 	age := now.Sub(r.At)
 	if r.At.IsZero() || age < 0 {
 		return 0
@@ -56,12 +56,12 @@
 // noteMiss counts a failed poll. The latest report and its time do not change.
 func (l *Loads) noteMiss(id string) {
 	r, _ := l.Get(id)
-	r.Misses++
+	r.MissedPolls++
 	l.Set(id, r)
 }
 
-// Keep removes the reports of all upstreams that are not in ids.
-func (l *Loads) Keep(ids map[string]bool) {
+// Retain removes the reports of all upstreams that are not in ids.
+func (l *Loads) Retain(ids map[string]bool) {
 	l.reports.Range(func(key, _ any) bool {
 		if !ids[key.(string)] {
 			l.reports.Delete(key)
--- a/internal/upstream/loads_test.go
+++ b/internal/upstream/loads_test.go
@@ -39,7 +39,7 @@
 		e.down.Store(true)
 		time.Sleep(4 * time.Second)
 		report, ok := loads.Get("e1")
-		if !ok || report.Running != 3 || report.Misses < 3 {
+		if !ok || report.Running != 3 || report.MissedPolls < 3 {
 			t.Fatalf("after 4s without an answer: report %+v, want the last one, with at least 3 misses", report)
 		}
 		if age := time.Since(report.At); age < 3*time.Second {
@@ -47,8 +47,8 @@
 		}
 		e.down.Store(false)
 		time.Sleep(2 * time.Second)
-		if report, _ := loads.Get("e1"); report.Misses != 0 {
-			t.Errorf("%d misses after an answer, want 0", report.Misses)
+		if report, _ := loads.Get("e1"); report.MissedPolls != 0 {
+			t.Errorf("%d misses after an answer, want 0", report.MissedPolls)
 		}
 	})
 }
@@ -57,12 +57,12 @@
 // clock, and a missing report must have no weight.
 func TestReportWeightFallsWithAge(t *testing.T) {
 	now := time.Now()
-	fresh := Report{At: now}.Weight(now)
-	old := Report{At: now.Add(-10 * time.Second)}.Weight(now)
+	fresh := Report{At: now}.Confidence(now)
+	old := Report{At: now.Add(-10 * time.Second)}.Confidence(now)
 	if fresh != 1 || old <= 0 || old > 0.1 {
 		t.Errorf("weight %v of a fresh report, want 1; %v of one of 10s, want above 0 and at most 0.1", fresh, old)
 	}
-	if Report.Weight(Report{At: now.Add(time.Hour)}, now) != 0 || Report.Weight(Report{}, now) != 0 {
+	if Report.Confidence(Report{At: now.Add(time.Hour)}, now) != 0 || Report.Confidence(Report{}, now) != 0 {
 		t.Error("a report from the future or a missing report has a weight above 0")
 	}
 }
--- a/internal/usage/closer.go
+++ b/internal/usage/closer.go
@@ -13,14 +13,14 @@
 	"dogwoodpond/internal/platformapi"
 )
 
-// Closer closes usage windows and sends their reports to billing. A lease allows one
+// Reporter closes usage windows and sends their reports to billing. A lease allows one
 // closer at a time. If two run at once, the preconditions of their transactions still
 // keep them from inserting different reports.
-type Closer struct {
+type Reporter struct {
 	tables  platformapi.Tables
 	billing platformapi.Billing
 	events  *event.Recorder
-	config  CloserConfig
+	config  ReporterConfig
 	// observed holds, by row key, the version of each row that is not final and when this
 	// closer first saw that version.
 	observed map[string]observation
@@ -28,26 +28,26 @@
 	observedWindow Window
 }
 
-// CloserConfig configures a Closer.
-type CloserConfig struct {
-	// Length is the length of a window.
-	Length time.Duration
+// ReporterConfig configures a Closer.
+type ReporterConfig struct {
+	// WindowLength is the length of a window.
+	WindowLength time.Duration
 	// Now returns the wall time; it decides when a window has ended.
 	Now func() time.Time
 	// Elapsed returns a monotonic time; it measures how long a row has not changed.
 	Elapsed func() time.Duration
-	// Grace is the time between the end of a window and the start of its closing.
-	Grace time.Duration
+	// GracePeriod is the time between the end of a window and the start of its closing.
+	GracePeriod time.Duration
 	// DeadAfter is how long the row of a VM that is not listed, or that has another
 	// incarnation in the window, must not change before the VM is considered dead.
 	DeadAfter time.Duration
-	// GiveUp is how long the row of a listed VM must not change before the VM is
+	// ListedDeadAfter is how long the row of a listed VM must not change before the VM is
 	// considered dead.
-	GiveUp time.Duration
+	ListedDeadAfter time.Duration
 	// Accounts lists the client accounts that have a contract.
 	Accounts func() []contract.Account
-	// Listed reports whether the platform lists the VM as live or leaving.
-	Listed func(vm string) bool
+	// IsListed reports whether the platform lists the VM as live or leaving.
+	IsListed func(vm string) bool
 }
 
 // observation is the version of a row and when it was first seen.
@@ -56,16 +56,16 @@
 	since   time.Duration
 }
 
-// NewCloser returns a closer.
-func NewCloser(tables platformapi.Tables, billing platformapi.Billing, events *event.Recorder, config CloserConfig) *Closer {
-	return &Closer{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
+// NewReporter returns a closer.
+func NewReporter(tables platformapi.Tables, billing platformapi.Billing, events *event.Recorder, config ReporterConfig) *Reporter {
+	return &Reporter{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
 }
 
 // Run closes and reports windows until ctx ends or the lease is lost. It waits for interval
 // after a failed step and when nothing is due.
-func (c *Closer) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
+func (c *Reporter) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
 	for ctx.Err() == nil && guard.Check() == nil {
-		more, err := c.Step(ctx, guard)
+		more, err := c.Advance(ctx, guard)
 		if more && err == nil {
 			continue
 		}
@@ -76,10 +76,10 @@
 	}
 }
 
-// Step takes the next step for the oldest window that may not be reported yet: it raises the
+// Advance takes the next step for the oldest window that may not be reported yet: it raises the
 // cursor's floor, closes the window, sends its reports, or moves the cursor to the next
 // window. more is true if Step may be called again at once.
-func (c *Closer) Step(ctx context.Context, guard fence.Guard) (more bool, err error) {
+func (c *Reporter) Advance(ctx context.Context, guard fence.Guard) (more bool, err error) {
 	cursor, cursorRow, err := readCursor(ctx, c.tables)
 	if err != nil {
 		return false, err
@@ -114,7 +114,7 @@
 
 // oldestUnreported returns the oldest window with rows that may not be reported yet. due is
 // false if there is none, or if its end and the grace period have not passed.
-func (c *Closer) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
+func (c *Reporter) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
 	first, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Next), 1)
 	if err != nil || len(first) == 0 {
 		return 0, false, err
@@ -123,12 +123,12 @@
 	if !ok {
 		return 0, false, errors.WithStack(&fault.Internal{Where: "row " + first[0].Key})
 	}
-	end := time.Unix(0, int64(w+1)*int64(c.config.Length))
-	return w, c.config.Now().After(end.Add(c.config.Grace)), nil
+	end := time.Unix(0, int64(w+1)*int64(c.config.WindowLength))
+	return w, c.config.Now().After(end.Add(c.config.GracePeriod)), nil
 }
 
 // writeCursor replaces the cursor if its row has not changed since it was read.
-func (c *Closer) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row) error {
+func (c *Reporter) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row) error {
 	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
 		Nonce:         platformapi.NewNonce(),
 		Preconditions: []platformapi.Precondition{{Key: cursorKey, Version: cursorRow.Version}},
@@ -138,7 +138,7 @@
 
 // passWindow moves the cursor to the window after the reported window w, and deletes a batch
 // of rows older than the retention.
-func (c *Closer) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
+func (c *Reporter) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := c.sweep(ctx, cursor)
 	if err != nil {
@@ -159,8 +159,8 @@
 
 // sweep deletes a batch of rows older than the retention. It returns the oldest window
 // whose rows may still exist.
-func (c *Closer) sweep(ctx context.Context, cursor cursorValue) (Window, error) {
-	end := cursor.Next - Window(retention/c.config.Length)
+func (c *Reporter) sweep(ctx context.Context, cursor cursorValue) (Window, error) {
+	end := cursor.Next - Window(retention/c.config.WindowLength)
 	rows, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Swept), sweepBatch)
 	if err != nil {
 		return cursor.Swept, err
@@ -201,7 +201,7 @@
 
 // close inserts the reports once every row is final or its VM is considered dead. It
 // returns false while it has to wait for a VM.
-func (c *Closer) close(ctx context.Context, w Window, windowRow platformapi.Row) (bool, error) {
+func (c *Reporter) close(ctx context.Context, w Window, windowRow platformapi.Row) (bool, error) {
 	stored, err := scan(ctx, c.tables, vmRowsPrefix(w))
 	if err != nil {
 		return false, err
@@ -224,7 +224,7 @@
 
 // mustWait reports whether a row may still be sealed by its VM. It checks every row, since
 // isDead also records an observation.
-func (c *Closer) mustWait(stored []platformapi.Row, rows []Row) bool {
+func (c *Reporter) mustWait(stored []platformapi.Row, rows []Row) bool {
 	wait := false
 	for i, row := range stored {
 		if !rows[i].isFinal() && !c.isDead(row, rows[i], rows) {
@@ -237,7 +237,7 @@
 // isDead reports whether the VM of a row that is not final is considered dead. If the VM is
 // alive after all, the usage that its row lacks is reported as a correction in a later
 // window; no report becomes wrong.
-func (c *Closer) isDead(row platformapi.Row, r Row, all []Row) bool {
+func (c *Reporter) isDead(row platformapi.Row, r Row, all []Row) bool {
 	now := c.config.Elapsed()
 	seen, ok := c.observed[row.Key]
 	if !ok || seen.version != row.Version {
@@ -245,10 +245,10 @@
 		return false
 	}
 	unchanged := now - seen.since
-	if !c.config.Listed(r.VM) || hasOtherIncarnation(r, all) {
+	if !c.config.IsListed(r.VM) || hasOtherIncarnation(r, all) {
 		return unchanged >= c.config.DeadAfter
 	}
-	return unchanged >= c.config.GiveUp
+	return unchanged >= c.config.ListedDeadAfter
 }
 
 // hasOtherIncarnation reports whether another incarnation of the row's VM has a row too. A
@@ -265,7 +265,7 @@
 // insertReports closes the window in one transaction: it marks the rows that are not final
 // as closed and inserts the reports. The transaction fails if a row has changed since it
 // was read.
-func (c *Closer) insertReports(ctx context.Context, w Window, windowRow platformapi.Row, stored []platformapi.Row, rows []Row) error {
+func (c *Reporter) insertReports(ctx context.Context, w Window, windowRow platformapi.Row, stored []platformapi.Row, rows []Row) error {
 	txn := platformapi.Txn{
 		Nonce:         platformapi.NewNonce(),
 		Preconditions: []platformapi.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
@@ -289,7 +289,7 @@
 
 // sendReports sends every report row of the window to billing, exactly as inserted. A
 // retry, also by the next lease holder, sends the same counts.
-func (c *Closer) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platformapi.Row) error {
+func (c *Reporter) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platformapi.Row) error {
 	stored, err := scan(ctx, c.tables, reportPrefix(w))
 	if err != nil {
 		return err
@@ -312,16 +312,16 @@
 
 // sendReport checks the lease directly before it sends the report, since the process may
 // have been paused since the last check.
-func (c *Closer) sendReport(ctx context.Context, guard fence.Guard, r Report) error {
+func (c *Reporter) sendReport(ctx context.Context, guard fence.Guard, r Report) error {
 	if err := guard.Check(); err != nil {
 		return err
 	}
-	start := int64(r.Window) * int64(c.config.Length/time.Second)
+	start := int64(r.Window) * int64(c.config.WindowLength/time.Second)
 	err := c.billing.Report(fence.WithGuard(ctx, guard), platformapi.UsageReport{
 		Window:             start,
 		Account:            string(r.Account),
-		Requests:           r.Figures.Requests,
-		Tokens:             r.Figures.Tokens,
+		Requests:           r.Counts.Requests,
+		Tokens:             r.Counts.Tokens,
 		CorrectionRequests: r.Corrections.Requests,
 		CorrectionTokens:   r.Corrections.Tokens,
 		Incomplete:         r.Incomplete,
@@ -334,7 +334,7 @@
 	if r.Incomplete {
 		c.events.Emit(event.UsageIncomplete, subject)
 	}
-	if r.Corrections != (Figures{}) {
+	if r.Corrections != (Counts{}) {
 		subject.Detail = event.DetailCorrected
 	}
 	c.events.Emit(event.UsageReported, subject)
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -38,7 +38,7 @@
 	billing *matrixBilling
 	meters  []*Meter
 	vms     []*faultinject.Process
-	used    []Figures
+	used    []Counts
 }
 
 // matrixBilling accepts reports and records reports that differ from an earlier one for the
@@ -80,7 +80,7 @@
 	s := &scenario{
 		cluster: faultinject.NewCluster(script),
 		billing: &matrixBilling{accepted: make(map[string]platformapi.UsageReport)},
-		used:    make([]Figures, 2),
+		used:    make([]Counts, 2),
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -119,7 +119,7 @@
 		if process.Killed() {
 			break
 		}
-		f := Figures{Requests: 1, Tokens: int64(10 * (i + 1))}
+		f := Counts{Requests: 1, Tokens: int64(10 * (i + 1))}
 		meter.Add(berry, f)
 		s.used[i] = s.used[i].Add(f)
 	}
@@ -152,7 +152,7 @@
 	if len(s.billing.changed) > 0 {
 		return fmt.Errorf("reported twice: %v", s.billing.changed)
 	}
-	var used, billed Figures
+	var used, billed Counts
 	incomplete, killed := false, false
 	for i, p := range s.vms {
 		used = used.Add(s.used[i])
@@ -160,7 +160,7 @@
 	}
 	for _, r := range s.billing.accepted {
 		if contract.Account(r.Account) == berry {
-			billed = billed.Add(Figures{Requests: r.Requests + r.CorrectionRequests, Tokens: r.Tokens + r.CorrectionTokens})
+			billed = billed.Add(Counts{Requests: r.Requests + r.CorrectionRequests, Tokens: r.Tokens + r.CorrectionTokens})
 			incomplete = incomplete || r.Incomplete
 		}
 	}
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -59,8 +59,8 @@
 	Incarnation string
 	// Now returns the wall time; it only decides in which window usage is counted.
 	Now func() time.Time
-	// Length is the length of a window.
-	Length time.Duration
+	// WindowLength is the length of a window.
+	WindowLength time.Duration
 }
 
 // NewMeter returns a meter that has opened no window yet.
@@ -71,14 +71,14 @@
 		vm:          c.VM,
 		incarnation: c.Incarnation,
 		now:         c.Now,
-		length:      c.Length,
+		length:      c.WindowLength,
 		counts:      make(Totals),
 		corrections: make(Totals),
 	}
 }
 
 // Add adds to the usage of an account.
-func (m *Meter) Add(account contract.Account, f Figures) {
+func (m *Meter) Add(account contract.Account, f Counts) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts[account] = m.counts[account].Add(f)
@@ -156,7 +156,7 @@
 }
 
 func (m *Meter) newRow(counts, corrections Totals, sealed bool) Row {
-	return Row{VM: m.vm, Incarnation: m.incarnation, Figures: counts, Corrections: corrections, Sealed: sealed}
+	return Row{VM: m.vm, Incarnation: m.incarnation, Counts: counts, Corrections: corrections, Sealed: sealed}
 }
 
 // open opens a window and writes the current totals to its row. A window below the cursor's
@@ -314,7 +314,7 @@
 func (m *Meter) subtractFinal(stored Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	missing := m.counts.sub(stored.Figures)
+	missing := m.counts.sub(stored.Counts)
 	m.corrections = m.corrections.sub(stored.Corrections)
 	m.counts = missing
 	if stored.Next != 0 {
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -16,24 +16,24 @@
 	"dogwoodpond/internal/contract"
 )
 
-// Figures counts the usage of one client account.
-type Figures struct {
+// Counts counts the usage of one client account.
+type Counts struct {
 	Requests int64 `json:"requests"`
 	Tokens   int64 `json:"tokens"`
 }
 
 // Add returns the sum of f and g.
-func (f Figures) Add(g Figures) Figures {
-	return Figures{Requests: f.Requests + g.Requests, Tokens: f.Tokens + g.Tokens}
+func (f Counts) Add(g Counts) Counts {
+	return Counts{Requests: f.Requests + g.Requests, Tokens: f.Tokens + g.Tokens}
 }
 
 // Sub returns f minus g.
-func (f Figures) Sub(g Figures) Figures {
-	return Figures{Requests: f.Requests - g.Requests, Tokens: f.Tokens - g.Tokens}
+func (f Counts) Sub(g Counts) Counts {
+	return Counts{Requests: f.Requests - g.Requests, Tokens: f.Tokens - g.Tokens}
 }
 
 // Totals holds the usage by client account.
-type Totals map[contract.Account]Figures
+type Totals map[contract.Account]Counts
 
 // add returns the sum of both totals for each account.
 func (t Totals) add(u Totals) Totals {
@@ -51,7 +51,7 @@
 func (t Totals) sub(u Totals) Totals {
 	difference := make(Totals)
 	for account, f := range t {
-		if d := f.Sub(u[account]); d != (Figures{}) {
+		if d := f.Sub(u[account]); d != (Counts{}) {
 			difference[account] = d
 		}
 	}
@@ -66,8 +66,8 @@
 type Row struct {
 	VM          string `json:"vm"`
 	Incarnation string `json:"incarnation"`
-	// Figures is the usage while the window was the VM's open window.
-	Figures Totals `json:"figures"`
+	// Counts is the usage while the window was the VM's open window.
+	Counts Totals `json:"figures"`
 	// Corrections is usage of earlier windows that their reports lack.
 	Corrections Totals `json:"corrections,omitempty"`
 	// Sealed is true if the VM made the row final.
@@ -86,8 +86,8 @@
 type Report struct {
 	Window      Window           `json:"window"`
 	Account     contract.Account `json:"account"`
-	Figures     Figures          `json:"figures"`
-	Corrections Figures          `json:"corrections"`
+	Counts      Counts           `json:"figures"`
+	Corrections Counts           `json:"corrections"`
 	// Incomplete is true if a VM did not seal its row. The usage that it had not flushed
 	// is missing.
 	Incomplete bool `json:"incomplete"`
@@ -99,7 +99,7 @@
 	counts, corrections := Totals{}, Totals{}
 	incomplete := false
 	for _, r := range rows {
-		counts = counts.add(r.Figures)
+		counts = counts.add(r.Counts)
 		corrections = corrections.add(r.Corrections)
 		incomplete = incomplete || !r.Sealed
 	}
@@ -108,7 +108,7 @@
 		reports = append(reports, Report{
 			Window:      window,
 			Account:     account,
-			Figures:     counts[account],
+			Counts:      counts[account],
 			Corrections: corrections[account],
 			Incomplete:  incomplete,
 		})
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -103,7 +103,7 @@
 }
 
 // sum returns the usage in all reports for an account, and whether one is incomplete.
-func (b *billing) sum(account contract.Account) (counts Figures, incomplete bool) {
+func (b *billing) sum(account contract.Account) (counts Counts, incomplete bool) {
 	for _, r := range b.accepted {
 		if r.Account == string(account) {
 			counts.Requests += r.Requests + r.CorrectionRequests
@@ -127,26 +127,26 @@
 
 func newMeter(tables platformapi.Tables, vm string) *Meter {
 	return NewMeter(MeterConfig{
-		Tables:      tables,
-		Events:      newEvents(),
-		VM:          vm,
-		Incarnation: "1",
-		Now:         time.Now,
-		Length:      windowLength,
+		Tables:       tables,
+		Events:       newEvents(),
+		VM:           vm,
+		Incarnation:  "1",
+		Now:          time.Now,
+		WindowLength: windowLength,
 	})
 }
 
-func newCloser(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Closer {
+func newCloser(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Reporter {
 	started := time.Now()
-	return NewCloser(tables, b, newEvents(), CloserConfig{
-		Length:    windowLength,
-		Now:       time.Now,
-		Elapsed:   func() time.Duration { return time.Since(started) },
-		Grace:     time.Second,
-		DeadAfter: 5 * time.Second,
-		GiveUp:    30 * time.Second,
-		Accounts:  func() []contract.Account { return []contract.Account{berry, tree} },
-		Listed:    listed,
+	return NewReporter(tables, b, newEvents(), ReporterConfig{
+		WindowLength:    windowLength,
+		Now:             time.Now,
+		Elapsed:         func() time.Duration { return time.Since(started) },
+		GracePeriod:     time.Second,
+		DeadAfter:       5 * time.Second,
+		ListedDeadAfter: 30 * time.Second,
+		Accounts:        func() []contract.Account { return []contract.Account{berry, tree} },
+		IsListed:        listed,
 	})
 }
 
@@ -155,10 +155,10 @@
 }
 
 // drive runs the closer until it has nothing more to do at the current time.
-func drive(t *testing.T, c *Closer) {
+func drive(t *testing.T, c *Reporter) {
 	t.Helper()
 	for {
-		more, err := c.Step(t.Context(), fakeGuard(1))
+		more, err := c.Advance(t.Context(), fakeGuard(1))
 		if err != nil {
 			t.Fatalf("Step: %v", err)
 		}
@@ -184,8 +184,8 @@
 		tables, b := memtables.NewTables(), newBilling(t)
 		one, two := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, one, two)
-		one.Add(berry, Figures{Requests: 1, Tokens: 10})
-		two.Add(berry, Figures{Requests: 2, Tokens: 20})
+		one.Add(berry, Counts{Requests: 1, Tokens: 10})
+		two.Add(berry, Counts{Requests: 2, Tokens: 20})
 		time.Sleep(windowLength)
 		flush(t, one, two)
 		time.Sleep(2 * time.Second)
@@ -194,7 +194,7 @@
 			t.Fatalf("got %d reports, want one for each account", len(b.accepted))
 		}
 		got, incomplete := b.sum(berry)
-		if want := (Figures{Requests: 3, Tokens: 30}); got != want || incomplete {
+		if want := (Counts{Requests: 3, Tokens: 30}); got != want || incomplete {
 			t.Errorf("reported %+v (incomplete %v), want %+v", got, incomplete, want)
 		}
 	})
@@ -207,9 +207,9 @@
 		tables, b := memtables.NewTables(), newBilling(t)
 		killed, other := newMeter(tables, "vm-1"), newMeter(tables, "vm-2")
 		flush(t, killed, other)
-		killed.Add(berry, Figures{Requests: 1, Tokens: 10})
+		killed.Add(berry, Counts{Requests: 1, Tokens: 10})
 		flush(t, killed)
-		killed.Add(berry, Figures{Requests: 1, Tokens: 5})
+		killed.Add(berry, Counts{Requests: 1, Tokens: 5})
 		time.Sleep(windowLength)
 		flush(t, other)
 		closer := newCloser(tables, b, func(vm string) bool { return vm != "vm-1" })
@@ -221,7 +221,7 @@
 		time.Sleep(6 * time.Second)
 		drive(t, closer)
 		got, incomplete := b.sum(berry)
-		if want := (Figures{Requests: 1, Tokens: 10}); got != want || !incomplete {
+		if want := (Counts{Requests: 1, Tokens: 10}); got != want || !incomplete {
 			t.Errorf("reported %+v (incomplete %v), want %+v and incomplete", got, incomplete, want)
 		}
 	})
@@ -235,9 +235,9 @@
 		tables, b := memtables.NewTables(), newBilling(t)
 		cutOff := newMeter(tables, "vm-1")
 		flush(t, cutOff)
-		cutOff.Add(berry, Figures{Requests: 1, Tokens: 10})
+		cutOff.Add(berry, Counts{Requests: 1, Tokens: 10})
 		flush(t, cutOff)
-		cutOff.Add(berry, Figures{Requests: 4, Tokens: 40})
+		cutOff.Add(berry, Counts{Requests: 4, Tokens: 40})
 		time.Sleep(windowLength)
 		closer := newCloser(tables, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
@@ -254,7 +254,7 @@
 		}
 		time.Sleep(2 * windowLength)
 		drive(t, closer)
-		if got, _ := b.sum(berry); got != (Figures{Requests: 5, Tokens: 50}) {
+		if got, _ := b.sum(berry); got != (Counts{Requests: 5, Tokens: 50}) {
 			t.Errorf("reported %+v in total, want 5 requests and 50 tokens", got)
 		}
 	})
@@ -269,16 +269,16 @@
 		paused := newMeter(tables, "vm-1")
 		flush(t, paused)
 		time.Sleep(windowLength)
-		paused.Add(berry, Figures{Requests: 1, Tokens: 10})
+		paused.Add(berry, Counts{Requests: 1, Tokens: 10})
 		between := &hookedTables{Tables: tables}
 		closer := newCloser(between, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
 		drive(t, closer)
 		time.Sleep(6 * time.Second)
 		between.beforeCommit = func() { flush(t, paused) }
-		_, _ = closer.Step(t.Context(), fakeGuard(1))
+		_, _ = closer.Advance(t.Context(), fakeGuard(1))
 		drive(t, closer)
-		if got, _ := b.sum(berry); got != (Figures{Requests: 1, Tokens: 10}) {
+		if got, _ := b.sum(berry); got != (Counts{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the request in the sealed row", got)
 		}
 	})
@@ -291,7 +291,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		tables, b := &delayingTables{Tables: memtables.NewTables(), delay: true}, newBilling(t)
 		one := newMeter(tables, "vm-1")
-		one.Add(berry, Figures{Requests: 1, Tokens: 10})
+		one.Add(berry, Counts{Requests: 1, Tokens: 10})
 		if err := one.Flush(t.Context()); err == nil {
 			t.Fatal("Flush succeeded although the commit was not answered")
 		}
@@ -308,7 +308,7 @@
 			time.Sleep(windowLength)
 			drive(t, closer)
 		}
-		if got, _ := b.sum(berry); got != (Figures{Requests: 1, Tokens: 10}) {
+		if got, _ := b.sum(berry); got != (Counts{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the one request", got)
 		}
 	})
@@ -365,7 +365,7 @@
 		drive(t, closer)
 		slow := newMeter(tables, "vm-2")
 		slow.now = func() time.Time { return time.Now().Add(-windowLength) }
-		slow.Add(tree, Figures{Requests: 1, Tokens: 7})
+		slow.Add(tree, Counts{Requests: 1, Tokens: 7})
 		flush(t, slow)
 		time.Sleep(windowLength)
 		flush(t, one, slow)
@@ -374,7 +374,7 @@
 		}
 		time.Sleep(2 * windowLength)
 		drive(t, closer)
-		if got, _ := b.sum(tree); got != (Figures{Requests: 1, Tokens: 7}) {
+		if got, _ := b.sum(tree); got != (Counts{Requests: 1, Tokens: 7}) {
 			t.Errorf("reported %+v, want the request of the slow VM", got)
 		}
 	})
@@ -397,13 +397,13 @@
 	b := newBilling(t)
 	b.lose = func() bool { return random.IntN(5) == 0 }
 	listed := func(string) bool { return random.IntN(2) == 0 }
-	closers := []*Closer{newCloser(tables, b, listed), newCloser(tables, b, listed)}
+	closers := []*Reporter{newCloser(tables, b, listed), newCloser(tables, b, listed)}
 	meters := []*Meter{newMeter(tables, "vm-1"), newMeter(tables, "vm-2"), newMeter(tables, "vm-3")}
 	// A meter must be used by one goroutine only, so the concurrent client is another VM.
 	other := newMeter(tables, "vm-4")
-	var used Figures
+	var used Counts
 	tables.concurrent = func() {
-		f := Figures{Requests: 1, Tokens: int64(random.IntN(100))}
+		f := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
 		other.Add(berry, f)
 		used = used.Add(f)
 		_ = other.Flush(t.Context())
@@ -412,13 +412,13 @@
 		m := meters[random.IntN(len(meters))]
 		switch random.IntN(4) {
 		case 0:
-			f := Figures{Requests: 1, Tokens: int64(random.IntN(100))}
+			f := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
 			m.Add(berry, f)
 			used = used.Add(f)
 		case 1:
 			_ = m.Flush(t.Context())
 		case 2:
-			_, _ = closers[random.IntN(len(closers))].Step(t.Context(), fakeGuard(1))
+			_, _ = closers[random.IntN(len(closers))].Advance(t.Context(), fakeGuard(1))
 		default:
 			time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 		}
@@ -436,7 +436,7 @@
 		time.Sleep(windowLength)
 		for _, c := range closers {
 			for range 8 {
-				_, _ = c.Step(t.Context(), fakeGuard(1))
+				_, _ = c.Advance(t.Context(), fakeGuard(1))
 			}
 		}
 	}
--- a/internal/weightload/loader.go
+++ b/internal/weightload/loader.go
@@ -71,7 +71,7 @@
 type Order struct {
 	Model   string
 	Version int64
-	// KeepRunning lets running requests continue with the new weights. Without it
+	// AllowsMixedVersions lets running requests continue with the new weights. Without it
 	// the engine finishes them first.
 	KeepRunning bool
 	Holder      string
@@ -92,8 +92,8 @@
 type Demands interface {
 	// Models returns the demands on the engines of a service.
 	Models(service string) []Demand
-	// KeepRunning reports whether a text of a model may span several versions.
-	KeepRunning(model string) bool
+	// AllowsMixedVersions reports whether a text of a model may span several versions.
+	AllowsMixedVersions(model string) bool
 	// EngineServices returns the services with model engines.
 	EngineServices() []string
 }
@@ -254,7 +254,7 @@
 			return
 		}
 		if err == nil && reply == Accepted {
-			l.Events.Emit(event.OrderGiven, subject)
+			l.Events.Emit(event.OrderSent, subject)
 			planned.Engine.NoteModelUnavailable(planned.Model, time.Now().Add(expectedLoadTime))
 			l.publish(ctx, planned, true)
 			wait.For(ctx, expectedLoadTime)
@@ -285,7 +285,7 @@
 	return l.Engines.Order(ctx, planned.Engine, Order{
 		Model:       planned.Model,
 		Version:     planned.Version,
-		KeepRunning: l.Demands.KeepRunning(planned.Model),
+		KeepRunning: l.Demands.AllowsMixedVersions(planned.Model),
 		Holder:      l.VM,
 		Epoch:       guard.Epoch(),
 		Expected:    sequence,
@@ -337,7 +337,7 @@
 	retryBackoff := func() time.Duration { return calls.RetryBackoff(budget.WeightLoads, minPollInterval) }
 	watcher := rowstore.Watcher{
 		Store: store, Table: table, AllParts: true, PollTimeout: pollTimeout, Replace: apply, Apply: apply, MinPollInterval: pollInterval, RetryBackoff: retryBackoff,
-		OnOutage: events.Lost("loads of weights"), OnRecovery: events.Regained("loads of weights"),
+		OnOutage: events.OnDependencyLost("loads of weights"), OnRecovery: events.OnDependencyRegained("loads of weights"),
 	}
 	watcher.Run(ctx)
 }
--- a/internal/weightload/weightload_test.go
+++ b/internal/weightload/weightload_test.go
@@ -94,7 +94,7 @@
 	return append([]Demand(nil), f.demands...)
 }
 
-func (f *fleet) KeepRunning(string) bool { return true }
+func (f *fleet) AllowsMixedVersions(string) bool { return true }
 
 func (f *fleet) EngineServices() []string { return []string{"lm"} }
 
--- a/internal/weightupdate/updater.go
+++ b/internal/weightupdate/updater.go
@@ -106,7 +106,7 @@
 		if guard.Check() != nil {
 			return
 		}
-		u.events.Emit(event.OrderGiven, subject)
+		u.events.Emit(event.OrderSent, subject)
 		err := u.engines.Order(fence.WithGuard(ctx, guard), e.Address, order)
 		if err == nil || u.serves(ctx, planned) {
 			u.events.Emit(event.WeightsLoaded, subject)
