--- a/internal/config/machine_test.go
+++ b/internal/config/statemachine_test.go
@@ -195,7 +195,7 @@
 // restart, and have commits that are lost, delayed or not answered. Every view equals the
 // history up to its revision, revisions never decrease, and no VM claims to be more current
 // than it is.
-func TestEditMachine(t *testing.T) {
+func TestEditStateMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		parameters := gopter.DefaultTestParametersWithSeed(4)
 		parameters.MinSuccessfulTests = 500
--- a/internal/config/syncer.go
+++ b/internal/config/syncer.go
@@ -16,18 +16,18 @@
 type Peers interface {
 	// FetchConfig returns the newest snapshot of the peers that it asks, or nil if none is
 	// newer than after. It also returns the age of the peers' confirmation: how long ago
-	// one of them knew that no revision newer than its own was accepted. The age is Never
-	// if none of them ever knew.
+	// one of them knew that no revision newer than its own was accepted. The age is
+	// AgeUnknown if none of them ever knew.
 	FetchConfig(ctx context.Context, after contract.Revision) (*contract.Snapshot, time.Duration, error)
 }
 
-// AgeUnknown is the age of a view that was never confirmed to be current. Ages from peers were
-// converted to milliseconds and back, which changes Never. So every age of maxPeerAge or
-// more counts as Never; used as a duration it would overflow and look recent.
+// AgeUnknown is the age of a view that was never confirmed to be current. Ages from peers
+// were converted to milliseconds and back, which changes AgeUnknown. So every age of
+// maxPeerAge or more counts as AgeUnknown; used as a duration it would overflow and look recent.
 const AgeUnknown time.Duration = math.MaxInt64
 
 const (
-	// maxPeerAge is the age from which on an age from a peer counts as Never.
+	// maxPeerAge is the age from which on an age from a peer counts as AgeUnknown.
 	maxPeerAge = AgeUnknown / 2
 	// agePrecision is added to the age from a peer, which is truncated to milliseconds.
 	// Otherwise the age would decrease with each exchange between two VMs.
@@ -96,9 +96,9 @@
 // neverConfirmed is the value of confirmedAt before the view was confirmed for the first time.
 const neverConfirmed = math.MinInt64
 
-// Age returns how long ago the view was last confirmed to be current, or Never. Peers
+// Age returns how long ago the view was last confirmed to be current, or AgeUnknown. Peers
 // confirm their own views by it. So a VM that has reached neither the store nor a peer since
-// its start must return Never: with another age, peers would consider outdated views current.
+// its start must return AgeUnknown: with another age, peers would consider outdated views current.
 func (s *Syncer) Age() time.Duration {
 	at := s.confirmedAt.Load()
 	if at == neverConfirmed {
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -288,7 +288,7 @@
 		}
 		return fmt.Sprintf("attempt %d at upstream %s failed: %s", e.Attempt, e.Upstream, e.Detail)
 	case event.RequestAnswered:
-		return fmt.Sprintf("the caller got the whole answer (%d tokens)", e.Count)
+		return fmt.Sprintf("the caller received the complete answer (%d tokens)", e.Count)
 	case event.RequestRefused:
 		return fmt.Sprintf("the caller got a refusal: %s", e.Detail)
 	case event.SampleScored:
--- a/internal/ctl/explainstep.go
+++ b/internal/ctl/explainstep.go
@@ -141,7 +141,7 @@
 		_, _ = fmt.Fprintf(w, "%d texts scored, the longest wait for a score: %s of item %s\n", s.Scored, s.LongestScoreWait, s.SlowestScore)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(s.ScoreFailures)) {
-		_, _ = fmt.Fprintf(w, "failed calls for scores, %s: %d\n", reason, s.ScoreFailures[reason])
+		_, _ = fmt.Fprintf(w, "failed score calls, %s: %d\n", reason, s.ScoreFailures[reason])
 	}
 	for _, line := range missingLines(s.Missing) {
 		_, _ = fmt.Fprintln(w, line)
--- a/internal/ctl/fleet.go
+++ b/internal/ctl/fleet.go
@@ -46,7 +46,7 @@
 	row(w)
 	row(w, "VM", "FAILURE DOMAIN", "REVISION", "HEARD", "STATE")
 	for _, vm := range s.VMs {
-		row(w, vm.VM, vm.FailureDomain, vm.Revision, heardAgo(vm), vmState(vm))
+		row(w, vm.VM, vm.FailureDomain, vm.Revision, reportAge(vm), vmState(vm))
 	}
 	row(w)
 	if s.LeasesUnknown {
@@ -71,7 +71,7 @@
 	return "reached"
 }
 
-func heardAgo(vm operator.VMRevision) string {
+func reportAge(vm operator.VMRevision) string {
 	if !vm.Known {
 		return "never"
 	}
--- a/internal/ctl/logs_test.go
+++ b/internal/ctl/logs_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"2 texts scored, the longest wait for a score: 2.3s of item i1", "failed calls for scores, upstream_failed: 1"} {
+	for _, want := range []string{"2 texts scored, the longest wait for a score: 2.3s of item i1", "failed score calls, upstream_failed: 1"} {
 		if !strings.Contains(step, want) {
 			t.Errorf("the explanation of the step lacks %q:\n%s", want, step)
 		}
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -30,7 +30,7 @@
 	// unlisted VM, or of one with another incarnation in the window, must not change before
 	// the VM is considered dead.
 	deadDivisor = 2
-	// maxWaitWindows is the number of usage windows for which the closer waits for a listed
+	// maxWaitWindows is the number of usage windows for which the reporter waits for a listed
 	// VM whose row does not change.
 	maxWaitWindows = 2
 )
@@ -57,7 +57,7 @@
 	return provision.NewProvisioner(s.FailureDomain, client, client, events, newElapsed())
 }
 
-func newCloser(s settings.Daemon, client *platformapi.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Reporter {
+func newReporter(s settings.Daemon, client *platformapi.Client, events *event.Recorder, gossip *peer.Gossip, view *contract.View) *usage.Reporter {
 	return usage.NewReporter(client, client, events, usage.ReporterConfig{
 		WindowLength:    s.UsageWindow(),
 		Now:             time.Now,
@@ -97,7 +97,7 @@
 	updater *weightupdate.Updater,
 	mover *enginepool.Mover,
 	provisioner *provision.Provisioner,
-	closer *usage.Reporter,
+	reporter *usage.Reporter,
 	h *hooks,
 ) *control.Controller {
 	members := func() []dispatch.Member { return h.members() }
@@ -111,7 +111,7 @@
 		WeightUpdater:  updater,
 		Mover:          mover,
 		Provisioner:    provisioner,
-		Reporter:       closer,
+		Reporter:       reporter,
 		DomainInterval: domainInterval,
 		CloseInterval:  s.UsageWindow() / closeDivisor,
 		OrderTimeout:   s.OrderTimeout(),
--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -42,7 +42,7 @@
 
 func (h *hooks) pollRevision() { h.syncer.PollNow() }
 
-func (h *hooks) revoke(s *contract.Snapshot) { h.entry.CancelWithdrawnKeys(s) }
+func (h *hooks) cancelWithdrawnKeys(s *contract.Snapshot) { h.entry.CancelWithdrawnKeys(s) }
 
 // Age implements peer.Ager.
 func (h *hooks) Age() time.Duration { return h.syncer.Age() }
@@ -138,7 +138,7 @@
 }
 
 func newSyncer(s settings.Daemon, tables *platformapi.Client, gossip *peer.Gossip, view *contract.View, events *event.Recorder, h *hooks) *config.Syncer {
-	h.syncer = config.NewSyncer(tables, gossip, view, events, s.RevisionPollInterval(), h.revoke,
+	h.syncer = config.NewSyncer(tables, gossip, view, events, s.RevisionPollInterval(), h.cancelWithdrawnKeys,
 		config.WithFleetSize(func() int { return len(gossip.VMs()) }))
 	return h.syncer
 }
--- a/internal/daemon/wire.go
+++ b/internal/daemon/wire.go
@@ -46,7 +46,7 @@
 		newWeightUpdater,
 		newMover,
 		newProvisioner,
-		newCloser,
+		newReporter,
 		newController,
 		newMeter,
 		newEntry,
--- a/internal/daemon/wire_gen.go
+++ b/internal/daemon/wire_gen.go
@@ -54,8 +54,8 @@
 	updater := newWeightUpdater(s, engineClient, recorder)
 	mover := newMover(engineClient, recorder)
 	provisioner := newProvisioner(s, client, recorder)
-	closer := newCloser(s, client, recorder, gossip, view)
-	controller := newController(s, manager, client, engineClient, view, directory, updater, mover, provisioner, closer, daemonHooks)
+	reporter := newReporter(s, client, recorder, gossip, view)
+	controller := newController(s, manager, client, engineClient, view, directory, updater, mover, provisioner, reporter, daemonHooks)
 	poller := newPoller(engineClient, loads, scheduler)
 	daemon := &Daemon{
 		settings:   s,
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -84,8 +84,8 @@
 	if borrowed && !hasSpareCapacity(u, report, now) {
 		return candidate{}, false
 	}
-	standing := c.Health.State(u.ID, now)
-	switch standing {
+	state := c.Health.State(u.ID, now)
+	switch state {
 	case upstream.Ejected:
 		return candidate{}, false
 	case upstream.Probing:
@@ -102,7 +102,7 @@
 		free:       limit - inFlight,
 		own:        !borrowed,
 		sameDomain: u.FailureDomain == c.FailureDomain,
-		probe:      standing == upstream.Probing,
+		probe:      state == upstream.Probing,
 		load:       expectedLoad(u, inFlight, report, now),
 	}, true
 }
--- a/internal/entry/auth.go
+++ b/internal/entry/auth.go
@@ -141,7 +141,7 @@
 	ctx, end := s.sessions.begin(r.Request.Context(), c.key.ID)
 	defer end()
 	// The key may have been withdrawn after it was checked and before the
-	// session began. Revoke did not see the session then.
+	// session began. CancelWithdrawnKeys did not see the session then.
 	if s.View.Load().Keys[c.key.ID].Withdrawn {
 		return fault.WithExecution(errors.WithStack(&fault.KeyWithdrawn{KeyID: c.key.ID}), fault.NotRun)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -44,7 +44,7 @@
 
 // UsageRecorder counts what an account used.
 type UsageRecorder interface {
-	Add(account contract.Account, figures usage.Counts)
+	Add(account contract.Account, counts usage.Counts)
 }
 
 // Config holds the dependencies and settings of a Server.
@@ -78,7 +78,7 @@
 	open     openCalls
 	// draining is set by Drain.
 	draining atomic.Bool
-	// refusing is set by Refuse.
+	// refusing is set by RefuseNewRequests.
 	refusing atomic.Bool
 	// detached counts the calls with an idempotency key, which continue after
 	// their callers disconnect.
@@ -98,9 +98,9 @@
 }
 
 // Drain makes /readyz answer 503, so that the load balancer stops sending
-// callers to this VM. New requests are still served until Refuse is called: the
-// load balancer polls /readyz only at intervals, and the callers it sends in
-// the meantime must not fail because of a planned stop.
+// callers to this VM. New requests are still served until RefuseNewRequests is
+// called: the load balancer polls /readyz only at intervals, and the callers it
+// sends in the meantime must not fail because of a planned stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // RefuseNewRequests ends the notice period that Drain started: new requests are refused as
--- a/internal/entry/harness_test.go
+++ b/internal/entry/harness_test.go
@@ -50,19 +50,19 @@
 // harness runs one Server with its dependencies; the upstreams and the store
 // are fakes.
 type harness struct {
-	t          testing.TB
-	server     *Server
-	view       *contract.View
-	ager       *fakeAger
-	tables     *faultyTables
-	dispatcher *fakeDispatcher
-	steps      *fakeSteps
-	registry   *prometheus.Registry
-	events     *event.Recorder
-	log        *logBuffer
-	http       *httptest.Server
-	serveOnce  sync.Once
-	metered    []*meteredUpstream
+	t                testing.TB
+	server           *Server
+	view             *contract.View
+	configurationAge *fakeConfigurationAge
+	tables           *faultyTables
+	dispatcher       *fakeDispatcher
+	steps            *fakeSteps
+	registry         *prometheus.Registry
+	events           *event.Recorder
+	log              *logBuffer
+	http             *httptest.Server
+	serveOnce        sync.Once
+	metered          []*meteredUpstream
 }
 
 // upstreams returns the fake upstreams added so far.
@@ -86,7 +86,7 @@
 func newHarness(t testing.TB, options harnessOptions) *harness {
 	t.Helper()
 	h := &harness{
-		t: t, view: contract.NewView(), ager: &fakeAger{}, dispatcher: &fakeDispatcher{}, steps: &fakeSteps{},
+		t: t, view: contract.NewView(), configurationAge: &fakeConfigurationAge{}, dispatcher: &fakeDispatcher{}, steps: &fakeSteps{},
 		tables:   &faultyTables{Tables: memtables.NewTables()},
 		registry: prometheus.NewRegistry(), log: &logBuffer{},
 	}
@@ -104,7 +104,7 @@
 		options.runner = generate.NewLocal(h.view, h.dispatcher, engine.NewClientWithTimeouts(options.timeouts), retries, h.events)
 	}
 	h.server = NewServer(Config{
-		View: h.view, ConfigurationAge: h.ager, Runner: options.runner, Dispatcher: h.dispatcher, Retries: retries,
+		View: h.view, ConfigurationAge: h.configurationAge, Runner: options.runner, Dispatcher: h.dispatcher, Retries: retries,
 		Services: service.NewClient(), Claims: request.NewClaims(h.tables), Steps: h.steps,
 		Usage: discardUsage{}, Events: h.events, Registry: h.registry, WriteTimeout: options.writeTimeout,
 		BodyTimeout: options.bodyTimeout,
@@ -215,16 +215,16 @@
 	return `{"model":"berry-1","prompt":"When?","stream":true,"maxTokens":` + maxTokens + `}`
 }
 
-// fakeAger is an Ager with an adjustable age.
-type fakeAger struct {
+// fakeConfigurationAge is a ConfigurationAge with an adjustable age.
+type fakeConfigurationAge struct {
 	age atomic.Int64
 	// hook runs on each call of Age, that is after the key was checked and
 	// before the session of the request begins.
 	hook func()
 }
 
-// Age implements Ager.
-func (a *fakeAger) Age() time.Duration {
+// Age implements ConfigurationAge.
+func (a *fakeConfigurationAge) Age() time.Duration {
 	if a.hook != nil {
 		a.hook()
 	}
--- a/internal/entry/keys_test.go
+++ b/internal/entry/keys_test.go
@@ -181,12 +181,12 @@
 }
 
 // A key is withdrawn after a request was authenticated and before its session
-// began. Revoke does not see the session, so without a second check the request
-// would run to completion.
+// began. CancelWithdrawnKeys does not see the session, so without a second check
+// the request would run to completion.
 func TestKeyWithdrawnBetweenCheckAndSession(t *testing.T) {
 	h := newHarness(t, harnessOptions{})
 	m := h.engine("e1", scripted(func(s *script) { s.complete() }))
-	h.ager.hook = func() { h.withdraw("k1") }
+	h.configurationAge.hook = func() { h.withdraw("k1") }
 	got := h.call(http.MethodPost, "/v1/generate", generateText)
 	if got.refusal.Code != fault.CodeKeyWithdrawn || got.refusal.Execution != fault.NotRun || m.bytes.Load() != 0 {
 		t.Errorf("got %d %s, the engine %d bytes", got.status, got.body, m.bytes.Load())
--- a/internal/entry/refusal_execution_test.go
+++ b/internal/entry/refusal_execution_test.go
@@ -136,7 +136,7 @@
 		{name: "withdrawn key", code: fault.CodeKeyWithdrawn, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Bearer "+withdrawnKey))},
 		{name: "no contract", code: fault.CodeAccountUnknown, want: fault.NotRun, call: generateCall(withHeader("Authorization", "Bearer "+noContractKey))},
 		{name: "configuration stale", code: fault.CodeConfigurationStale, want: fault.NotRun,
-			arrange: func(h *harness) { h.ager.age.Store(int64(time.Hour)) }, call: generateCall()},
+			arrange: func(h *harness) { h.configurationAge.age.Store(int64(time.Hour)) }, call: generateCall()},
 		{name: "body too large", code: fault.CodeBodyTooLarge, want: fault.NotRun, call: bodyCall(strings.Repeat("x", 5000))},
 		{name: "key in the body", code: fault.CodeKeyExposed, want: fault.NotRun, call: bodyCall(`{"prompt":"` + testSecret + `"}`)},
 		{name: "body is not JSON", code: fault.CodeBadRequest, want: fault.NotRun, call: bodyCall(`{"model":`)},
--- a/internal/entry/refusal_timing_test.go
+++ b/internal/entry/refusal_timing_test.go
@@ -69,7 +69,7 @@
 	{name: "service call, key withdrawn in the queue", path: "/v1/services/desk/x", body: "tree", code: fault.CodeKeyWithdrawn, wantAfter: 4 * time.Second,
 		arrange: withdrawKeyAfter(4 * time.Second)},
 	{name: "configuration stale", path: "/v1/generate", body: generateText, code: fault.CodeConfigurationStale, wantAfter: 0,
-		arrange: func(h *harness) { h.ager.age.Store(int64(time.Hour)) }},
+		arrange: func(h *harness) { h.configurationAge.age.Store(int64(time.Hour)) }},
 	{name: "draining", path: "/v1/generate", body: generateText, code: fault.CodeDraining, wantAfter: 0,
 		arrange: func(h *harness) { h.server.RefuseNewRequests() }},
 	{name: "store down", path: "/v1/services/desk/x", body: "tree", code: fault.CodeStoreUnavailable, wantAfter: 0,
--- a/internal/lease/machine_test.go
+++ b/internal/lease/statemachine_test.go
@@ -179,7 +179,7 @@
 
 // Two nodes contend, renew, lose replies, pause, release and restart in any order. A
 // node whose guard passes must be the only holder.
-func TestLeaseMachine(t *testing.T) {
+func TestLeaseStateMachine(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(4)
 	parameters.MinSuccessfulTests = 2000
 	parameters.MaxSize = 80
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -71,10 +71,10 @@
 	VMs           int    `json:"vms"`
 	// Responsive counts the VMs that recently reported their revision; see unresponsiveAfter.
 	Responsive int `json:"heard"`
-	// Revision is the lowest revision in force on the VMs counted by Heard.
+	// Revision is the lowest revision in force on the VMs counted by Responsive.
 	Revision  contract.Revision `json:"revision"`
 	Upstreams int               `json:"upstreams"`
-	// CutOff is true if Heard is 0.
+	// CutOff is true if Responsive is 0.
 	CutOff bool `json:"cutOff"`
 }
 
@@ -102,16 +102,16 @@
 // between VMs.
 const unresponsiveAfter = 10 * time.Second
 
-// heardRecently reports whether the VM's latest report is not older than
+// isResponsive reports whether the VM's latest report is not older than
 // unresponsiveAfter.
-func (v VMRevision) heardRecently() bool {
+func (v VMRevision) isResponsive() bool {
 	return v.Known && v.AgeMillis <= unresponsiveAfter.Milliseconds()
 }
 
 // cutOff reports whether no VM of a failure domain has recently reported its revision.
 func cutOff(vms []VMRevision, domain string) bool {
 	for _, vm := range vms {
-		if vm.FailureDomain == domain && vm.heardRecently() {
+		if vm.FailureDomain == domain && vm.isResponsive() {
 			return false
 		}
 	}
@@ -180,7 +180,7 @@
 	for _, vm := range vms {
 		d := find(vm.FailureDomain)
 		d.VMs++
-		if !vm.heardRecently() {
+		if !vm.isResponsive() {
 			continue
 		}
 		d.Responsive++
--- a/internal/operator/history.go
+++ b/internal/operator/history.go
@@ -36,7 +36,7 @@
 	InForce InForce          `json:"inForce"`
 }
 
-// Revisions holds the times when an edit came into force on the VMs that are known now.
+// InForce holds the times when an edit came into force on the VMs that are known now.
 type InForce struct {
 	// Everywhere is when the last VM applied the edit; nil unless the time is known for
 	// every VM.
--- a/internal/processtest/tool_test.go
+++ b/internal/processtest/tool_test.go
@@ -136,7 +136,7 @@
 		t.Errorf("explain returns %+v", explanation)
 	}
 	text := f.tool("explain", answer.RequestID)
-	for _, part := range []string{"the caller's key was accepted", "at upstream " + killed.ID + " failed", "the caller got the whole answer"} {
+	for _, part := range []string{"the caller's key was accepted", "at upstream " + killed.ID + " failed", "the caller received the complete answer"} {
 		if !strings.Contains(text, part) {
 			t.Errorf("the output of explain doesn't contain %q:\n%s", part, text)
 		}
--- a/internal/rollout/harness_test.go
+++ b/internal/rollout/harness_test.go
@@ -248,11 +248,11 @@
 }
 
 // Add implements UsageRecorder.
-func (c *cluster) Add(_ contract.Account, figures usage.Counts) {
+func (c *cluster) Add(_ contract.Account, counts usage.Counts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.used.Requests += figures.Requests
-	c.used.Tokens += figures.Tokens
+	c.used.Requests += counts.Requests
+	c.used.Tokens += counts.Tokens
 }
 
 // written returns how many rows the VMs wrote.
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -38,7 +38,7 @@
 
 // UsageRecorder records the usage of accounts.
 type UsageRecorder interface {
-	Add(account contract.Account, figures usage.Counts)
+	Add(account contract.Account, counts usage.Counts)
 }
 
 // Config configures a Manager.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,50 +23,51 @@
 type Daemon struct {
 	// VM names this VM; unique in the fleet.
 	VM string `json:"vm" validate:"required,max=64"`
-	// FailureDomain names the failure domain that the VM stands in.
+	// FailureDomain names the failure domain of the VM.
 	FailureDomain string `json:"failureDomain" validate:"required,max=64"`
 	// Region names the region of the failure domain.
 	Region string `json:"region" validate:"required,max=64"`
-	// CallerAddress serves callers' HTTP.
+	// CallerAddress is the address on which callers' HTTP requests are served.
 	CallerAddress string `json:"callerAddress" validate:"required,tcp_addr"`
-	// OperatorAddress serves operators' HTTP.
+	// OperatorAddress is the address on which operators' HTTP requests are served.
 	OperatorAddress string `json:"operatorAddress" validate:"required,tcp_addr"`
-	// PeerAddress serves the drpc of the other VMs.
+	// PeerAddress is the address on which drpc calls of the other VMs are served.
 	PeerAddress string `json:"peerAddress" validate:"required,tcp_addr"`
-	// PlatformURL is the base of the platform's HTTP interfaces.
+	// PlatformURL is the base URL of the platform's HTTP interfaces.
 	PlatformURL string `json:"platformUrl" validate:"required,http_url"`
 	// OperatorTokenSHA256 is the hex SHA-256 of the operators' credential.
 	OperatorTokenSHA256 string `json:"operatorTokenSha256" validate:"required,hexadecimal,len=64"`
-	// Seeds are peer addresses to ask for the configuration while the store
-	// is down and the VM list can't be read.
+	// Seeds are the addresses of peers that are asked for the configuration while
+	// the store is unavailable and the VM list can't be read.
 	Seeds []string `json:"seeds" validate:"dive,tcp_addr"`
 
 	// LeaseTermMillis is the term of every lease. Default 10000.
 	LeaseTermMillis int `json:"leaseTermMillis" validate:"min=100,max=120000"`
-	// DigestPeriodMillis is the period of the exchange with a peer. Default 1000.
+	// DigestPeriodMillis is the interval of the exchange of digests with a peer. Default 1000.
 	DigestPeriodMillis int `json:"digestPeriodMillis" validate:"min=20,max=60000"`
-	// RevisionPollMillis is the shortest period of the poll of the
+	// RevisionPollMillis is the shortest interval between polls of the
 	// configuration's revision. Default 1000.
 	RevisionPollMillis int `json:"revisionPollMillis" validate:"min=20,max=60000"`
 	// UsageWindowSeconds is the length of a usage window. Default 300.
 	UsageWindowSeconds int `json:"usageWindowSeconds" validate:"min=1,max=86400"`
-	// UsageFlushMillis is the shortest period of the usage flush. Default 1000.
+	// UsageFlushMillis is the shortest flush interval of usage totals. Default 1000.
 	UsageFlushMillis int `json:"usageFlushMillis" validate:"min=20,max=60000"`
-	// OrderTimeoutMillis bounds one order to an engine. A VM that takes over a
-	// failure domain waits as long before its first order. Default 10000.
+	// OrderTimeoutMillis is the timeout of one order to an engine. A VM that takes
+	// over a failure domain waits as long before its first order. Default 10000.
 	OrderTimeoutMillis int `json:"orderTimeoutMillis" validate:"min=100,max=60000"`
-	// WeightLoadsPerSecond bounds how many loads of weights a failure domain
-	// starts in a second, for the weight store's sake. Default 20.
+	// WeightLoadsPerSecond is the maximum number of weight loads that start in a
+	// failure domain per second. It limits the load on the weight store. Default 20.
 	WeightLoadsPerSecond float64 `json:"weightLoadsPerSecond" validate:"gt=0,max=10000"`
-	// DrainSeconds bounds a graceful shutdown. Default 600.
+	// DrainSeconds is the timeout of a graceful shutdown. Default 600.
 	DrainSeconds int `json:"drainSeconds" validate:"min=1,max=7200"`
-	// EventCapacity is the number of events kept for the time line. Default 4096.
+	// EventCapacity is the number of latest events that the ring buffer holds for
+	// the timeline. Default 4096.
 	EventCapacity int `json:"eventCapacity" validate:"min=64,max=1000000"`
 	// LogLevel is the lowest level that is logged. Default "info".
 	LogLevel string `json:"logLevel" validate:"oneof=debug info warn error"`
 	// DispatchPolicy chooses how work is dispatched: "fair" shares the engines
 	// between accounts and VMs. The others are for measurements only: "queue"
-	// leaves out the VMs' parts of the engines, "fifo" is round robin in the
+	// ignores the VMs' quotas of the engines' slots, "fifo" is round robin in the
 	// order of arrival. Default "fair".
 	DispatchPolicy string `json:"dispatchPolicy" validate:"oneof=fair queue fifo"`
 }
@@ -242,8 +243,8 @@
 	return faults
 }
 
-// allowedTexts holds the descriptions of validation rules by tag; %s is the parameter.
-var allowedTexts = map[string]string{
+// ruleDescriptions holds the descriptions of validation rules by tag; %s is the parameter.
+var ruleDescriptions = map[string]string{
 	"required":    "a value",
 	"min":         "at least %s",
 	"max":         "at most %s",
@@ -256,7 +257,7 @@
 
 // DescribeRule describes the values that a validation rule allows.
 func DescribeRule(tag, parameter string) string {
-	text, ok := allowedTexts[tag]
+	text, ok := ruleDescriptions[tag]
 	if !ok {
 		return strings.TrimSpace(tag + " " + parameter)
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -170,8 +170,8 @@
 
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, request engine.CompletionRequest) {
 	path := r.URL.Path
-	breakFault, breaks := e.faults.consume(path, FaultTruncate)
-	_, misreports := e.faults.consume(path, FaultOmitVersion)
+	truncateFault, truncates := e.faults.consume(path, FaultTruncate)
+	_, omitsVersion := e.faults.consume(path, FaultOmitVersion)
 	if !e.sleep(r, e.prefill(request)) {
 		return
 	}
@@ -179,13 +179,13 @@
 	total := answerLength(request)
 	for offset := len(request.Resume); offset < total; {
 		end := min(offset+tokensPerChunk, total)
-		if breaks && offset-len(request.Resume) >= breakFault.Tokens {
+		if truncates && offset-len(request.Resume) >= truncateFault.Tokens {
 			panic(http.ErrAbortHandler)
 		}
 		if !e.sleep(r, time.Duration(end-offset)*e.tokenTime()) {
 			return
 		}
-		e.send(w, e.chunk(request, offset, end, total, misreports))
+		e.send(w, e.chunk(request, offset, end, total, omitsVersion))
 		offset = end
 	}
 	_, _ = fmt.Fprintf(w, "data: %s\n\n", engine.DoneEvent)
@@ -236,7 +236,7 @@
 	return time.Duration(words) * e.config.PrefillTime
 }
 
-func (e *Engine) chunk(request engine.CompletionRequest, offset, end, total int, misreports bool) engine.CompletionChunk {
+func (e *Engine) chunk(request engine.CompletionRequest, offset, end, total int, omitsVersion bool) engine.CompletionChunk {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Tokens += int64(end - offset)
@@ -254,7 +254,7 @@
 		WeightVersion: e.version,
 		Incarnation:   e.incarnation,
 	}
-	if misreports {
+	if omitsVersion {
 		chunk.WeightVersion = 0
 	}
 	return chunk
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -75,57 +75,57 @@
 
 // NewLoadGenerator returns a load generator for one run.
 func NewLoadGenerator(config LoadConfig) *LoadGenerator {
-	l := &LoadGenerator{
+	g := &LoadGenerator{
 		config: config,
 		http:   &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, IdleConnTimeout: time.Minute}},
 	}
 	for _, a := range config.Plan.Accounts {
-		l.accounts = append(l.accounts, &accountLoad{
+		g.accounts = append(g.accounts, &accountLoad{
 			account:    a,
 			result:     AccountResult{Name: a.Name, Share: a.Share},
 			firstToken: hdrhistogram.New(1, maxRecordedMicros, significantDigits),
 			complete:   hdrhistogram.New(1, maxRecordedMicros, significantDigits),
 		})
 	}
-	duration := l.duration() + config.Drain
-	l.served = make([]atomic.Int64, int(duration/bucketDuration)+1)
-	return l
+	duration := g.duration() + config.Drain
+	g.served = make([]atomic.Int64, int(duration/bucketDuration)+1)
+	return g
 }
 
 // duration returns how long the plan sends requests.
-func (l *LoadGenerator) duration() time.Duration {
-	return time.Duration(l.config.Plan.Seconds * float64(time.Second))
+func (g *LoadGenerator) duration() time.Duration {
+	return time.Duration(g.config.Plan.Seconds * float64(time.Second))
 }
 
 // Run sends the plan's requests and returns the results.
-func (l *LoadGenerator) Run(ctx context.Context) (LoadResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, l.duration()+l.config.Drain)
+func (g *LoadGenerator) Run(ctx context.Context) (LoadResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, g.duration()+g.config.Drain)
 	defer cancel()
-	poller := newEnginePoller(l.config.Engines)
-	l.started = time.Now()
-	pollCtx, stopPolling := context.WithTimeout(ctx, l.duration())
+	poller := newEnginePoller(g.config.Engines)
+	g.started = time.Now()
+	pollCtx, stopPolling := context.WithTimeout(ctx, g.duration())
 	defer stopPolling()
 	var polling sync.WaitGroup
 	polling.Go(func() { poller.run(pollCtx) })
 	var senders sync.WaitGroup
-	for _, a := range l.accounts {
-		senders.Go(func() { l.send(ctx, a) })
+	for _, a := range g.accounts {
+		senders.Go(func() { g.send(ctx, a) })
 	}
 	senders.Wait()
 	polling.Wait()
-	return l.summarize(poller), nil
+	return g.summarize(poller), nil
 }
 
 // send sends each of the account's requests when it is due, without waiting for
 // earlier answers. It returns when all requests have ended.
-func (l *LoadGenerator) send(ctx context.Context, a *accountLoad) {
+func (g *LoadGenerator) send(ctx context.Context, a *accountLoad) {
 	var open sync.WaitGroup
 	defer open.Wait()
-	for _, r := range a.account.generateRequests(l.duration(), l.config.Plan.Seed) {
+	for _, r := range a.account.generateRequests(g.duration(), g.config.Plan.Seed) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(l.started.Add(r.after))):
+		case <-time.After(time.Until(g.started.Add(r.after))):
 		}
 		a.noteOffered(r)
 		if a.outstanding.Load() >= maxOutstanding {
@@ -135,7 +135,7 @@
 		a.outstanding.Add(1)
 		open.Go(func() {
 			defer a.outstanding.Add(-1)
-			l.sendRequest(ctx, a, r)
+			g.sendRequest(ctx, a, r)
 		})
 	}
 }
@@ -156,12 +156,12 @@
 // sendRequest sends a request and reads its answer. Latencies count from the time
 // at which the request was due, not from when it was sent. Otherwise a slow load
 // generator would hide the latency of a slow system (coordinated omission).
-func (l *LoadGenerator) sendRequest(ctx context.Context, a *accountLoad, r loadRequest) {
+func (g *LoadGenerator) sendRequest(ctx context.Context, a *accountLoad, r loadRequest) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := l.sendToAnyEntry(ctx, a, r)
+	response, err := g.sendToAnyEntry(ctx, a, r)
 	if err != nil {
-		l.noteIncomplete(ctx, a, r, 0)
+		g.noteIncomplete(ctx, a, r, 0)
 		return
 	}
 	defer response.Body.Close()
@@ -174,8 +174,8 @@
 		a.count(&a.result.Failed)
 		return
 	}
-	if tokens, complete := l.readStream(a, r, response); !complete {
-		l.noteIncomplete(ctx, a, r, tokens)
+	if tokens, complete := g.readStream(a, r, response); !complete {
+		g.noteIncomplete(ctx, a, r, tokens)
 	}
 }
 
@@ -183,22 +183,22 @@
 // before the first token, the time waited so far is recorded as the latency of
 // the first token. Otherwise requests that are never served would improve the
 // latencies.
-func (l *LoadGenerator) noteIncomplete(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
+func (g *LoadGenerator) noteIncomplete(ctx context.Context, a *accountLoad, r loadRequest, tokens int) {
 	if ctx.Err() == nil {
 		a.count(&a.result.Failed)
 		return
 	}
 	a.count(&a.result.Unfinished)
 	if tokens == 0 {
-		a.record(a.firstToken, l.sinceDue(r))
+		a.record(a.firstToken, g.sinceDue(r))
 	}
 }
 
 // sendToAnyEntry sends the request to the entries one after the other until one
 // responds. Successive requests start at successive entries.
-func (l *LoadGenerator) sendToAnyEntry(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
+func (g *LoadGenerator) sendToAnyEntry(ctx context.Context, a *accountLoad, r loadRequest) (*http.Response, error) {
 	body, err := json.Marshal(entry.GenerateBody{
-		Model:          l.config.Model,
+		Model:          g.config.Model,
 		Prompt:         r.prompt,
 		MaxTokens:      r.maxTokens,
 		Seed:           r.seed,
@@ -209,11 +209,11 @@
 	if err != nil {
 		return nil, errors.WithStack(&fault.Internal{Where: "load body"})
 	}
-	entries := l.config.Entries
+	entries := g.config.Entries
 	if a.account.Entries > 0 {
 		entries = entries[:min(len(entries), a.account.Entries)]
 	}
-	start := l.next.Add(1)
+	start := g.next.Add(1)
 	for i := range uint64(len(entries)) {
 		address := entries[(start+i)%uint64(len(entries))]
 		request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/generate", bytes.NewReader(body))
@@ -222,7 +222,7 @@
 		}
 		request.Header.Set("Authorization", "Bearer "+a.account.Key)
 		request.Header.Set("Content-Type", "application/json")
-		response, err := l.http.Do(request)
+		response, err := g.http.Do(request)
 		if err == nil {
 			return response, nil
 		}
@@ -232,7 +232,7 @@
 
 // readStream reads a stream to its end. It returns the number of tokens and
 // whether the answer was complete.
-func (l *LoadGenerator) readStream(a *accountLoad, r loadRequest, response *http.Response) (tokens int, complete bool) {
+func (g *LoadGenerator) readStream(a *accountLoad, r loadRequest, response *http.Response) (tokens int, complete bool) {
 	for e, err := range sse.Read(response.Body, &sse.ReadConfig{MaxEventSize: maxStreamEvent}) {
 		if err != nil {
 			return tokens, false
@@ -244,12 +244,12 @@
 				return tokens, false
 			}
 			if tokens == 0 {
-				a.record(a.firstToken, l.sinceDue(r))
+				a.record(a.firstToken, g.sinceDue(r))
 			}
 			tokens += len(chunk.Tokens)
-			l.noteTokens(a, len(chunk.Tokens))
+			g.noteTokens(a, len(chunk.Tokens))
 		case "answer":
-			a.record(a.complete, l.sinceDue(r))
+			a.record(a.complete, g.sinceDue(r))
 			a.count(&a.result.Answered)
 			return tokens, tokens == AnswerLength(r.prompt, r.seed, r.maxTokens)
 		default:
@@ -260,22 +260,22 @@
 }
 
 // sinceDue returns the time since a request was due.
-func (l *LoadGenerator) sinceDue(r loadRequest) time.Duration {
-	return time.Since(l.started.Add(r.after))
+func (g *LoadGenerator) sinceDue(r loadRequest) time.Duration {
+	return time.Since(g.started.Add(r.after))
 }
 
 // noteTokens counts received tokens in the timeline. They also count for the
 // account if they arrive while requests are sent; later the offered load has
 // ended.
-func (l *LoadGenerator) noteTokens(a *accountLoad, tokens int) {
-	now := time.Since(l.started)
-	if now < l.duration() {
+func (g *LoadGenerator) noteTokens(a *accountLoad, tokens int) {
+	now := time.Since(g.started)
+	if now < g.duration() {
 		a.mu.Lock()
 		a.result.Tokens += int64(tokens)
 		a.mu.Unlock()
 	}
-	if bucket := int(now / bucketDuration); bucket < len(l.served) {
-		l.served[bucket].Add(int64(tokens))
+	if bucket := int(now / bucketDuration); bucket < len(g.served) {
+		g.served[bucket].Add(int64(tokens))
 	}
 }
 
--- a/internal/standin/load_test.go
+++ b/internal/standin/load_test.go
@@ -23,13 +23,13 @@
 // Capacity that an account does not request is divided among the other accounts
 // by their shares. An account that requests more than its share is entitled only
 // to its share of the remaining capacity.
-func TestOverShareUsesMaxMinFairness(t *testing.T) {
+func TestShareRatioUsesMaxMinFairness(t *testing.T) {
 	accounts := []AccountResult{
 		{Name: "flood", Share: 100, OfferedTokens: 10000, Tokens: 800},
 		{Name: "small", Share: 100, OfferedTokens: 100, Tokens: 50},
 		{Name: "large", Share: 200, OfferedTokens: 5000, Tokens: 150},
 	}
-	worst := compareWithShares(accounts)
+	lowest := compareWithShares(accounts)
 	// Of 1000 tokens, small is entitled to the 100 that it requests, flood to 300
 	// and large to 600.
 	for i, want := range []float64{800.0 / 300, 0.5, 0.25} {
@@ -37,8 +37,8 @@
 			t.Errorf("%s got %.3f of its share, expected %.3f", accounts[i].Name, accounts[i].ShareRatio, want)
 		}
 	}
-	if worst != accounts[2].ShareRatio {
-		t.Errorf("worst share is %.3f", worst)
+	if lowest != accounts[2].ShareRatio {
+		t.Errorf("lowest share ratio is %.3f", lowest)
 	}
 }
 
--- a/internal/standin/loadresult.go
+++ b/internal/standin/loadresult.go
@@ -52,8 +52,9 @@
 	Name string `json:"name"`
 	// RecoverySeconds is the time from the fault until the first second in which
 	// the service delivers at least 80 % of the expected tokens. These are the
-	// tokens per second before the first fault, scaled by LoadFault.Keeps. The
-	// value is -1 if the service did not recover before the next fault or the end.
+	// tokens per second before the first fault, scaled by
+	// LoadFault.RemainingPercent. The value is -1 if the service did not recover
+	// before the next fault or the end.
 	RecoverySeconds float64 `json:"recoverySeconds"`
 }
 
@@ -77,9 +78,9 @@
 	ServedTokens []int64 `json:"servedTokens"`
 }
 
-func (l *LoadGenerator) summarize(poller *enginePoller) LoadResult {
+func (g *LoadGenerator) summarize(poller *enginePoller) LoadResult {
 	var result LoadResult
-	for _, a := range l.accounts {
+	for _, a := range g.accounts {
 		a.mu.Lock()
 		r := a.result
 		r.FirstP50Millis = millisAt(a.firstToken, 50)
@@ -91,10 +92,10 @@
 	}
 	result.LowestShareRatio = compareWithShares(result.Accounts)
 	result.EngineUse, result.EngineQueue, result.CacheHits = poller.averages()
-	for i := range l.served {
-		result.ServedTokens = append(result.ServedTokens, l.served[i].Load())
+	for i := range g.served {
+		result.ServedTokens = append(result.ServedTokens, g.served[i].Load())
 	}
-	result.Faults = recoveries(l.config.Plan, result.ServedTokens)
+	result.Faults = recoveries(g.config.Plan, result.ServedTokens)
 	return result
 }
 
@@ -140,17 +141,17 @@
 		remaining -= entitled[capped]
 		uncapped[capped] = false
 	}
-	worst := -1.0
+	lowest := -1.0
 	for i := range accounts {
 		if entitled[i] <= 0 {
 			continue
 		}
 		accounts[i].ShareRatio = float64(accounts[i].Tokens) / entitled[i]
-		if worst < 0 || accounts[i].ShareRatio < worst {
-			worst = accounts[i].ShareRatio
+		if lowest < 0 || accounts[i].ShareRatio < lowest {
+			lowest = accounts[i].ShareRatio
 		}
 	}
-	return worst
+	return lowest
 }
 
 const (
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -51,7 +51,7 @@
 		return
 	}
 	answer := ServiceAnswer{Method: r.Method, Path: r.URL.Path, Body: string(body), Charge: s.count(r, string(body))}
-	if _, breaks := s.faults.consume(r.URL.Path, FaultTruncate); breaks {
+	if _, truncates := s.faults.consume(r.URL.Path, FaultTruncate); truncates {
 		w.Header().Set("Content-Length", "4096")
 		writeJSON(w, http.StatusOK, answer)
 		panic(http.ErrAbortHandler)
--- a/internal/upstream/loads.go
+++ b/internal/upstream/loads.go
@@ -18,8 +18,8 @@
 	MissedPolls int
 }
 
-// weightDecayTime is the age at which a report has lost two thirds of its weight.
-const weightDecayTime = 2 * time.Second
+// confidenceDecayTime is the age at which the confidence in a report has fallen to a third.
+const confidenceDecayTime = 2 * time.Second
 
 // Confidence returns the factor, from 1 down to 0, with which a report of this age is to be
 // taken into account. It is 0 if the engine has not reported yet, or if the time of the
@@ -29,7 +29,7 @@
 	if r.At.IsZero() || age < 0 {
 		return 0
 	}
-	return float64(weightDecayTime) / float64(weightDecayTime+2*age)
+	return float64(confidenceDecayTime) / float64(confidenceDecayTime+2*age)
 }
 
 // Loads holds the latest load report of each engine. It is safe for concurrent use;
--- a/internal/upstream/loads_test.go
+++ b/internal/upstream/loads_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(4 * time.Second)
 		report, ok := loads.Get("e1")
 		if !ok || report.Running != 3 || report.MissedPolls < 3 {
-			t.Fatalf("after 4s without an answer: report %+v, want the last one, with at least 3 misses", report)
+			t.Fatalf("after 4s without an answer: report %+v, want the last one, with at least 3 missed polls", report)
 		}
 		if age := time.Since(report.At); age < 3*time.Second {
 			t.Errorf("the last report has an age of %v, want at least 3s", age)
@@ -48,7 +48,7 @@
 		e.down.Store(false)
 		time.Sleep(2 * time.Second)
 		if report, _ := loads.Get("e1"); report.MissedPolls != 0 {
-			t.Errorf("%d misses after an answer, want 0", report.MissedPolls)
+			t.Errorf("%d missed polls after an answer, want 0", report.MissedPolls)
 		}
 	})
 }
--- a/internal/usage/matrix_test.go
+++ b/internal/usage/matrix_test.go
@@ -29,8 +29,8 @@
 	shards = 6
 )
 
-// closerStarts holds the delay before the start of each closer.
-var closerStarts = []time.Duration{0, 700 * time.Millisecond, time.Minute}
+// reporterStarts holds the delay before the start of each reporter.
+var reporterStarts = []time.Duration{0, 700 * time.Millisecond, time.Minute}
 
 // scenario is one case of the matrix.
 type scenario struct {
@@ -92,14 +92,14 @@
 	for i := range s.vms {
 		running.Go(func() { s.serve(i) })
 	}
-	// The first two closers run at the same time, as if both held the lease. The third
+	// The first two reporters run at the same time, as if both held the lease. The third
 	// starts later, like a new holder.
 	for i, name := range []string{"closer-1", "closer-2", "closer-3"} {
 		process := s.cluster.Start(ctx, name)
-		closer := newCloser(process, processBilling{process: process, billing: s.billing}, s.listed)
+		reporter := newReporter(process, processBilling{process: process, billing: s.billing}, s.listed)
 		running.Go(func() {
-			time.Sleep(closerStarts[i])
-			closer.Run(process.Context, fakeGuard(i+1), 2*time.Second)
+			time.Sleep(reporterStarts[i])
+			reporter.Run(process.Context, fakeGuard(i+1), 2*time.Second)
 		})
 	}
 	time.Sleep(servedWindows*windowLength + reportTime)
@@ -119,9 +119,9 @@
 		if process.Killed() {
 			break
 		}
-		f := Counts{Requests: 1, Tokens: int64(10 * (i + 1))}
-		meter.Add(berry, f)
-		s.used[i] = s.used[i].Add(f)
+		c := Counts{Requests: 1, Tokens: int64(10 * (i + 1))}
+		meter.Add(berry, c)
+		s.used[i] = s.used[i].Add(c)
 	}
 	stop()
 	flushing.Wait()
@@ -205,7 +205,7 @@
 	}
 }
 
-// Injects every kind of fault into every call that meters and closers make in a run without
+// Injects every kind of fault into every call that meters and reporters make in a run without
 // faults, one fault at a time and random pairs. Guards against bills that count a request
 // twice, lack one without being marked incomplete, or differ for the same window.
 func TestMatrixUsage(t *testing.T) {
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -16,7 +16,7 @@
 // the totals to the store. Usage is counted in the open window, the newest one that the VM
 // has opened. One transaction seals the open window and opens the next one. While the store
 // is unavailable the last window stays open, so that no usage is counted in a window without
-// a row, which the closer would not find.
+// a row, which the reporter would not find.
 type Meter struct {
 	tables      platformapi.Tables
 	events      *event.Recorder
@@ -78,10 +78,10 @@
 }
 
 // Add adds to the usage of an account.
-func (m *Meter) Add(account contract.Account, f Counts) {
+func (m *Meter) Add(account contract.Account, c Counts) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counts[account] = m.counts[account].Add(f)
+	m.counts[account] = m.counts[account].Add(c)
 	m.changed = true
 }
 
@@ -308,7 +308,7 @@
 	}
 }
 
-// subtractFinal leaves in the totals only the usage that a final row lacks. If the closer
+// subtractFinal leaves in the totals only the usage that a final row lacks. If the reporter
 // closed the row, that usage becomes a correction in the next window. If the VM sealed it
 // while it opened the next window, that window is adopted by the next open.
 func (m *Meter) subtractFinal(stored Row) {
--- a/internal/usage/closer.go
+++ b/internal/usage/reporter.go
@@ -14,21 +14,21 @@
 )
 
 // Reporter closes usage windows and sends their reports to billing. A lease allows one
-// closer at a time. If two run at once, the preconditions of their transactions still
-// keep them from inserting different reports.
+// reporter at a time. If two run at once, the preconditions of their transactions still
+// prevent them from inserting different reports.
 type Reporter struct {
 	tables  platformapi.Tables
 	billing platformapi.Billing
 	events  *event.Recorder
 	config  ReporterConfig
 	// observed holds, by row key, the version of each row that is not final and when this
-	// closer first saw that version.
+	// reporter first saw that version.
 	observed map[string]observation
 	// observedWindow is the window whose rows are in observed.
 	observedWindow Window
 }
 
-// ReporterConfig configures a Closer.
+// ReporterConfig configures a Reporter.
 type ReporterConfig struct {
 	// WindowLength is the length of a window.
 	WindowLength time.Duration
@@ -56,16 +56,16 @@
 	since   time.Duration
 }
 
-// NewReporter returns a closer.
+// NewReporter returns a reporter.
 func NewReporter(tables platformapi.Tables, billing platformapi.Billing, events *event.Recorder, config ReporterConfig) *Reporter {
 	return &Reporter{tables: tables, billing: billing, events: events, config: config, observed: make(map[string]observation)}
 }
 
 // Run closes and reports windows until ctx ends or the lease is lost. It waits for interval
 // after a failed step and when nothing is due.
-func (c *Reporter) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
+func (r *Reporter) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
 	for ctx.Err() == nil && guard.Check() == nil {
-		more, err := c.Advance(ctx, guard)
+		more, err := r.Advance(ctx, guard)
 		if more && err == nil {
 			continue
 		}
@@ -76,23 +76,23 @@
 	}
 }
 
-// Advance takes the next step for the oldest window that may not be reported yet: it raises the
-// cursor's floor, closes the window, sends its reports, or moves the cursor to the next
-// window. more is true if Step may be called again at once.
-func (c *Reporter) Advance(ctx context.Context, guard fence.Guard) (more bool, err error) {
-	cursor, cursorRow, err := readCursor(ctx, c.tables)
+// Advance takes the next step for the oldest window that may not be reported yet: it raises
+// the cursor's floor, closes the window, sends its reports, or moves the cursor to the
+// next window. more is true if Advance may be called again at once.
+func (r *Reporter) Advance(ctx context.Context, guard fence.Guard) (more bool, err error) {
+	cursor, cursorRow, err := readCursor(ctx, r.tables)
 	if err != nil {
 		return false, err
 	}
-	window, due, err := c.oldestUnreported(ctx, cursor)
+	window, due, err := r.oldestUnreported(ctx, cursor)
 	if err != nil || !due {
 		return false, err
 	}
 	if cursor.Floor <= window {
 		cursor.Floor = window + 1
-		return true, c.writeCursor(ctx, cursor, cursorRow)
+		return true, r.writeCursor(ctx, cursor, cursorRow)
 	}
-	windowRow, err := c.tables.Get(ctx, windowKey(window))
+	windowRow, err := r.tables.Get(ctx, windowKey(window))
 	if err != nil {
 		return false, err
 	}
@@ -104,18 +104,18 @@
 	}
 	switch state.Phase {
 	case "":
-		return c.close(ctx, window, windowRow)
+		return r.close(ctx, window, windowRow)
 	case phaseClosed:
-		return true, c.sendReports(ctx, guard, window, windowRow)
+		return true, r.sendReports(ctx, guard, window, windowRow)
 	default:
-		return true, c.passWindow(ctx, cursor, cursorRow, window)
+		return true, r.passWindow(ctx, cursor, cursorRow, window)
 	}
 }
 
 // oldestUnreported returns the oldest window with rows that may not be reported yet. due is
 // false if there is none, or if its end and the grace period have not passed.
-func (c *Reporter) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
-	first, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Next), 1)
+func (r *Reporter) oldestUnreported(ctx context.Context, cursor cursorValue) (w Window, due bool, err error) {
+	first, err := r.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Next), 1)
 	if err != nil || len(first) == 0 {
 		return 0, false, err
 	}
@@ -123,13 +123,13 @@
 	if !ok {
 		return 0, false, errors.WithStack(&fault.Internal{Where: "row " + first[0].Key})
 	}
-	end := time.Unix(0, int64(w+1)*int64(c.config.WindowLength))
-	return w, c.config.Now().After(end.Add(c.config.GracePeriod)), nil
+	end := time.Unix(0, int64(w+1)*int64(r.config.WindowLength))
+	return w, r.config.Now().After(end.Add(r.config.GracePeriod)), nil
 }
 
 // writeCursor replaces the cursor if its row has not changed since it was read.
-func (c *Reporter) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row) error {
-	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+func (r *Reporter) writeCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row) error {
+	return platformapi.CommitConfirmed(ctx, r.tables, platformapi.Txn{
 		Nonce:         platformapi.NewNonce(),
 		Preconditions: []platformapi.Precondition{{Key: cursorKey, Version: cursorRow.Version}},
 		Writes:        []platformapi.Write{{Key: cursorKey, Value: platformapi.EncodeValue(cursor)}},
@@ -138,14 +138,14 @@
 
 // passWindow moves the cursor to the window after the reported window w, and deletes a batch
 // of rows older than the retention.
-func (c *Reporter) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
+func (r *Reporter) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
 	cursor.Next = w + 1
-	swept, err := c.sweep(ctx, cursor)
+	swept, err := r.sweep(ctx, cursor)
 	if err != nil {
 		return err
 	}
 	cursor.Swept = swept
-	return c.writeCursor(ctx, cursor, cursorRow)
+	return r.writeCursor(ctx, cursor, cursorRow)
 }
 
 const (
@@ -159,9 +159,9 @@
 
 // sweep deletes a batch of rows older than the retention. It returns the oldest window
 // whose rows may still exist.
-func (c *Reporter) sweep(ctx context.Context, cursor cursorValue) (Window, error) {
-	end := cursor.Next - Window(retention/c.config.WindowLength)
-	rows, err := c.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Swept), sweepBatch)
+func (r *Reporter) sweep(ctx context.Context, cursor cursorValue) (Window, error) {
+	end := cursor.Next - Window(retention/r.config.WindowLength)
+	rows, err := r.tables.Scan(ctx, rowPrefix, vmRowsPrefix(cursor.Swept), sweepBatch)
 	if err != nil {
 		return cursor.Swept, err
 	}
@@ -176,7 +176,7 @@
 	if len(txn.Writes) == 0 {
 		return max(cursor.Swept, end), nil
 	}
-	return cursor.Swept, c.tables.Commit(ctx, txn)
+	return cursor.Swept, r.tables.Commit(ctx, txn)
 }
 
 // scanPageSize is the number of rows that one scan returns at most.
@@ -201,14 +201,14 @@
 
 // close inserts the reports once every row is final or its VM is considered dead. It
 // returns false while it has to wait for a VM.
-func (c *Reporter) close(ctx context.Context, w Window, windowRow platformapi.Row) (bool, error) {
-	stored, err := scan(ctx, c.tables, vmRowsPrefix(w))
+func (r *Reporter) close(ctx context.Context, w Window, windowRow platformapi.Row) (bool, error) {
+	stored, err := scan(ctx, r.tables, vmRowsPrefix(w))
 	if err != nil {
 		return false, err
 	}
-	if c.observedWindow != w {
-		c.observedWindow = w
-		c.observed = make(map[string]observation)
+	if r.observedWindow != w {
+		r.observedWindow = w
+		r.observed = make(map[string]observation)
 	}
 	rows := make([]Row, len(stored))
 	for i, row := range stored {
@@ -216,18 +216,18 @@
 			return false, err
 		}
 	}
-	if c.mustWait(stored, rows) {
+	if r.mustWait(stored, rows) {
 		return false, nil
 	}
-	return true, c.insertReports(ctx, w, windowRow, stored, rows)
+	return true, r.insertReports(ctx, w, windowRow, stored, rows)
 }
 
 // mustWait reports whether a row may still be sealed by its VM. It checks every row, since
 // isDead also records an observation.
-func (c *Reporter) mustWait(stored []platformapi.Row, rows []Row) bool {
+func (r *Reporter) mustWait(stored []platformapi.Row, rows []Row) bool {
 	wait := false
 	for i, row := range stored {
-		if !rows[i].isFinal() && !c.isDead(row, rows[i], rows) {
+		if !rows[i].isFinal() && !r.isDead(row, rows[i], rows) {
 			wait = true
 		}
 	}
@@ -237,18 +237,18 @@
 // isDead reports whether the VM of a row that is not final is considered dead. If the VM is
 // alive after all, the usage that its row lacks is reported as a correction in a later
 // window; no report becomes wrong.
-func (c *Reporter) isDead(row platformapi.Row, r Row, all []Row) bool {
-	now := c.config.Elapsed()
-	seen, ok := c.observed[row.Key]
-	if !ok || seen.version != row.Version {
-		c.observed[row.Key] = observation{version: row.Version, since: now}
+func (r *Reporter) isDead(stored platformapi.Row, row Row, all []Row) bool {
+	now := r.config.Elapsed()
+	seen, ok := r.observed[stored.Key]
+	if !ok || seen.version != stored.Version {
+		r.observed[stored.Key] = observation{version: stored.Version, since: now}
 		return false
 	}
 	unchanged := now - seen.since
-	if !c.config.IsListed(r.VM) || hasOtherIncarnation(r, all) {
-		return unchanged >= c.config.DeadAfter
+	if !r.config.IsListed(row.VM) || hasOtherIncarnation(row, all) {
+		return unchanged >= r.config.DeadAfter
 	}
-	return unchanged >= c.config.ListedDeadAfter
+	return unchanged >= r.config.ListedDeadAfter
 }
 
 // hasOtherIncarnation reports whether another incarnation of the row's VM has a row too. A
@@ -265,7 +265,7 @@
 // insertReports closes the window in one transaction: it marks the rows that are not final
 // as closed and inserts the reports. The transaction fails if a row has changed since it
 // was read.
-func (c *Reporter) insertReports(ctx context.Context, w Window, windowRow platformapi.Row, stored []platformapi.Row, rows []Row) error {
+func (r *Reporter) insertReports(ctx context.Context, w Window, windowRow platformapi.Row, stored []platformapi.Row, rows []Row) error {
 	txn := platformapi.Txn{
 		Nonce:         platformapi.NewNonce(),
 		Preconditions: []platformapi.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
@@ -279,31 +279,31 @@
 			txn.Writes = append(txn.Writes, platformapi.Write{Key: row.Key, Value: platformapi.EncodeValue(closed)})
 		}
 	}
-	for _, report := range Reports(w, rows, c.config.Accounts()) {
+	for _, report := range Reports(w, rows, r.config.Accounts()) {
 		key := reportKey(w, report.Account)
 		txn.Preconditions = append(txn.Preconditions, platformapi.Precondition{Key: key})
 		txn.Writes = append(txn.Writes, platformapi.Write{Key: key, Value: platformapi.EncodeValue(report)})
 	}
-	return platformapi.CommitConfirmed(ctx, c.tables, txn)
+	return platformapi.CommitConfirmed(ctx, r.tables, txn)
 }
 
 // sendReports sends every report row of the window to billing, exactly as inserted. A
 // retry, also by the next lease holder, sends the same counts.
-func (c *Reporter) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platformapi.Row) error {
-	stored, err := scan(ctx, c.tables, reportPrefix(w))
+func (r *Reporter) sendReports(ctx context.Context, guard fence.Guard, w Window, windowRow platformapi.Row) error {
+	stored, err := scan(ctx, r.tables, reportPrefix(w))
 	if err != nil {
 		return err
 	}
 	for _, row := range stored {
-		var r Report
-		if err := row.Decode(&r); err != nil {
+		var report Report
+		if err := row.Decode(&report); err != nil {
 			return err
 		}
-		if err := c.sendReport(ctx, guard, r); err != nil {
+		if err := r.sendReport(ctx, guard, report); err != nil {
 			return err
 		}
 	}
-	return platformapi.CommitConfirmed(ctx, c.tables, platformapi.Txn{
+	return platformapi.CommitConfirmed(ctx, r.tables, platformapi.Txn{
 		Nonce:         platformapi.NewNonce(),
 		Preconditions: []platformapi.Precondition{{Key: windowRow.Key, Version: windowRow.Version}},
 		Writes:        []platformapi.Write{{Key: windowRow.Key, Value: platformapi.EncodeValue(windowValue{Phase: phaseReported})}},
@@ -312,31 +312,31 @@
 
 // sendReport checks the lease directly before it sends the report, since the process may
 // have been paused since the last check.
-func (c *Reporter) sendReport(ctx context.Context, guard fence.Guard, r Report) error {
+func (r *Reporter) sendReport(ctx context.Context, guard fence.Guard, report Report) error {
 	if err := guard.Check(); err != nil {
 		return err
 	}
-	start := int64(r.Window) * int64(c.config.WindowLength/time.Second)
-	err := c.billing.Report(fence.WithGuard(ctx, guard), platformapi.UsageReport{
+	start := int64(report.Window) * int64(r.config.WindowLength/time.Second)
+	err := r.billing.Report(fence.WithGuard(ctx, guard), platformapi.UsageReport{
 		Window:             start,
-		Account:            string(r.Account),
-		Requests:           r.Counts.Requests,
-		Tokens:             r.Counts.Tokens,
-		CorrectionRequests: r.Corrections.Requests,
-		CorrectionTokens:   r.Corrections.Tokens,
-		Incomplete:         r.Incomplete,
+		Account:            string(report.Account),
+		Requests:           report.Counts.Requests,
+		Tokens:             report.Counts.Tokens,
+		CorrectionRequests: report.Corrections.Requests,
+		CorrectionTokens:   report.Corrections.Tokens,
+		Incomplete:         report.Incomplete,
 		Epoch:              guard.Epoch(),
 	})
 	if err != nil {
 		return err
 	}
-	subject := event.Subject{Account: string(r.Account), Epoch: guard.Epoch(), Count: start}
-	if r.Incomplete {
-		c.events.Emit(event.UsageIncomplete, subject)
+	subject := event.Subject{Account: string(report.Account), Epoch: guard.Epoch(), Count: start}
+	if report.Incomplete {
+		r.events.Emit(event.UsageIncomplete, subject)
 	}
-	if r.Corrections != (Counts{}) {
+	if report.Corrections != (Counts{}) {
 		subject.Detail = event.DetailCorrected
 	}
-	c.events.Emit(event.UsageReported, subject)
+	r.events.Emit(event.UsageReported, subject)
 	return nil
 }
--- a/internal/usage/rows.go
+++ b/internal/usage/rows.go
@@ -16,7 +16,7 @@
 	rowPrefix    = "usage/"
 	windowPrefix = "window/"
 	ReportPrefix = "report/"
-	// cursorKey is the key of the row that records the closer's progress.
+	// cursorKey is the key of the row that records the reporter's progress.
 	cursorKey = "usagecursor"
 )
 
@@ -63,7 +63,7 @@
 type cursorValue struct {
 	// Next is the oldest window that may not be reported yet.
 	Next Window `json:"next"`
-	// Floor is the oldest window that a VM may still open. The closer raises it before
+	// Floor is the oldest window that a VM may still open. The reporter raises it before
 	// it scans the rows of a window, so that no row is added after the scan.
 	Floor Window `json:"floor"`
 	// Swept is the oldest window whose rows may still exist.
--- a/internal/usage/usage.go
+++ b/internal/usage/usage.go
@@ -1,5 +1,5 @@
 // Package usage counts what client accounts use and reports it to billing by usage window.
-// Each incarnation of a VM writes its absolute totals to one row per window. A closer,
+// Each incarnation of a VM writes its absolute totals to one row per window. A reporter,
 // which holds a lease, derives from these rows exactly one immutable report for each client
 // account and window, and sends it to billing.
 //
@@ -22,14 +22,14 @@
 	Tokens   int64 `json:"tokens"`
 }
 
-// Add returns the sum of f and g.
-func (f Counts) Add(g Counts) Counts {
-	return Counts{Requests: f.Requests + g.Requests, Tokens: f.Tokens + g.Tokens}
+// Add returns the sum of c and other.
+func (c Counts) Add(other Counts) Counts {
+	return Counts{Requests: c.Requests + other.Requests, Tokens: c.Tokens + other.Tokens}
 }
 
-// Sub returns f minus g.
-func (f Counts) Sub(g Counts) Counts {
-	return Counts{Requests: f.Requests - g.Requests, Tokens: f.Tokens - g.Tokens}
+// Sub returns c minus other.
+func (c Counts) Sub(other Counts) Counts {
+	return Counts{Requests: c.Requests - other.Requests, Tokens: c.Tokens - other.Tokens}
 }
 
 // Totals holds the usage by client account.
@@ -41,8 +41,8 @@
 	if sum == nil {
 		sum = make(Totals)
 	}
-	for account, f := range u {
-		sum[account] = sum[account].Add(f)
+	for account, c := range u {
+		sum[account] = sum[account].Add(c)
 	}
 	return sum
 }
@@ -50,8 +50,8 @@
 // sub returns t minus u for the accounts of t where the difference is not zero.
 func (t Totals) sub(u Totals) Totals {
 	difference := make(Totals)
-	for account, f := range t {
-		if d := f.Sub(u[account]); d != (Counts{}) {
+	for account, c := range t {
+		if d := c.Sub(u[account]); d != (Counts{}) {
 			difference[account] = d
 		}
 	}
@@ -74,7 +74,7 @@
 	Sealed bool `json:"sealed"`
 	// Next is the window that the transaction which sealed the row opened.
 	Next Window `json:"next,omitempty"`
-	// Closed is true if the closer made the row final, since it considered the VM dead.
+	// Closed is true if the reporter made the row final, since it considered the VM dead.
 	Closed bool `json:"closed"`
 }
 
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -136,7 +136,7 @@
 	})
 }
 
-func newCloser(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Reporter {
+func newReporter(tables platformapi.Tables, b platformapi.Billing, listed func(string) bool) *Reporter {
 	started := time.Now()
 	return NewReporter(tables, b, newEvents(), ReporterConfig{
 		WindowLength:    windowLength,
@@ -154,13 +154,13 @@
 	return &billing{t: t, accepted: make(map[string]platformapi.UsageReport), lose: func() bool { return false }}
 }
 
-// drive runs the closer until it has nothing more to do at the current time.
-func drive(t *testing.T, c *Reporter) {
+// drive runs the reporter until it has nothing more to do at the current time.
+func drive(t *testing.T, r *Reporter) {
 	t.Helper()
 	for {
-		more, err := c.Advance(t.Context(), fakeGuard(1))
+		more, err := r.Advance(t.Context(), fakeGuard(1))
 		if err != nil {
-			t.Fatalf("Step: %v", err)
+			t.Fatalf("Advance: %v", err)
 		}
 		if !more {
 			return
@@ -189,7 +189,7 @@
 		time.Sleep(windowLength)
 		flush(t, one, two)
 		time.Sleep(2 * time.Second)
-		drive(t, newCloser(tables, b, allListed))
+		drive(t, newReporter(tables, b, allListed))
 		if len(b.accepted) != 2 {
 			t.Fatalf("got %d reports, want one for each account", len(b.accepted))
 		}
@@ -212,14 +212,14 @@
 		killed.Add(berry, Counts{Requests: 1, Tokens: 5})
 		time.Sleep(windowLength)
 		flush(t, other)
-		closer := newCloser(tables, b, func(vm string) bool { return vm != "vm-1" })
+		reporter := newReporter(tables, b, func(vm string) bool { return vm != "vm-1" })
 		time.Sleep(2 * time.Second)
-		drive(t, closer)
+		drive(t, reporter)
 		if len(b.accepted) != 0 {
 			t.Fatal("reported before the killed VM could be considered dead")
 		}
 		time.Sleep(6 * time.Second)
-		drive(t, closer)
+		drive(t, reporter)
 		got, incomplete := b.sum(berry)
 		if want := (Counts{Requests: 1, Tokens: 10}); got != want || !incomplete {
 			t.Errorf("reported %+v (incomplete %v), want %+v and incomplete", got, incomplete, want)
@@ -227,7 +227,7 @@
 	})
 }
 
-// A VM is cut off from the platform for so long that the closer closes its row. The usage
+// A VM is cut off from the platform for so long that the reporter closes its row. The usage
 // that the row lacks must be reported as a correction in a later window: another report for
 // the closed window would be a second, different bill.
 func TestCutOffVMCorrectsTheNextWindow(t *testing.T) {
@@ -239,11 +239,11 @@
 		flush(t, cutOff)
 		cutOff.Add(berry, Counts{Requests: 4, Tokens: 40})
 		time.Sleep(windowLength)
-		closer := newCloser(tables, b, func(string) bool { return false })
+		reporter := newReporter(tables, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
-		drive(t, closer)
+		drive(t, reporter)
 		time.Sleep(6 * time.Second)
-		drive(t, closer)
+		drive(t, reporter)
 		if got, _ := b.sum(berry); got.Requests != 1 {
 			t.Fatalf("reported %+v for the first window, want the one flushed request", got)
 		}
@@ -253,14 +253,14 @@
 			t.Fatalf("Seal: %v", err)
 		}
 		time.Sleep(2 * windowLength)
-		drive(t, closer)
+		drive(t, reporter)
 		if got, _ := b.sum(berry); got != (Counts{Requests: 5, Tokens: 50}) {
 			t.Errorf("reported %+v in total, want 5 requests and 50 tokens", got)
 		}
 	})
 }
 
-// A VM that was paused seals its row between the closer's scan and the insertion of the
+// A VM that was paused seals its row between the reporter's scan and the insertion of the
 // reports. If the insertion succeeded, the report would lack the usage that the sealed row
 // contains, and this usage would never be billed.
 func TestSealBetweenScanAndInsertIsNotLost(t *testing.T) {
@@ -271,13 +271,13 @@
 		time.Sleep(windowLength)
 		paused.Add(berry, Counts{Requests: 1, Tokens: 10})
 		between := &hookedTables{Tables: tables}
-		closer := newCloser(between, b, func(string) bool { return false })
+		reporter := newReporter(between, b, func(string) bool { return false })
 		time.Sleep(2 * time.Second)
-		drive(t, closer)
+		drive(t, reporter)
 		time.Sleep(6 * time.Second)
 		between.beforeCommit = func() { flush(t, paused) }
-		_, _ = closer.Advance(t.Context(), fakeGuard(1))
-		drive(t, closer)
+		_, _ = reporter.Advance(t.Context(), fakeGuard(1))
+		drive(t, reporter)
 		if got, _ := b.sum(berry); got != (Counts{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the request in the sealed row", got)
 		}
@@ -303,10 +303,10 @@
 		if err := one.Seal(t.Context()); err != nil {
 			t.Fatalf("Seal: %v", err)
 		}
-		closer := newCloser(tables, b, allListed)
+		reporter := newReporter(tables, b, allListed)
 		for range 10 {
 			time.Sleep(windowLength)
-			drive(t, closer)
+			drive(t, reporter)
 		}
 		if got, _ := b.sum(berry); got != (Counts{Requests: 1, Tokens: 10}) {
 			t.Errorf("reported %+v, want the one request", got)
@@ -361,8 +361,8 @@
 		time.Sleep(windowLength)
 		flush(t, one)
 		time.Sleep(2 * time.Second)
-		closer := newCloser(tables, b, allListed)
-		drive(t, closer)
+		reporter := newReporter(tables, b, allListed)
+		drive(t, reporter)
 		slow := newMeter(tables, "vm-2")
 		slow.now = func() time.Time { return time.Now().Add(-windowLength) }
 		slow.Add(tree, Counts{Requests: 1, Tokens: 7})
@@ -373,14 +373,14 @@
 			t.Fatalf("Seal: %v", err)
 		}
 		time.Sleep(2 * windowLength)
-		drive(t, closer)
+		drive(t, reporter)
 		if got, _ := b.sum(tree); got != (Counts{Requests: 1, Tokens: 7}) {
 			t.Errorf("reported %+v, want the request of the slow VM", got)
 		}
 	})
 }
 
-// At random, the store loses requests and replies and delays commits, two closers run at
+// At random, the store loses requests and replies and delays commits, two reporters run at
 // once, billing loses replies, and VMs that are alive are considered dead. Still no two
 // reports for an account and window differ, and once the store is reliable again every
 // request is billed exactly once.
@@ -397,28 +397,28 @@
 	b := newBilling(t)
 	b.lose = func() bool { return random.IntN(5) == 0 }
 	listed := func(string) bool { return random.IntN(2) == 0 }
-	closers := []*Reporter{newCloser(tables, b, listed), newCloser(tables, b, listed)}
+	reporters := []*Reporter{newReporter(tables, b, listed), newReporter(tables, b, listed)}
 	meters := []*Meter{newMeter(tables, "vm-1"), newMeter(tables, "vm-2"), newMeter(tables, "vm-3")}
 	// A meter must be used by one goroutine only, so the concurrent client is another VM.
 	other := newMeter(tables, "vm-4")
 	var used Counts
 	tables.concurrent = func() {
-		f := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
-		other.Add(berry, f)
-		used = used.Add(f)
+		c := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
+		other.Add(berry, c)
+		used = used.Add(c)
 		_ = other.Flush(t.Context())
 	}
 	for range 200 {
 		m := meters[random.IntN(len(meters))]
 		switch random.IntN(4) {
 		case 0:
-			f := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
-			m.Add(berry, f)
-			used = used.Add(f)
+			c := Counts{Requests: 1, Tokens: int64(random.IntN(100))}
+			m.Add(berry, c)
+			used = used.Add(c)
 		case 1:
 			_ = m.Flush(t.Context())
 		case 2:
-			_, _ = closers[random.IntN(len(closers))].Advance(t.Context(), fakeGuard(1))
+			_, _ = reporters[random.IntN(len(reporters))].Advance(t.Context(), fakeGuard(1))
 		default:
 			time.Sleep(time.Duration(random.IntN(3000)) * time.Millisecond)
 		}
@@ -434,9 +434,9 @@
 	}
 	for range 40 {
 		time.Sleep(windowLength)
-		for _, c := range closers {
+		for _, r := range reporters {
 			for range 8 {
-				_, _ = c.Advance(t.Context(), fakeGuard(1))
+				_, _ = r.Advance(t.Context(), fakeGuard(1))
 			}
 		}
 	}
--- a/internal/weightload/loader.go
+++ b/internal/weightload/loader.go
@@ -71,7 +71,7 @@
 type Order struct {
 	Model   string
 	Version int64
-	// AllowsMixedVersions lets running requests continue with the new weights. Without it
+	// KeepRunning lets running requests continue with the new weights. Without it
 	// the engine finishes them first.
 	KeepRunning bool
 	Holder      string
