--- a/spec/usage.pml
+++ b/spec/usage.pml
@@ -1,14 +1,14 @@
 /*
  * Usage window, seal and report: two VM incarnations with absolute totals, two
- * closers of which one may be paused past the end of its lease, and billing, which
+ * reporters of which one may be paused past the end of its lease, and billing, which
  * accepts a report again if the counts are the same.
  *
  * Go functions that the model represents, in internal/usage:
  *   VM          Meter.open (opens a window), Meter.write (flushes absolute totals),
  *               Meter.Seal
- *   Closer      Closer.close (reads all rows), Closer.insertReports (writes one report
- *               row if it is absent), Closer.sendReports (sends exactly that row to
- *               billing)
+ *   Closer      Reporter.close (reads all rows), Reporter.insertReports (writes one
+ *               report row if it is absent), Reporter.sendReports (sends exactly that
+ *               row to billing)
  *
  * weaken: WEAKEN_INCREMENTS
  * weaken: WEAKEN_OPEN_AFTER_USE
@@ -43,7 +43,7 @@
 proctype VM(byte id) {
 	byte used, flushed;
 
-	/* The row is written before the first use, so that the closer notices if the
+	/* The row is written before the first use, so that the reporter notices if the
 	 * totals of this VM are missing. */
 #ifndef WEAKEN_OPEN_AFTER_USE
 	opened[id] = 1;
@@ -86,7 +86,7 @@
 stopped:	finished++
 }
 
-/* The closer runs twice. If the runs overlap, the first was paused past the end of its
+/* The reporter runs twice. If the runs overlap, the first was paused past the end of its
  * lease. */
 proctype Closer() {
 	byte sum, sending;
