--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -103,8 +103,8 @@
 // sends in the meantime must not fail because of a planned stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// RefuseNewRequests ends the notice period that Drain started: new requests are refused as
-// not run. Running requests continue.
+// RefuseNewRequests ends the unready grace period that Drain started: new requests are
+// refused as not run. Running requests continue.
 func (s *Server) RefuseNewRequests() { s.refusing.Store(true) }
 
 // capTimeout caps the timeout of a request at DrainTimeout. A request with a
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -35,8 +35,8 @@
 	// become unready: the load balancer polls readiness once a second and stops sending
 	// callers after the second failed poll.
 	unreadyGracePeriod = 2600 * time.Millisecond
-	// killMargin is how long before the process would be killed the drain ends, even if
-	// requests are still open. The process is killed at the end of its grace period.
+	// killMargin is the time between the latest end of the drain, when requests may still
+	// be open, and the end of the process's grace period, when the process is killed.
 	killMargin = 1200 * time.Millisecond
 	// handoverTimeout is the timeout of the handover of steps and leases.
 	handoverTimeout = 3 * time.Second
--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -105,7 +105,7 @@
 
 // handleCommitResult processes the result of a commit. After a failure the batch
 // is put back for the next commit. If the failed commit took effect after all,
-// the progress shows it by then, so that no sample is committed twice.
+// the next one reads it from the progress and skips the samples of filled slots.
 func (o *owner) handleCommitResult(c commitResult, before sample.Progress, now time.Time) sample.Progress {
 	o.committing = false
 	o.nextCommitAt = now.Add(commitInterval)
--- a/internal/rollout/owner_test.go
+++ b/internal/rollout/owner_test.go
@@ -159,7 +159,7 @@
 		c.weights.setDown(true)
 		_, err := v.manager.Samples(t.Context(), testAccount, "s", sample.Pull{})
 		if !fault.Is[*fault.StoreUnavailable](err) {
-			t.Fatalf("gave %v", err)
+			t.Fatalf("a pull during the outage returned error %v, want StoreUnavailable", err)
 		}
 		c.weights.setDown(false)
 		tr.finish()
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -167,9 +167,9 @@
 }
 
 // overdue returns the attempts that have exceeded their timeout. A worker that
-// cannot be reached from the owner alone stays on the platform's list, and its
-// connection may hang for minutes without an error. The step would stall for as
-// long. The timeout doubles with each failure of a slot, so that a generation
+// is cut off from the owner only stays on the platform's list, and a connection
+// to it may hang for minutes without an error; without the timeout the step
+// would stall for as long. The timeout doubles with each failure of a slot, so that a generation
 // that really takes long succeeds in the end.
 func (p *plan) overdue(now time.Time) []*attempt {
 	timeout := initialOverdueTimeout
@@ -226,8 +226,7 @@
 }
 
 // removeWorker cancels the attempts on a removed worker. Their slots are
-// generated elsewhere at once, instead of waiting for an answer that may never
-// arrive.
+// generated elsewhere at once and don't wait for an answer that may never arrive.
 func (p *plan) removeWorker(w *workerState) {
 	for i := range p.slots {
 		s := &p.slots[i]
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -188,7 +188,7 @@
 		tr.open(d)
 		tr.finish()
 		if _, err := v.manager.Samples(context.Background(), testAccount, "s", sample.Pull{After: 1}); !fault.Is[*fault.BadRequest](err) {
-			t.Fatalf("gave %v", err)
+			t.Fatalf("a pull before the acknowledged sample returned error %v, want BadRequest", err)
 		}
 	})
 }
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -132,8 +132,8 @@
 // commit numbers and writes samples in one transaction, and returns the samples
 // that it wrote. It checks guard directly before the write. The transaction
 // requires the row version of the progress that was read: when another writer
-// commits, withdraws or claims in between, commit fails with
-// *fault.PreconditionFailed and writes nothing.
+// changes the progress in between, commit fails with *fault.PreconditionFailed
+// and writes nothing.
 func (s store) commit(ctx context.Context, r stepRef, guard Guard, samples []sample.Sample) (sample.Progress, []sample.Sample, error) {
 	progress, row, err := s.progress(ctx, r)
 	if err != nil {
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -35,8 +35,8 @@
 	historyLength = 1024
 )
 
-// VersionHistory records when each version was superseded, from this VM's reads of the
-// weight store. It implements WeightVersions.
+// VersionHistory records when each version was superseded, from this VM's reads
+// of the weight store. It implements WeightVersions.
 type VersionHistory struct {
 	weights platformapi.Weights
 
--- a/internal/rollout/workerset.go
+++ b/internal/rollout/workerset.go
@@ -41,8 +41,8 @@
 func (w *workerState) recordSuccess() { w.limit = min(maxWorkerLimit, w.limit+1/w.limit) }
 
 // recordRefusal records that the worker had no capacity and how long it asked
-// to wait. A draining worker names no wait: without a minimum the owner would
-// retry it in a busy loop.
+// to wait. A draining worker specifies no wait: without a minimum the owner
+// would retry it in a busy loop.
 func (w *workerState) recordRefusal(now time.Time, wait time.Duration) {
 	w.limit = max(1, w.limit/2)
 	w.backoffUntil = now.Add(max(wait, workerBackoff))
@@ -57,10 +57,10 @@
 // workerSet holds an owner's workers by VM.
 type workerSet map[string]*workerState
 
-// update applies a new list of workers. The set consists of the own VM, which
-// is first in the list, and up to workersPerDomain workers of each failure
-// domain, the same for a step whichever VM owns it. It returns the removed
-// workers.
+// update applies a new list of workers and returns the removed ones. The set
+// consists of the own VM, which is first in the list, and up to workersPerDomain
+// workers of each failure domain. The latter depend on the step and not on its
+// owner.
 func (s workerSet) update(step string, workers []Worker) []*workerState {
 	wanted := make(map[string]Worker)
 	perDomain := make(map[string]int)
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -309,8 +309,8 @@
 }
 
 // subtractFinal leaves in the totals only the usage that a final row lacks. If the reporter
-// closed the row, that usage becomes a correction in the next window. If the VM sealed it
-// while it opened the next window, that window is adopted by the next open.
+// closed the row, that usage becomes a correction in the next window. If the VM sealed the
+// row and opened the next window in one transaction, the next call of open adopts that window.
 func (m *Meter) subtractFinal(stored Row) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -62,7 +62,7 @@
 }
 
 // Run closes and reports windows until ctx ends or the lease is lost. It waits for interval
-// after a failed step and when nothing is due.
+// after a failure and when nothing is due.
 func (r *Reporter) Run(ctx context.Context, guard fence.Guard, interval time.Duration) {
 	for ctx.Err() == nil && guard.Check() == nil {
 		more, err := r.Advance(ctx, guard)
@@ -76,7 +76,7 @@
 	}
 }
 
-// Advance takes the next step for the oldest window that may not be reported yet: it raises
+// Advance makes the next change to the oldest window that may not be reported yet: it raises
 // the cursor's floor, closes the window, sends its reports, or moves the cursor to the
 // next window. more is true if Advance may be called again at once.
 func (r *Reporter) Advance(ctx context.Context, guard fence.Guard) (more bool, err error) {
--- a/internal/weightload/plan.go
+++ b/internal/weightload/plan.go
@@ -21,12 +21,12 @@
 // Demand is the demand for one model.
 type Demand struct {
 	Model string
-	// AnnouncedVersion is the announced version: the latest version that the model's trainer asked for.
+	// AnnouncedVersion is the latest version that the model's trainer asked for.
 	AnnouncedVersion int64
 	// MaxVersionLag is how many versions older than the announced one a step may still use.
 	MaxVersionLag int64
-	// ExpectedTokens is the expected output of the model's latest steps, in tokens; only the
-	// ratio between models matters.
+	// ExpectedTokens is the expected output of the model's latest steps; only the ratio
+	// between models matters.
 	ExpectedTokens float64
 }
 
