--- a/internal/usagewindow/usagewindow_test.go
+++ b/internal/usagewindow/usagewindow_test.go
@@ -261,8 +261,8 @@
 	return clock.FleetMillis(time.Now()) / windowLength.Milliseconds()
 }
 
-// Guards against windows that are never billed because no VM has written totals, after two
-// outages of the store, when the first holder of the lease searches for the oldest window.
+// Guards against windows that are never billed. After two outages of the store no VM has
+// written totals yet when the first holder of the lease searches for the oldest window.
 func TestFirstReporterBeginsWhenFleetClockWasSet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, b := memory.New(), &fakeBilling{}
