--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -97,6 +97,7 @@
 			return err
 		}
 	}
+	// For a resumable stream the loop sets the timer to stallTimeout.
 	stallTimer := time.AfterFunc(time.Hour, cancel)
 	defer stallTimer.Stop()
 	events := eventstream.NewReader(response.Body)
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -55,7 +55,7 @@
 		t.Errorf("wait at the end is %v, want none", wait)
 	}
 	if got := c.AcquireRecord(held); got.Epoch != 8 || got.Holder != "y" {
-		t.Errorf("Take = %+v", got)
+		t.Errorf("AcquireRecord = %+v", got)
 	}
 }
 
@@ -65,7 +65,7 @@
 	hold := NewHold("a", testTiming, Record{Holder: "x", Epoch: 7}, 9, time.Now())
 	free, version := hold.ReleaseRecord()
 	if free.Holder != "" || free.Epoch != 7 || version != 9 {
-		t.Fatalf("Release = %+v at %d", free, version)
+		t.Fatalf("ReleaseRecord = %+v at %d", free, version)
 	}
 	if got := NewContender("y", testTiming).AcquireRecord(free).Epoch; got != 8 {
 		t.Errorf("next epoch %d, want 8", got)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -47,9 +47,9 @@
 	// callTimeout is the timeout of one read or write; a slow store answers within it.
 	callTimeout = 1200 * time.Millisecond
 	// awaitTimeout is how long an unresponsive VM is awaited by callers that need the
-	// data of all VMs. It is longer than most network failures. After a VM was
-	// replaced, each usage window is delayed by this time, and must still be reported
-	// in time.
+	// data of all VMs. It is longer than most network failures. A VM that was
+	// replaced delays a usage window by up to this time, and the window must still be
+	// reported in time.
 	awaitTimeout = 8 * time.Second
 	// returnGracePeriod is how long a VM that was unresponsive is still awaited after
 	// its next heartbeat, and how long all VMs are awaited after an outage of the
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -51,7 +51,7 @@
 // sent is true if the call may have reached the store.
 type CallFunc func(ctx context.Context, call Call) (answer Answer, sent bool, err error)
 
-// Serve relays the calls that peers make on a listener, by callStore, until ctx ends.
+// Serve relays the calls that peers make on a listener, through callStore, until ctx ends.
 func Serve(ctx context.Context, listener net.Listener, callStore CallFunc) error {
 	mux := drpcmux.New()
 	if err := carrypb.DRPCRegisterCarrier(mux, &server{callStore: callStore}); err != nil {
--- a/internal/rowstore/store.go
+++ b/internal/rowstore/store.go
@@ -48,7 +48,7 @@
 	Value []byte
 }
 
-// Txn is one atomic transaction. If all expectations hold, all puts and removes take
+// Txn is one atomic transaction. If all expectations hold, all puts and deletes take
 // effect; otherwise none does. All keys have the same Part, in any tables.
 type Txn struct {
 	Expected []Expectation
--- a/internal/step/commit.go
+++ b/internal/step/commit.go
@@ -102,9 +102,9 @@
 	return append([]Result(nil), r.uncommitted[:n]...), len(r.committed)
 }
 
-// commitResults commits results at a position and reports whether another batch may follow:
-// after a commit, or, once loadBackoff has passed, after a failure to store a text that is too
-// large for a row.
+// commitResults commits results at a position and reports whether another batch may follow.
+// It may after a commit. It also may after a failure to prepare the rows, for example to
+// store a text that is too large for one; commitResults then waits for loadBackoff first.
 func (r *run) commitResults(ctx context.Context, batch []Result, position int) bool {
 	rec := r.current()
 	puts, err := resultPuts(ctx, r.m.Store, rec.ID, position, batch)
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -17,9 +17,9 @@
 	// waits for this time multiplied by the share of its texts that is not generated yet,
 	// so that those that have progressed further claim the step first.
 	claimMaxDelay = 200 * time.Millisecond
-	// claimMaxRemainingRatio limits claims from another early run: the share of the texts that is
-	// not generated here must be at most claimMaxRemainingRatio times the share that was missing
-	// there.
+	// claimMaxRemainingRatio limits the claim of a step that another early run has claimed: the
+	// share of the texts that is missing here must be at most claimMaxRemainingRatio times the
+	// share that was missing there.
 	claimMaxRemainingRatio = 0.7
 	// claimTimeout is the timeout of a change of owner to an early run.
 	claimTimeout = 2 * time.Second
@@ -104,8 +104,9 @@
 	}
 }
 
-// claimWithRetry tries to claim the step for as long as the run is entitled to it, also from
-// another early run that claimed the step first. It reports whether the claim succeeded.
+// claimWithRetry claims the step and reports whether it succeeded. When the step's state has
+// changed meanwhile, for example because another early run claimed the step first, it tries
+// again while canClaim allows it.
 func (e *earlyRun) claimWithRetry(run *run, accepted stateRecord) bool {
 	for e.canClaim(run, accepted) {
 		if e.claim(run, accepted) {
@@ -142,6 +143,7 @@
 	}
 	ctx, cancel := context.WithTimeout(run.ctx, claimTimeout)
 	defer cancel()
+	// The objective and the deadline of the step count from this earlier submission.
 	accepted.SubmittedAt = e.state.SubmittedAt
 	owned, ok := m.becomeOwner(ctx, accepted, 1-run.remaining())
 	if !ok {
--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -38,8 +38,9 @@
 	// slowdownCost is the cost of an engine that takes twice as long per event as the
 	// median engine.
 	slowdownCost = 5.0
-	// maxSlowdown is the largest slowdown relative to the median that counts. An engine whose
-	// last known speed is very low must still be tried when the others are full.
+	// maxSlowdown is the largest slowdown that counts; 1 is twice the median time per event.
+	// An engine whose last known speed is very low must still be tried when the others are
+	// full.
 	maxSlowdown = 1.0
 	// otherDomainCost prefers engines in this VM's failure domain among equals: results are
 	// most of the traffic between failure domains.
--- a/internal/step/run.go
+++ b/internal/step/run.go
@@ -361,7 +361,7 @@
 }
 
 // needOf returns what an item of the run requires of an engine. The service follows from
-// the configuration in force; ok is false when that has no route for the item any more.
+// the configuration in force; ok is false when it no longer has a route for the item.
 func (r *run) needOf(i int) (n need, ok bool) {
 	snapshot := r.m.View.Load()
 	if snapshot == nil {
--- a/internal/step/text.go
+++ b/internal/step/text.go
@@ -97,8 +97,8 @@
 	return len(versions) > 0 && slices.Min(versions) >= spec.MinVersion
 }
 
-// saveTexts saves the texts that takeUnsaved returns for the given number of events. A failure
-// is ignored: the next owner would generate the items again.
+// saveTexts saves the texts that takeUnsaved selects; events is the minimum number of new
+// events. A failure is ignored: the next owner would generate the items again.
 func (r *run) saveTexts(ctx context.Context, events int64) {
 	rec := r.current()
 	txn := rowstore.Txn{Expected: []rowstore.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
--- a/internal/target/slowstart.go
+++ b/internal/target/slowstart.go
@@ -29,8 +29,8 @@
 	// the one second of the bound because requests reach an upstream with varying delays.
 	admissionWindow = 1200 * time.Millisecond
 	// coldDivisor is the number of equal shares into which the bound of a cold upstream is
-	// divided. The cold sender, one VM at a time, uses one share. The others cover earlier
-	// cold senders that have not learnt yet that they no longer are.
+	// divided. The cold sender, one VM at a time, uses one share. The other shares
+	// cover earlier cold senders that have not learnt yet that they no longer are.
 	coldDivisor = 3
 	// uncertainDivisor and staleListDivisor are the same for upstreams in those states.
 	// Every VM that runs a copy of a step may use such an upstream, by its own view of the
@@ -87,8 +87,8 @@
 	return !a.unansweredSince.IsZero() && (a.warmBy.IsZero() || now.Before(a.warmBy))
 }
 
-// noteAnswered records an answer. After an unanswered attempt, the upstream may have
-// restarted just before it.
+// noteAnswered records an answer. If an earlier attempt got none, the upstream may have
+// restarted just before this answer.
 func (a *admission) noteAnswered(now time.Time) {
 	if !a.unansweredSince.IsZero() && a.warmBy.IsZero() {
 		a.warmBy = now.Add(a.bound.Warmup)
--- a/internal/target/target_test.go
+++ b/internal/target/target_test.go
@@ -122,13 +122,13 @@
 	e.Begin()
 	e.NoteLoad(Load{Running: 3, Waiting: 1, Slots: 4}, now)
 	if got := e.OthersInFlight(now); got != 3 {
-		t.Errorf("Foreign = %d, want 3", got)
+		t.Errorf("OthersInFlight = %d, want 3", got)
 	}
 	if got := e.FreeSlots(now); got != 0 {
-		t.Errorf("Free = %d, want 0", got)
+		t.Errorf("FreeSlots = %d, want 0", got)
 	}
 	if got := e.OthersInFlight(now.Add(loadTTL + 1)); got != 0 {
-		t.Errorf("Foreign = %d after loadTTL, want 0", got)
+		t.Errorf("OthersInFlight = %d after loadTTL, want 0", got)
 	}
 }
 
