--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -22,11 +22,11 @@
 	m := &metrics{
 		queued: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "dogwoodpond_dispatch_waiting_requests",
-			Help: "Requests that wait in this VM for a place on an upstream of the pool.",
+			Help: "Requests queued on this VM for a slot of an upstream of the pool.",
 		}, []string{"pool"}),
 		overcommit: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "dogwoodpond_dispatch_overcommitted_requests",
-			Help: "Requests of this VM that run beyond its present part of the pool's slots.",
+			Help: "Requests of this VM that run beyond its current limits at the pool's upstreams.",
 		}, []string{"pool"}),
 		ejected: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "dogwoodpond_upstream_ejected",
@@ -34,11 +34,11 @@
 		}),
 		grants: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dogwoodpond_dispatch_grants_total",
-			Help: "Places granted, by whether they were of the VM's own part or borrowed.",
+			Help: "Slots granted, by whether they were of the VM's own quota or borrowed.",
 		}, []string{"place"}),
 		shed: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dogwoodpond_dispatch_shed_total",
-			Help: "Requests refused because a queue was full.",
+			Help: "Requests shed because a queue was full.",
 		}, []string{"account"}),
 	}
 	if registerer != nil {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -38,30 +38,30 @@
 func NewMetrics(sink *logsink.Sink, incarnation *Incarnation) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
-		events:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_events_total", Help: "Events by their number."}, []string{"event"}),
+		events:   prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_events_total", Help: "Events by number."}, []string{"event"}),
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_requests_refused_total", Help: "Refused requests by code."}, []string{"code"}),
 		requestSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "dogwoodpond_request_seconds", Help: "Time from a forwarded request's arrival to its answer.",
 			Buckets: []float64{.01, .02, .04, .08, .15, .3, .6, 1.2, 2.5, 5, 10},
 		}),
-		failedAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_attempts_failed_total", Help: "Attempts at upstreams that failed, by reason."}, []string{"reason"}),
+		failedAttempts: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_attempts_failed_total", Help: "Failed attempts at upstreams, by reason."}, []string{"reason"}),
 		commitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "dogwoodpond_results_commit_seconds", Help: "Time that the store took to list results.", Buckets: storeBuckets,
+			Name: "dogwoodpond_results_commit_seconds", Help: "Time from the start of a commit of results until it was confirmed.", Buckets: storeBuckets,
 		}),
 		storeCallSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "dogwoodpond_store_call_seconds", Help: "Time of direct calls to the store by call and outcome; those for changes wait on purpose.", Buckets: storeBuckets,
+			Name: "dogwoodpond_store_call_seconds", Help: "Time of direct calls to the store by call and outcome; calls that watch for changes are long polls.", Buckets: storeBuckets,
 		}, []string{"call", "outcome"}),
-		revision:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "dogwoodpond_configuration_revision", Help: "The revision in force on this VM."}),
-		scoreCalls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_score_calls_total", Help: "Calls for the scores of whole texts, by outcome."}, []string{"outcome"}),
+		revision:   prometheus.NewGauge(prometheus.GaugeOpts{Name: "dogwoodpond_configuration_revision", Help: "The configuration revision in force on this VM."}),
+		scoreCalls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "dogwoodpond_score_calls_total", Help: "Score calls for complete texts, by outcome."}, []string{"outcome"}),
 		scoreWaitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "dogwoodpond_score_wait_seconds", Help: "Time from an item's whole text to its score.",
+			Name: "dogwoodpond_score_wait_seconds", Help: "Time from an item's complete text to its score.",
 			Buckets: []float64{.02, .04, .08, .15, .3, .6, 1.2, 2.5, 5, 10},
 		}),
-		committedResults: prometheus.NewCounter(prometheus.CounterOpts{Name: "dogwoodpond_results_listed_total", Help: "Results of steps that were listed."}),
+		committedResults: prometheus.NewCounter(prometheus.CounterOpts{Name: "dogwoodpond_results_listed_total", Help: "Committed results of steps."}),
 	}
 	m.registry.MustRegister(m.events, m.refusals, m.failedAttempts, m.requestSeconds, m.committedResults, m.commitSeconds, m.storeCallSeconds, m.revision, m.scoreCalls, m.scoreWaitSeconds, collectors.NewGoCollector(),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "dogwoodpond_open_requests", Help: "Requests that are being served."}, func() float64 { return float64(incarnation.OpenRequests()) }),
-		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dogwoodpond_log_lines_dropped_total", Help: "Log lines that found no room."}, func() float64 { return float64(sink.Dropped()) }),
+		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "dogwoodpond_log_lines_dropped_total", Help: "Log lines dropped because the log buffer was full."}, func() float64 { return float64(sink.Dropped()) }),
 	)
 	return m
 }
@@ -111,7 +111,7 @@
 // this VM's reads of the store are longer because the store refused calls.
 func (m *Metrics) RegisterBackoffFactor(backoffFactor func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "dogwoodpond_store_backoff_factor", Help: "By how much the periods of reads of the store are longer than its rates ask for, because it refused calls; 1 when it refuses none.",
+		Name: "dogwoodpond_store_backoff_factor", Help: "Factor by which the intervals between reads of the store are longer than its rates require, because it refused calls; 1 when it refuses none.",
 	}, backoffFactor))
 }
 
@@ -119,7 +119,7 @@
 // VM considers evacuated.
 func (m *Metrics) RegisterEvacuatedDomains(domains func() int) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "dogwoodpond_evacuated_domains", Help: "Failure domains whose upstreams get nothing because the operator evacuates them.",
+		Name: "dogwoodpond_evacuated_domains", Help: "Failure domains that the operator has evacuated; nothing is sent to their upstreams.",
 	}, func() float64 { return float64(domains()) }))
 }
 
@@ -129,7 +129,7 @@
 	var lastRead atomic.Int64
 	lastRead.Store(time.Now().UnixNano())
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "dogwoodpond_feed_age_seconds", Help: "Time since a list that this VM follows answered last.", ConstLabels: prometheus.Labels{"feed": name},
+		Name: "dogwoodpond_feed_age_seconds", Help: "Time since this VM last read a watched list.", ConstLabels: prometheus.Labels{"feed": name},
 	}, func() float64 { return time.Since(time.Unix(0, lastRead.Load())).Seconds() }))
 	return func() { lastRead.Store(time.Now().UnixNano()) }
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -31,7 +31,7 @@
 		Circuits: NewCircuits(events),
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "dogwoodpond_retries_total",
-			Help: "Failed attempts by what followed: retried, or denied by the retry budget.",
+			Help: "Failed attempts by result: retried, or denied by the retry budget.",
 		}, []string{"pool", "result"}),
 	}
 	registry.MustRegister(p.retries)
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -36,11 +36,11 @@
 	m := &metrics{
 		committed:   counter("samples_committed_total", "Samples committed by owners on this VM.", labelAccount),
 		commits:     counter("sample_commits_total", "Transactions that committed samples.", labelAccount),
-		withdrawn:   counter("samples_withdrawn_total", "Committed samples that went stale before the trainer confirmed them.", labelAccount),
-		hedges:      counter("slot_hedges_total", "Second generations begun for straggling slots.", labelAccount),
+		withdrawn:   counter("samples_withdrawn_total", "Committed samples that became stale before the trainer acknowledged them.", labelAccount),
+		hedges:      counter("slot_hedges_total", "Hedges: second generations started for straggling slots.", labelAccount),
 		rejected:    counter("samples_rejected_total", "Generated samples that could not be committed, by failure code.", labelCode),
 		failures:    counter("slot_failures_total", "Failed generations and scorings of slots, by failure code.", labelCode),
-		ageVersions: histogram("sample_age_versions", "Weight versions that a sample was behind at its delivery.", versionBuckets),
+		ageVersions: histogram("sample_age_versions", "Age of a sample at its delivery, in weight versions.", versionBuckets),
 		ageSeconds:  histogram("sample_age_seconds", "Seconds since a delivered sample's oldest version was superseded.", ageBuckets),
 	}
 	registerer.MustRegister(m.committed, m.commits, m.withdrawn, m.hedges, m.rejected, m.failures, m.ageVersions, m.ageSeconds)
