--- a/internal/daemon/providers.go
+++ b/internal/daemon/providers.go
@@ -44,7 +44,7 @@
 
 func (h *hooks) cancelWithdrawnKeys(s *contract.Snapshot) { h.entry.CancelWithdrawnKeys(s) }
 
-// Age implements peer.Ager.
+// Age implements peer.ConfigurationAge.
 func (h *hooks) Age() time.Duration { return h.syncer.Age() }
 
 // members returns the VMs that share the engines, including this one.
--- a/internal/dispatch/assignment.go
+++ b/internal/dispatch/assignment.go
@@ -13,9 +13,9 @@
 // assignment holds the upstreams of a pool that this VM may use, as last computed.
 type assignment struct {
 	computedAt time.Time
-	// source is the list of all upstreams, upstreams the pool's subset of it.
-	source    []platformapi.Upstream
-	upstreams []platformapi.Upstream
+	// allUpstreams is the list of all upstreams, upstreams the pool's subset of it.
+	allUpstreams []platformapi.Upstream
+	upstreams    []platformapi.Upstream
 	// ids are the IDs of upstreams, usable the subset of upstreams with a limit.
 	ids    []string
 	usable []platformapi.Upstream
@@ -100,7 +100,7 @@
 		version:    version,
 		upstream:   u,
 		free:       limit - inFlight,
-		own:        !borrowed,
+		hasQuota:   !borrowed,
 		sameDomain: u.FailureDomain == c.FailureDomain,
 		probe:      state == upstream.Probing,
 		load:       expectedLoad(u, inFlight, report, now),
@@ -149,13 +149,13 @@
 
 // refreshAssignment recomputes the assignment if it is outdated.
 func (p *poolQueue) refreshAssignment(now time.Time) {
-	source := p.scheduler.config.Directory.Load()
-	if now.Sub(p.assignment.computedAt) < assignmentTTL && sameList(source, p.assignment.source) {
+	allUpstreams := p.scheduler.config.Directory.Load()
+	if now.Sub(p.assignment.computedAt) < assignmentTTL && sameList(allUpstreams, p.assignment.allUpstreams) {
 		return
 	}
 	previous := p.assignment
-	a := assignment{computedAt: now, source: source, limits: make(allocation), borrowed: make(map[string]bool), borrowable: previous.borrowable, monitored: previous.monitored, namesHash: previous.namesHash}
-	for _, u := range source {
+	a := assignment{computedAt: now, allUpstreams: allUpstreams, limits: make(allocation), borrowed: make(map[string]bool), borrowable: previous.borrowable, monitored: previous.monitored, namesHash: previous.namesHash}
+	for _, u := range allUpstreams {
 		if serves(u, p.name) {
 			a.upstreams = append(a.upstreams, u)
 			a.ids = append(a.ids, u.ID)
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -49,7 +49,7 @@
 
 func (m *metrics) recordGrant(c candidate) {
 	place := placeOwn
-	if !c.own {
+	if !c.hasQuota {
 		place = placeBorrowed
 	}
 	m.grants.WithLabelValues(place).Inc()
--- a/internal/dispatch/picker.go
+++ b/internal/dispatch/picker.go
@@ -15,8 +15,8 @@
 	upstream platformapi.Upstream
 	// free is how many more requests this VM may send there now.
 	free int
-	// own marks an upstream where this VM has a quota; slots of others are borrowed.
-	own bool
+	// hasQuota marks an upstream where this VM has a quota; slots of others are borrowed.
+	hasQuota bool
 	// sameDomain marks an upstream of this VM's failure domain.
 	sameDomain bool
 	// probe marks an ejected upstream whose next request decides whether it returns to
@@ -46,7 +46,7 @@
 	if len(eligible) == 0 {
 		return -1
 	}
-	eligible = bestClass(candidates, eligible)
+	eligible = preferredClass(candidates, eligible)
 	if work.Affinity != 0 {
 		return slices.MaxFunc(eligible, func(a, b int) int {
 			return cmp.Compare(rendezvous(work.Affinity, candidates[a].upstream.ID), rendezvous(work.Affinity, candidates[b].upstream.ID))
@@ -60,14 +60,14 @@
 	return a
 }
 
-// bestClass returns the eligible candidates of the most preferred class.
-func bestClass(candidates []candidate, eligible []int) []int {
+// preferredClass returns the eligible candidates of the most preferred class.
+func preferredClass(candidates []candidate, eligible []int) []int {
 	class := func(i int) int {
 		c := candidates[i]
 		switch {
-		case c.own && c.sameDomain:
+		case c.hasQuota && c.sameDomain:
 			return 0
-		case c.own:
+		case c.hasQuota:
 			return 1
 		case c.sameDomain:
 			return 2
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -19,11 +19,11 @@
 	scheduler *Scheduler
 	name      Pool
 
-	mu         sync.Mutex
-	queue      *fairQueue
-	inFlight   map[string]int
-	drain      drainMeter
-	assignment assignment
+	mu          sync.Mutex
+	queue       *fairQueue
+	inFlight    map[string]int
+	completions completionMeter
+	assignment  assignment
 	// lastUsed is the time of the latest request.
 	lastUsed time.Time
 }
@@ -72,7 +72,7 @@
 			queued = f.queued()
 		}
 	}
-	return p.drain.retryAfter(queued, float64(share)/float64(max(share, totalShare)), time.Now())
+	return p.completions.retryAfter(queued, float64(share)/float64(max(share, totalShare)), time.Now())
 }
 
 func (p *poolQueue) grantQueued() {
@@ -191,7 +191,7 @@
 		delete(p.inFlight, u.ID)
 	}
 	p.queue.settle(req, r.Cost)
-	p.drain.recordEnd(now)
+	p.completions.recordEnd(now)
 	p.grantAll(now)
 	p.mu.Unlock()
 	if wasAtLimit {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -19,24 +19,24 @@
 	"dogwoodpond/internal/peer/peerpb"
 )
 
-// Ager returns the time since the configuration was last known to be current.
-type Ager interface {
+// ConfigurationAge reports how long ago the configuration was last known to be current.
+type ConfigurationAge interface {
 	Age() time.Duration
 }
 
 // Server answers calls of other VMs.
 type Server struct {
-	events *event.Recorder
-	view   *contract.View
-	ager   Ager
-	runner generate.Runner
-	gossip *Gossip
+	events           *event.Recorder
+	view             *contract.View
+	configurationAge ConfigurationAge
+	runner           generate.Runner
+	gossip           *Gossip
 }
 
 // NewServer returns a server that reads its answers from the given components of
 // the VM.
-func NewServer(events *event.Recorder, view *contract.View, ager Ager, runner generate.Runner, gossip *Gossip) *Server {
-	return &Server{events: events, view: view, ager: ager, runner: runner, gossip: gossip}
+func NewServer(events *event.Recorder, view *contract.View, configurationAge ConfigurationAge, runner generate.Runner, gossip *Gossip) *Server {
+	return &Server{events: events, view: view, configurationAge: configurationAge, runner: runner, gossip: gossip}
 }
 
 // Serve answers calls on listener until ctx ends.
@@ -58,7 +58,7 @@
 // FetchConfig returns this VM's snapshot if it is newer than the caller's revision.
 func (s *Server) FetchConfig(_ context.Context, in *peerpb.FetchConfigRequest) (*peerpb.FetchConfigReply, error) {
 	observeStamp(s.events, in.GetStamp())
-	reply := &peerpb.FetchConfigReply{Stamp: wireStamp(s.events), RevisionAgeMillis: s.ager.Age().Milliseconds()}
+	reply := &peerpb.FetchConfigReply{Stamp: wireStamp(s.events), RevisionAgeMillis: s.configurationAge.Age().Milliseconds()}
 	snapshot := s.view.Load()
 	if uint64(snapshot.Revision) <= in.GetAfter() {
 		return reply, nil
--- a/internal/rollout/committing.go
+++ b/internal/rollout/committing.go
@@ -36,9 +36,9 @@
 	err      error
 }
 
-// flush starts a commit of the ready samples, or a read of the progress when
+// commitOrPoll starts a commit of the ready samples, or a read of the progress when
 // nothing has been committed for progressPollInterval.
-func (o *owner) flush(ctx context.Context, now time.Time) {
+func (o *owner) commitOrPoll(ctx context.Context, now time.Time) {
 	if o.committing || now.Before(o.nextCommitAt) {
 		return
 	}
@@ -121,7 +121,7 @@
 		o.recordUsage(c.numbered)
 	}
 	o.plan.reconcile(c.progress)
-	if v, err := o.policy.current(o.ref.account, o.definition.Model); err == nil {
+	if v, err := o.policy.fromKnownVersions(o.ref.account, o.definition.Model); err == nil {
 		o.minVersion = v.oldestAcceptable()
 	}
 	return c.progress
--- a/internal/rollout/delivery.go
+++ b/internal/rollout/delivery.go
@@ -149,7 +149,7 @@
 			}
 			samples = append(samples, s)
 			if !s.Withdrawn {
-				m.metrics.observe(r.account, v.age(s))
+				m.metrics.observeAge(r.account, v.age(s))
 			}
 		}
 	}
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -78,10 +78,10 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	mu        sync.Mutex
-	closed    bool
-	campaigns map[stepRef]campaign
-	running   sync.WaitGroup
+	mu            sync.Mutex
+	closed        bool
+	campaigns     map[stepRef]campaign
+	campaignGroup sync.WaitGroup
 }
 
 // campaign is a campaign of this VM to own a step.
@@ -118,7 +118,7 @@
 	m.closed = true
 	m.mu.Unlock()
 	m.cancel()
-	m.running.Wait()
+	m.campaignGroup.Wait()
 }
 
 // Open opens a step. If the step is open already, it returns the step's status
@@ -131,7 +131,7 @@
 	r := stepRef{account: account, step: step}
 	err := m.store.open(ctx, r, definition)
 	if fault.Is[*fault.PreconditionFailed](err) {
-		return m.reopen(ctx, r, definition)
+		return m.existingStatus(ctx, r, definition)
 	}
 	if err != nil {
 		return sample.Status{}, err
@@ -141,7 +141,7 @@
 	return status(r, sample.NewProgress(definition)), nil
 }
 
-func (m *Manager) reopen(ctx context.Context, r stepRef, definition sample.Definition) (sample.Status, error) {
+func (m *Manager) existingStatus(ctx context.Context, r stepRef, definition sample.Definition) (sample.Status, error) {
 	existing, err := m.store.definition(ctx, r)
 	if err != nil {
 		return sample.Status{}, err
@@ -223,7 +223,7 @@
 	}
 	ctx, cancel := context.WithCancel(m.ctx)
 	m.campaigns[r] = campaign{began: time.Now(), cancel: cancel}
-	m.running.Go(func() {
+	m.campaignGroup.Go(func() {
 		defer m.endCampaign(r)
 		defer cancel()
 		// The lease's events report a failure of the campaign. The next search
--- a/internal/rollout/metrics.go
+++ b/internal/rollout/metrics.go
@@ -60,8 +60,8 @@
 	)
 }
 
-// observe records the age of a delivered sample.
-func (m *metrics) observe(account contract.Account, age sample.Age) {
+// observeAge records the age of a delivered sample.
+func (m *metrics) observeAge(account contract.Account, age sample.Age) {
 	m.ageVersions.WithLabelValues(string(account)).Observe(float64(age.Versions))
 	if age.Known {
 		m.ageSeconds.WithLabelValues(string(account)).Observe(age.Elapsed.Seconds())
--- a/internal/rollout/owner.go
+++ b/internal/rollout/owner.go
@@ -153,7 +153,7 @@
 		o.emitSlotEvent(event.SlotHedged, a, "")
 		o.startAttempt(ctx, a)
 	}
-	o.flush(ctx, now)
+	o.commitOrPoll(ctx, now)
 }
 
 // refreshWorkers updates the workers every workersRefreshInterval.
--- a/internal/rollout/validator.go
+++ b/internal/rollout/validator.go
@@ -46,11 +46,11 @@
 	if err := p.versions.Refresh(ctx, since); err != nil {
 		return validator{}, err
 	}
-	return p.current(account, model)
+	return p.fromKnownVersions(account, model)
 }
 
-// current returns a validator with the versions known so far, without a read.
-func (p stalenessPolicy) current(account contract.Account, model string) (validator, error) {
+// fromKnownVersions returns a validator with the versions known so far, without a read.
+func (p stalenessPolicy) fromKnownVersions(account contract.Account, model string) (validator, error) {
 	bound, err := p.bound(account)
 	if err != nil {
 		return validator{}, err
--- a/internal/rollout/versions.go
+++ b/internal/rollout/versions.go
@@ -30,9 +30,9 @@
 	// maxReadAge is the maximum age of the read of the weight store by which a
 	// sample is validated for its commit. Its delivery requires a new read.
 	maxReadAge = time.Second
-	// historyLength is how many versions of a model are remembered. A sample
+	// maxHistoryLength is how many versions of a model are remembered. A sample
 	// with a larger version lag exceeds any sensible bound.
-	historyLength = 1024
+	maxHistoryLength = 1024
 )
 
 // VersionHistory records when each version was superseded, from this VM's reads
@@ -108,7 +108,7 @@
 	}
 	for v := m.latest; v < published.Version; v++ {
 		m.superseded[v] = m.confirmedAt
-		delete(m.superseded, v-historyLength)
+		delete(m.superseded, v-maxHistoryLength)
 	}
 	m.latest, m.confirmedAt = published.Version, began
 }
--- a/internal/scaling/orderer.go
+++ b/internal/scaling/orderer.go
@@ -60,7 +60,7 @@
 	Leases        *lease.Manager
 
 	// lastOrder holds the last order for each key in the present lease term.
-	lastOrder map[orderKey]lastOrder
+	lastOrder map[orderKey]sentOrder
 }
 
 // orderKey identifies what an order sets. An order replaces the earlier order with the
@@ -70,7 +70,7 @@
 	kind    Kind
 }
 
-type lastOrder struct {
+type sentOrder struct {
 	count int
 	// repeatAt is when the order is sent again even if the count is unchanged.
 	repeatAt time.Time
@@ -91,7 +91,7 @@
 	if err := lease.WaitOrderGracePeriod(ctx, guard, orderTimeout); err != nil {
 		return err
 	}
-	o.lastOrder = make(map[orderKey]lastOrder)
+	o.lastOrder = make(map[orderKey]sentOrder)
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
@@ -139,11 +139,11 @@
 	if err != nil {
 		subject.Detail += ": " + string(fault.CodeOf(err)) + ": " + err.Error()
 		o.Events.Emit(event.OrderFailed, subject)
-		o.lastOrder[key] = lastOrder{count: count, repeatAt: time.Now().Add(retryBackoff)}
+		o.lastOrder[key] = sentOrder{count: count, repeatAt: time.Now().Add(retryBackoff)}
 		return
 	}
 	if last, known := o.lastOrder[key]; !known || last.count != count {
 		o.Events.Emit(event.OrderSent, subject)
 	}
-	o.lastOrder[key] = lastOrder{count: count, repeatAt: time.Now().Add(repeatInterval)}
+	o.lastOrder[key] = sentOrder{count: count, repeatAt: time.Now().Add(repeatInterval)}
 }
--- a/internal/usage/meter.go
+++ b/internal/usage/meter.go
@@ -18,12 +18,12 @@
 // is unavailable the last window stays open, so that no usage is counted in a window without
 // a row, which the reporter would not find.
 type Meter struct {
-	tables      platformapi.Tables
-	events      *event.Recorder
-	vm          string
-	incarnation string
-	now         func() time.Time
-	length      time.Duration
+	tables       platformapi.Tables
+	events       *event.Recorder
+	vm           string
+	incarnation  string
+	now          func() time.Time
+	windowLength time.Duration
 
 	mu sync.Mutex
 	// counts is the usage in the open window, and corrections the usage of earlier
@@ -33,20 +33,20 @@
 	corrections Totals
 	changed     bool
 
-	// The fields below are used only by the goroutine that flushes. opened is true if
+	// The fields below are used only by the goroutine that flushes. isOpen is true if
 	// window is the open window, whose row has the given version.
-	opened  bool
+	isOpen  bool
 	window  Window
 	version uint64
 	// minWindow is the oldest window that may be opened next: the one after the window
 	// of the last row that became final.
 	minWindow Window
-	// openUnconfirmed is true while the commit that opens the window opening has an
+	// openUnconfirmed is true while the commit that opens openingWindow has an
 	// unknown outcome. The commit may still take effect. If the meter opened another
 	// window meanwhile, both rows would contain the same usage. So it opens no other
 	// window until the row exists, or until the cursor's floor is past the window: the
 	// commit has a precondition on the cursor's row and can't take effect any more.
-	opening         Window
+	openingWindow   Window
 	openUnconfirmed bool
 }
 
@@ -66,14 +66,14 @@
 // NewMeter returns a meter that has opened no window yet.
 func NewMeter(c MeterConfig) *Meter {
 	return &Meter{
-		tables:      c.Tables,
-		events:      c.Events,
-		vm:          c.VM,
-		incarnation: c.Incarnation,
-		now:         c.Now,
-		length:      c.WindowLength,
-		counts:      make(Totals),
-		corrections: make(Totals),
+		tables:       c.Tables,
+		events:       c.Events,
+		vm:           c.VM,
+		incarnation:  c.Incarnation,
+		now:          c.Now,
+		windowLength: c.WindowLength,
+		counts:       make(Totals),
+		corrections:  make(Totals),
 	}
 }
 
@@ -109,7 +109,7 @@
 // and seals the open one and opens the next when its time has ended.
 func (m *Meter) Flush(ctx context.Context) error {
 	windowNow := m.windowNow()
-	if !m.opened {
+	if !m.isOpen {
 		return m.open(ctx, windowNow)
 	}
 	if windowNow > m.window {
@@ -119,11 +119,11 @@
 }
 
 // windowNow returns the window that contains the current wall time.
-func (m *Meter) windowNow() Window { return Window(m.now().UnixNano() / int64(m.length)) }
+func (m *Meter) windowNow() Window { return Window(m.now().UnixNano() / int64(m.windowLength)) }
 
 // Seal makes the totals of the open window final, for a graceful shutdown.
 func (m *Meter) Seal(ctx context.Context) error {
-	if !m.opened {
+	if !m.isOpen {
 		if m.isEmpty() {
 			return nil
 		}
@@ -168,15 +168,15 @@
 		return err
 	}
 	if m.openUnconfirmed {
-		if err := m.adopt(ctx, m.opening); err != nil || m.opened {
+		if err := m.adopt(ctx, m.openingWindow); err != nil || m.isOpen {
 			return err
 		}
 	}
 	window = max(window, cursor.Floor, m.minWindow)
-	if m.openUnconfirmed && cursor.Floor <= m.opening {
-		window = m.opening
+	if m.openUnconfirmed && cursor.Floor <= m.openingWindow {
+		window = m.openingWindow
 	}
-	m.opening, m.openUnconfirmed = window, true
+	m.openingWindow, m.openUnconfirmed = window, true
 	counts, corrections, _ := m.snapshot()
 	key := rowKey(window, m.vm, m.incarnation)
 	err = platformapi.CommitConfirmed(ctx, m.tables, platformapi.Txn{
@@ -212,7 +212,7 @@
 		m.subtractFinal(stored)
 		return nil
 	}
-	m.opened = true
+	m.isOpen = true
 	m.markChanged()
 	return nil
 }
@@ -318,14 +318,14 @@
 	m.corrections = m.corrections.sub(stored.Corrections)
 	m.counts = missing
 	if stored.Next != 0 {
-		m.opening, m.openUnconfirmed = stored.Next, true
+		m.openingWindow, m.openUnconfirmed = stored.Next, true
 	}
 	if stored.Closed {
 		m.corrections = m.corrections.add(missing)
 		m.counts = make(Totals)
 	}
 	m.changed = true
-	m.opened = false
+	m.isOpen = false
 	m.minWindow = m.window + 1
 }
 
@@ -336,7 +336,7 @@
 	m.mu.Lock()
 	m.counts, m.corrections = make(Totals), make(Totals)
 	m.mu.Unlock()
-	m.opened = false
+	m.isOpen = false
 	m.minWindow = m.window + 1
 	m.events.Emit(event.UsageIncomplete, event.Subject{Count: int64(m.window), Detail: "row swept"})
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -108,7 +108,7 @@
 	case phaseClosed:
 		return true, r.sendReports(ctx, guard, window, windowRow)
 	default:
-		return true, r.passWindow(ctx, cursor, cursorRow, window)
+		return true, r.advanceCursor(ctx, cursor, cursorRow, window)
 	}
 }
 
@@ -136,9 +136,9 @@
 	})
 }
 
-// passWindow moves the cursor to the window after the reported window w, and deletes a batch
+// advanceCursor moves the cursor to the window after the reported window w, and deletes a batch
 // of rows older than the retention.
-func (r *Reporter) passWindow(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
+func (r *Reporter) advanceCursor(ctx context.Context, cursor cursorValue, cursorRow platformapi.Row, w Window) error {
 	cursor.Next = w + 1
 	swept, err := r.sweep(ctx, cursor)
 	if err != nil {
--- a/internal/usagewindow/clock.go
+++ b/internal/usagewindow/clock.go
@@ -48,8 +48,8 @@
 	Since int64 `json:"since"`
 }
 
-// NewClock returns a clock that uses this VM's time of day until SyncOffset succeeds.
-func NewClock(store rowstore.Clock) *FleetClock { return &FleetClock{store: store} }
+// NewFleetClock returns a clock that uses this VM's time of day until SyncOffset succeeds.
+func NewFleetClock(store rowstore.Clock) *FleetClock { return &FleetClock{store: store} }
 
 // SyncOffset reads the fleet's offset from the store, or sets it if there is none yet.
 func (c *FleetClock) SyncOffset(ctx context.Context, store rowstore.Store) error {
--- a/internal/usagewindow/matrix_test.go
+++ b/internal/usagewindow/matrix_test.go
@@ -58,7 +58,7 @@
 func (s *scenario) runVM(p *faultinject.Process, name string, until time.Time) {
 	store := p.OpenStore(s.rows)
 	events := event.NewRecorder(name, 16, event.NewClock(time.Now), zap.NewNop())
-	clock := NewClock(store)
+	clock := NewFleetClock(store)
 	for p.Context.Err() == nil && clock.SyncOffset(p.Context, store) != nil {
 		time.Sleep(countInterval)
 	}
--- a/internal/usagewindow/meter.go
+++ b/internal/usagewindow/meter.go
@@ -30,12 +30,12 @@
 // Meter counts the requests that upstreams began to execute for this VM, by window and
 // client account, and writes the totals to the store. It is safe for concurrent use.
 type Meter struct {
-	clock      *FleetClock
-	store      rowstore.Store
-	rowName    string
-	length     time.Duration
-	callBudget *budget.Budget
-	events     *event.Recorder
+	clock        *FleetClock
+	store        rowstore.Store
+	rowName      string
+	windowLength time.Duration
+	callBudget   *budget.Budget
+	events       *event.Recorder
 
 	mu      sync.Mutex
 	windows map[int64]*totals
@@ -53,7 +53,7 @@
 // NewMeter returns a meter that writes to the row rowName. The name must be unique for
 // each process, so that no process overwrites another one's totals.
 func NewMeter(clock *FleetClock, store rowstore.Store, rowName string, length time.Duration, callBudget *budget.Budget, events *event.Recorder) *Meter {
-	return &Meter{clock: clock, store: store, rowName: rowName, length: length, callBudget: callBudget, events: events, windows: make(map[int64]*totals)}
+	return &Meter{clock: clock, store: store, rowName: rowName, windowLength: length, callBudget: callBudget, events: events, windows: make(map[int64]*totals)}
 }
 
 // CountRun counts a request of the account that an upstream began to execute at the given
@@ -68,7 +68,7 @@
 	if account == "" {
 		return
 	}
-	window := m.clock.FleetMillis(at) / m.length.Milliseconds()
+	window := m.clock.FleetMillis(at) / m.windowLength.Milliseconds()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	t, ok := m.windows[window]
@@ -161,14 +161,14 @@
 	return out
 }
 
-// noteVersion records the version of a window's row. If done is false, the row does not
+// noteVersion records the version of a window's row. If written is false, the row does not
 // have the totals that were to be written, and they are marked as changed again.
-func (m *Meter) noteVersion(window, version int64, done bool) {
+func (m *Meter) noteVersion(window, version int64, written bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if t, ok := m.windows[window]; ok {
 		t.version = version
-		t.dirty = t.dirty || !done
+		t.dirty = t.dirty || !written
 	}
 }
 
--- a/internal/usagewindow/usagewindow_test.go
+++ b/internal/usagewindow/usagewindow_test.go
@@ -64,7 +64,7 @@
 
 func startVM(t *testing.T, store *memory.Store, b *fakeBilling, name string) vm {
 	events := event.NewRecorder(name, 64, event.NewClock(time.Now), zap.NewNop())
-	clock := NewClock(store)
+	clock := NewFleetClock(store)
 	if err := clock.SyncOffset(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
@@ -208,13 +208,13 @@
 func TestClockUsesTheFleetsOffset(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := memory.New()
-		first := NewClock(store)
+		first := NewFleetClock(store)
 		if err := first.SyncOffset(t.Context(), store); err != nil {
 			t.Fatal(err)
 		}
 		want := first.FleetMillis(time.Now())
 		store.Set(rowstore.Key{Table: clockTable, Name: clockName}, "3600000")
-		second := NewClock(store)
+		second := NewFleetClock(store)
 		if err := second.SyncOffset(t.Context(), store); err != nil {
 			t.Fatal(err)
 		}
@@ -254,7 +254,7 @@
 
 // syncFleetClock sets the fleet's clock and returns the current window.
 func syncFleetClock(t *testing.T, store *memory.Store) int64 {
-	clock := NewClock(store)
+	clock := NewFleetClock(store)
 	if err := clock.SyncOffset(t.Context(), store); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/weightload/loader.go
+++ b/internal/weightload/loader.go
@@ -324,7 +324,7 @@
 
 // WatchLoads watches the weight loads that the loaders of all failure domains publish and
 // records them in the roster, until ctx ends. It calls changed after each update.
-func WatchLoads(ctx context.Context, store rowstore.Store, roster *target.Roster, calls *budget.Budget, events *event.Recorder, changed func()) {
+func WatchLoads(ctx context.Context, store rowstore.Store, roster *target.Roster, callBudget *budget.Budget, events *event.Recorder, changed func()) {
 	apply := func(rows []rowstore.Row) {
 		for _, row := range rows {
 			if !row.Deleted {
@@ -333,8 +333,8 @@
 		}
 		changed()
 	}
-	pollInterval := func() time.Duration { return calls.Interval(budget.WeightLoads, minPollInterval) }
-	retryBackoff := func() time.Duration { return calls.RetryBackoff(budget.WeightLoads, minPollInterval) }
+	pollInterval := func() time.Duration { return callBudget.Interval(budget.WeightLoads, minPollInterval) }
+	retryBackoff := func() time.Duration { return callBudget.RetryBackoff(budget.WeightLoads, minPollInterval) }
 	watcher := rowstore.Watcher{
 		Store: store, Table: table, AllParts: true, PollTimeout: pollTimeout, Replace: apply, Apply: apply, MinPollInterval: pollInterval, RetryBackoff: retryBackoff,
 		OnOutage: events.OnDependencyLost("loads of weights"), OnRecovery: events.OnDependencyRegained("loads of weights"),
--- a/internal/weightload/plan.go
+++ b/internal/weightload/plan.go
@@ -72,9 +72,9 @@
 		return int(math.Round(sum * float64(total)))
 	}
 	for i := range demands {
-		through := firstModels(preceding+engines, i+1) - firstModels(preceding+engines, i)
-		earlier := firstModels(preceding, i+1) - firstModels(preceding, i)
-		out[i] = through - earlier
+		cumulative := firstModels(preceding+engines, i+1) - firstModels(preceding+engines, i)
+		precedingCount := firstModels(preceding, i+1) - firstModels(preceding, i)
+		out[i] = cumulative - precedingCount
 	}
 	return correctRounding(out, engines)
 }
@@ -82,13 +82,13 @@
 // correctRounding removes negative counts, gives each model at least one engine if
 // there are enough, and makes the sum equal to engines.
 func correctRounding(out []int, engines int) []int {
-	least := 0
+	minCount := 0
 	if engines >= len(out) {
-		least = 1
+		minCount = 1
 	}
 	sum := 0
 	for i := range out {
-		out[i] = max(out[i], least)
+		out[i] = max(out[i], minCount)
 		sum += out[i]
 	}
 	for sum != engines && len(out) > 0 {
