--- a/internal/lease/manager.go
+++ b/internal/lease/manager.go
@@ -69,7 +69,7 @@
 func NewManager(tables platformapi.Tables, vm string, term time.Duration, events *event.Recorder, options ...Option) *Manager {
 	timing := NewTiming(term)
 	m := &Manager{
-		tables: timedTables{tables: tables, timeout: timing.Term / callTimeoutDivisor},
+		tables: timeoutTables{tables: tables, timeout: timing.Term / callTimeoutDivisor},
 		vm:     vm,
 		timing: timing,
 		events: events,
@@ -103,7 +103,7 @@
 		if err != nil {
 			return err
 		}
-		done, err := c.serve(ctx, hold, run)
+		done, err := c.runWhileHeld(ctx, hold, run)
 		if done && err == nil {
 			return nil
 		}
@@ -198,8 +198,8 @@
 	return backoff/2 + time.Duration(jitter(c.name, c.identity)*float64(backoff)/2)
 }
 
-// serve calls run while the lease is renewed, and then releases the lease.
-func (c *campaign) serve(ctx context.Context, hold *Hold, run func(context.Context, Guard) (bool, error)) (bool, error) {
+// runWhileHeld calls run while the lease is renewed, and then releases the lease.
+func (c *campaign) runWhileHeld(ctx context.Context, hold *Hold, run func(context.Context, Guard) (bool, error)) (bool, error) {
 	renewCtx, stopRenewing := context.WithCancel(context.WithoutCancel(ctx))
 	runCtx, stopRun := context.WithCancelCause(ctx)
 	// Both renewLoop and the check after run can find the loss; the event is emitted
--- a/internal/lease/timed.go
+++ b/internal/lease/timed.go
@@ -7,29 +7,29 @@
 	"dogwoodpond/internal/platformapi"
 )
 
-// timedTables limits each call by a timeout. A call that hangs must leave enough of the
+// timeoutTables limits each call by a timeout. A call that hangs must leave enough of the
 // term to find out its outcome; otherwise a single lost reply would end the lease.
-type timedTables struct {
+type timeoutTables struct {
 	tables  platformapi.Tables
 	timeout time.Duration
 }
 
 // Get implements platformapi.Tables.
-func (t timedTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
+func (t timeoutTables) Get(ctx context.Context, key string) (platformapi.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Get(ctx, key)
 }
 
 // Scan implements platformapi.Tables.
-func (t timedTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
+func (t timeoutTables) Scan(ctx context.Context, prefix, after string, limit int) ([]platformapi.Row, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Scan(ctx, prefix, after, limit)
 }
 
 // Commit implements platformapi.Tables.
-func (t timedTables) Commit(ctx context.Context, txn platformapi.Txn) error {
+func (t timeoutTables) Commit(ctx context.Context, txn platformapi.Txn) error {
 	ctx, cancel := context.WithTimeout(ctx, t.timeout)
 	defer cancel()
 	return t.tables.Commit(ctx, txn)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -322,12 +322,12 @@
 	if isAlive == wasAlive {
 		return
 	}
-	number := event.PeerUnresponsive
+	kind := event.PeerUnresponsive
 	if isAlive {
-		number = event.PeerResponsive
+		kind = event.PeerResponsive
 		status.returnedAt = l.polledAt
 	}
-	l.events.Emit(number, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Incarnation})
+	l.events.Emit(kind, event.Subject{Peer: status.vm.ID, Count: status.unchangedFor.Milliseconds(), Detail: "life " + status.vm.Incarnation})
 }
 
 func (l *List) isAlive(status *statusRow) bool {
--- a/internal/rowstore/commit.go
+++ b/internal/rowstore/commit.go
@@ -39,8 +39,8 @@
 		}
 		var conflict *Conflict
 		if errors.As(err, &conflict) {
-			if committed, at := isCommitted(conflict, txn); effectUnknown && committed {
-				return at, nil
+			if committed, rowVersion := isCommitted(conflict, txn); effectUnknown && committed {
+				return rowVersion, nil
 			}
 			return 0, err
 		}
--- a/internal/scoring/client.go
+++ b/internal/scoring/client.go
@@ -41,11 +41,11 @@
 // the service's complete, successful answer. residency limits the failure domains to which
 // the call may go. forward.FailedAnswerCount returns, for an error of Score, how many
 // upstreams answered that the call failed.
-func (c *Client) Score(ctx context.Context, call Call, by *route.Route, residency route.Residency) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, timeoutOf(by))
+func (c *Client) Score(ctx context.Context, call Call, callRoute *route.Route, residency route.Residency) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeoutOf(callRoute))
 	defer cancel()
 	answer, err := c.Forwarder.Do(ctx, forward.Call{
-		ID: call.ID, Route: idempotentRoute(by), Arrived: time.Now(),
+		ID: call.ID, Route: idempotentRoute(callRoute), Arrived: time.Now(),
 		Method: http.MethodPost, URI: call.Path, Host: call.Host, Header: make(http.Header), Body: call.Body,
 		Residency: residency,
 	})
@@ -82,17 +82,17 @@
 
 // idempotentRoute returns a copy of the route for score calls, which may be executed more
 // than once whatever kind the route sets for callers' requests.
-func idempotentRoute(by *route.Route) *route.Route {
-	r := *by
+func idempotentRoute(callRoute *route.Route) *route.Route {
+	r := *callRoute
 	r.Kind = route.Idempotent
 	return &r
 }
 
 // timeoutOf returns the timeout of a score call by the given route.
-func timeoutOf(by *route.Route) time.Duration {
-	limit := time.Duration(float64(by.Objective) * timeoutObjectives)
-	if limit <= 0 || by.Timeout > 0 && by.Timeout < limit {
-		limit = by.Timeout
+func timeoutOf(callRoute *route.Route) time.Duration {
+	limit := time.Duration(float64(callRoute.Objective) * timeoutObjectives)
+	if limit <= 0 || callRoute.Timeout > 0 && callRoute.Timeout < limit {
+		limit = callRoute.Timeout
 	}
 	if limit <= 0 {
 		return defaultTimeout
--- a/internal/step/commit.go
+++ b/internal/step/commit.go
@@ -104,13 +104,13 @@
 
 // commitResults commits results at a position and reports whether another batch may follow.
 // It may after a commit. It also may after a failure to prepare the rows, for example to
-// store a text that is too large for one; commitResults then waits for loadBackoff first.
+// store a text that is too large for one; commitResults then waits for stepIOBackoff first.
 func (r *run) commitResults(ctx context.Context, batch []Result, position int) bool {
 	rec := r.current()
 	puts, err := resultPuts(ctx, r.m.Store, rec.ID, position, batch)
 	if err != nil {
 		r.m.Events.Emit(event.DependencyLost, event.Subject{Step: rec.ID, Detail: "results: " + err.Error()})
-		return wait.For(ctx, loadBackoff)
+		return wait.For(ctx, stepIOBackoff)
 	}
 	txn := rowstore.Txn{Puts: puts, Expected: []rowstore.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
 	for _, put := range puts {
--- a/internal/step/early.go
+++ b/internal/step/early.go
@@ -41,9 +41,9 @@
 	mu     sync.Mutex
 	run    *run
 	closed bool
-	// decided is nil until another copy of the step is accepted. It is closed once the run
+	// decidedCh is nil until another copy of the step is accepted. It is closed once the run
 	// has either claimed the step or been stopped.
-	decided chan struct{}
+	decidedCh chan struct{}
 }
 
 // start runs the items, unless the outcome of the submission is already known.
@@ -90,15 +90,15 @@
 // stops the run. Concurrent calls return once the first one has decided.
 func (e *earlyRun) claimOrStop(accepted stateRecord) {
 	e.mu.Lock()
-	run, decided := e.run, e.decided
-	if decided == nil {
-		e.decided = make(chan struct{})
-		defer close(e.decided)
+	run, decidedCh := e.run, e.decidedCh
+	if decidedCh == nil {
+		e.decidedCh = make(chan struct{})
+		defer close(e.decidedCh)
 	}
 	e.mu.Unlock()
 	switch {
-	case decided != nil:
-		<-decided
+	case decidedCh != nil:
+		<-decidedCh
 	case run != nil && !e.claimWithRetry(run, accepted):
 		e.manager.stop(run)
 	}
--- a/internal/step/firstsender.go
+++ b/internal/step/firstsender.go
@@ -76,20 +76,20 @@
 )
 
 // IsFirstSender reports whether this VM is the first sender of an engine: whether it ranks
-// first for the engine among the owners of the open steps that the engine can serve. ok is
-// false when there are no such steps, and true when the states are too old to tell. A VM
+// first for the engine among the owners of the open steps that the engine can serve. decided
+// is false when there are no such steps, and true when the states are too old to tell. A VM
 // that can't read the state rows is never first: each VM would otherwise consider only the
 // owners that it knows, often just itself, and several VMs would be first.
-func (m *Manager) IsFirstSender(e *target.Entry) (first, ok bool) {
+func (m *Manager) IsFirstSender(e *target.Entry) (first, decided bool) {
 	now := time.Now()
 	age := time.Duration(now.UnixNano() - m.statesReadAt.Load())
 	if age > statesMaxAge {
 		return false, true
 	}
 	all := m.openSteps()
-	vm, ok := firstSenderOf(all, e)
+	vm, decided := firstSenderOf(all, e)
 	if vm != m.VM || age > firstSenderStatesMaxAge {
-		return false, ok
+		return false, decided
 	}
 	return slices.ContainsFunc(all, func(s openStep) bool {
 		return s.owner == m.VM && s.canBeServedBy(e) && now.Sub(s.ownerKnownSince) >= ownerGracePeriod
@@ -127,14 +127,14 @@
 	return false
 }
 
-// withOtherFirstSender returns the engines for which another VM that owns an open step ranks
-// first.
+// enginesWithOtherFirstSender returns the engines for which another VM that owns an open step
+// ranks first.
 //
 // This matters when trainers submit their steps at the same moment. Engines that have just
 // started have the newest version of every model, and no owner sees yet what another one
 // sends. All owners would fill the same engines, and most items would wait in the queues of
 // these engines.
-func (m *Manager) withOtherFirstSender(engines []*target.Entry) map[*target.Entry]bool {
+func (m *Manager) enginesWithOtherFirstSender(engines []*target.Entry) map[*target.Entry]bool {
 	all := m.openSteps()
 	out := make(map[*target.Entry]bool)
 	for _, e := range engines {
@@ -156,5 +156,5 @@
 // pool returns the engines of a service that may receive items now.
 func (m *Manager) pool(service string, now time.Time) pool {
 	engines := m.engines(service, now)
-	return pool{engines: engines, otherFirstSender: m.withOtherFirstSender(engines)}
+	return pool{engines: engines, otherFirstSender: m.enginesWithOtherFirstSender(engines)}
 }
--- a/internal/step/item.go
+++ b/internal/step/item.go
@@ -73,11 +73,11 @@
 // the next attempt.
 func (r *run) handleOutcome(i int, n need, entry *target.Entry, outcome attemptOutcome) {
 	now := time.Now()
-	read := r.text(i)
+	text := r.text(i)
 	if outcome != attemptComplete {
 		r.m.Events.Emit(event.AttemptFailed, event.Subject{
 			Step: r.rec.ID, Slot: r.items[i].ID, Account: r.rec.Account, Upstream: entry.Info().ID,
-			Detail: outcome.String() + " after event " + strconv.FormatInt(read.lastEvent, 10),
+			Detail: outcome.String() + " after event " + strconv.FormatInt(text.lastEvent, 10),
 		})
 	}
 	switch outcome {
@@ -89,8 +89,8 @@
 		entry.NoteModelUnavailable(n.model, now.Add(refusedBackoff))
 		r.requeue(i, 0)
 	case attemptFailed:
-		if n := r.countFailure(i); n >= max(r.rec.Attempts, 1) {
-			r.abandon(i, "failed "+strconv.Itoa(n)+" times")
+		if failures := r.countFailure(i); failures >= max(r.rec.Attempts, 1) {
+			r.abandon(i, "failed "+strconv.Itoa(failures)+" times")
 			return
 		}
 		r.requeue(i, retryBackoff)
@@ -106,7 +106,7 @@
 	case attemptInterrupted:
 		entry.NoteUnanswered()
 		entry.NoteFailure(now)
-		r.requeue(i, r.interruptedBackoff(i, read))
+		r.requeue(i, r.interruptedBackoff(i, text))
 	}
 }
 
@@ -206,7 +206,7 @@
 		return attemptInterrupted
 	}
 	defer func() { _ = response.Body.Close() }()
-	if outcome, bad := checkResponse(response); bad {
+	if outcome, ends := checkResponse(response); ends {
 		return outcome
 	}
 	if response.Version > 0 {
@@ -218,9 +218,9 @@
 	return a.read(response)
 }
 
-// checkResponse classifies a response by its status. bad is true when the attempt ends with
+// checkResponse classifies a response by its status. ends is true when the attempt ends with
 // outcome; otherwise the body is the item's stream.
-func checkResponse(response *target.Response) (outcome attemptOutcome, bad bool) {
+func checkResponse(response *target.Response) (outcome attemptOutcome, ends bool) {
 	switch {
 	case response.NotRun:
 		return attemptRefused, true
--- a/internal/step/manager.go
+++ b/internal/step/manager.go
@@ -31,9 +31,9 @@
 	// takeoverRankDelay is how much longer a VM waits before it takes over a step than the
 	// VM that ranks just before it, which needs two calls to the store for a takeover.
 	takeoverRankDelay = 600 * time.Millisecond
-	// loadBackoff is the backoff between attempts to read a step that is taken over, and
+	// stepIOBackoff is the backoff between attempts to read a step that is taken over, and
 	// between attempts to store the objects of large results.
-	loadBackoff = 100 * time.Millisecond
+	stepIOBackoff = 100 * time.Millisecond
 )
 
 // Members is the list of the VMs of the fleet.
@@ -94,8 +94,8 @@
 	states map[string]stateRecord
 	// runs holds the steps that run on this VM.
 	runs map[string]*run
-	// loading holds the steps that this VM is taking over.
-	loading map[string]bool
+	// takingOver holds the steps that this VM is taking over.
+	takingOver map[string]bool
 	// unownedSince is when this VM first found that a step has no live owner.
 	unownedSince map[string]time.Time
 	retained     *retainedTexts
@@ -123,7 +123,7 @@
 		takeoverSignal: make(chan struct{}, 1),
 		states:         make(map[string]stateRecord),
 		runs:           make(map[string]*run),
-		loading:        make(map[string]bool),
+		takingOver:     make(map[string]bool),
 		unownedSince:   make(map[string]time.Time),
 		retained:       newRetainedTexts(),
 		ctx:            ctx,
--- a/internal/step/move.go
+++ b/internal/step/move.go
@@ -61,15 +61,15 @@
 	// fast enough, and most of the time items are pending.
 	limit := moveMinSlowdown * float64(target.MedianUnitTime(engines, now))
 	slow := limit > 0 && float64(average) >= limit
-	idle := !a.run.hasPending()
-	if !slow && !idle {
+	nonePending := !a.run.hasPending()
+	if !slow && !nonePending {
 		return
 	}
-	other := place(pool{engines: engines, otherFirstSender: a.run.m.withOtherFirstSender(engines)}, a.need, a.entry, now)
+	other := place(pool{engines: engines, otherFirstSender: a.run.m.enginesWithOtherFirstSender(engines)}, a.need, a.entry, now)
 	if other == nil {
 		return
 	}
-	if slow && float64(other.UnitTime(now)) < limit || idle && isWorthMove(average, other, now) {
+	if slow && float64(other.UnitTime(now)) < limit || nonePending && isWorthMove(average, other, now) {
 		a.cancel(errMoved)
 	}
 }
--- a/internal/step/place.go
+++ b/internal/step/place.go
@@ -111,8 +111,8 @@
 	if e.Info().FailureDomain != n.domain {
 		cost += otherDomainCost
 	}
-	if p := e.ExpectedUnitTime(now); median > 0 && p > 0 {
-		cost += slowdownCost * min(float64(p)/float64(median)-1, maxSlowdown)
+	if unitTime := e.ExpectedUnitTime(now); median > 0 && unitTime > 0 {
+		cost += slowdownCost * min(float64(unitTime)/float64(median)-1, maxSlowdown)
 	}
 	if e.Suspect(now) {
 		cost += suspectCost
--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -17,7 +17,7 @@
 // Scorer sends score calls for texts. It is safe for concurrent use.
 type Scorer interface {
 	// Score returns the score that a service of the route returned.
-	Score(ctx context.Context, call scoring.Call, by *route.Route, residency route.Residency) (string, error)
+	Score(ctx context.Context, call scoring.Call, callRoute *route.Route, residency route.Residency) (string, error)
 }
 
 // awaitScore moves an item with a complete text to the phase in which it needs a score. The
@@ -36,19 +36,19 @@
 // slots, and abandons the items whose time has passed or whose routes were removed.
 func (m *Manager) dispatchScores(r *run) {
 	now := time.Now()
-	late := m.canAbandon(r)
+	canAbandon := m.canAbandon(r)
 	free := make(map[string]int)
 	for pos, ok := r.nextInPhase(phaseUnscored, 0, now); ok; pos, ok = r.nextInPhase(phaseUnscored, pos+1, now) {
 		i := r.order[pos]
-		by, routed := r.scoreRoute(i)
-		if late || !routed {
+		callRoute, routed := r.scoreRoute(i)
+		if canAbandon || !routed {
 			r.abandonFrom(i, phaseUnscored, routed)
 			continue
 		}
-		if by == nil {
+		if callRoute == nil {
 			continue
 		}
-		service := by.Service(r.items[i].Score.ID)
+		service := callRoute.Service(r.items[i].Score.ID)
 		if _, known := free[service]; !known {
 			free[service] = m.callLimiter.Available(service, m.Roster.Usable(service, now), now)
 		}
@@ -59,7 +59,7 @@
 		m.callLimiter.Begin(service)
 		m.tasks.Go(func() {
 			defer m.callLimiter.End(service)
-			r.score(i, by)
+			r.score(i, callRoute)
 		})
 	}
 }
@@ -68,14 +68,14 @@
 // nil while there is none. The text is kept meanwhile, since the route may be restored.
 // routed is false when the item's own route was removed as well; nobody needs the item
 // then.
-func (r *run) scoreRoute(i int) (by *route.Route, routed bool) {
+func (r *run) scoreRoute(i int) (callRoute *route.Route, routed bool) {
 	snapshot := r.m.View.Load()
 	if snapshot == nil {
 		return nil, true
 	}
 	call := r.items[i].Score
-	if by, err := snapshot.Match(call.Host, call.Path); err == nil {
-		return by, true
+	if callRoute, err := snapshot.Match(call.Host, call.Path); err == nil {
+		return callRoute, true
 	}
 	_, routed = r.needOf(i)
 	return nil, routed
@@ -83,9 +83,9 @@
 
 // score makes the score call of an item once. It finishes the item, abandons it, or queues
 // the next attempt.
-func (r *run) score(i int, by *route.Route) {
+func (r *run) score(i int, callRoute *route.Route) {
 	item := r.items[i]
-	score, err := r.m.Scorer.Score(r.itemCtx, *item.Score, by, r.m.residency(r.rec.Account, by))
+	score, err := r.m.Scorer.Score(r.itemCtx, *item.Score, callRoute, r.m.residency(r.rec.Account, callRoute))
 	if r.itemCtx.Err() != nil {
 		return
 	}
@@ -100,7 +100,7 @@
 	state, backoff := r.countScoreFailure(i, err)
 	subject.Detail, subject.Count = string(fault.CodeOf(err)), int64(state.NegativeAnswers)
 	r.m.Events.Emit(event.ScoreFailed, subject)
-	if state.ShouldAbandon(max(by.Attempts, 1)) {
+	if state.ShouldAbandon(max(callRoute.Attempts, 1)) {
 		r.abandon(i, "its call for a score failed at every attempt")
 		return
 	}
--- a/internal/step/takeover.go
+++ b/internal/step/takeover.go
@@ -37,8 +37,8 @@
 }
 
 // selectForTakeover returns the steps that this VM should run but does not, and marks them
-// as loading. A step is taken over when its owner's process is dead, by the VM that
-// ranks first for the step. Each further VM waits longer, according to its rank.
+// as being taken over. A step is taken over when its owner's process is dead, by the VM
+// that ranks first for the step. Each further VM waits longer, according to its rank.
 func (m *Manager) selectForTakeover(now time.Time) []stateRecord {
 	if !m.Members.Ready() {
 		return nil
@@ -50,7 +50,7 @@
 	}
 	var steps []stateRecord
 	for id, r := range m.states {
-		if r.Ended || m.runs[id] != nil || m.loading[id] {
+		if r.Ended || m.runs[id] != nil || m.takingOver[id] {
 			continue
 		}
 		if r.Owner != "" && m.Members.Alive(r.Owner, r.OwnerIncarnation) && (r.Owner != m.VM || r.OwnerIncarnation != m.Incarnation) {
@@ -69,7 +69,7 @@
 		if !ownStep && !m.canTakeOver(r, now.Sub(since)) {
 			continue
 		}
-		m.loading[id] = true
+		m.takingOver[id] = true
 		steps = append(steps, r)
 	}
 	return steps
@@ -90,7 +90,7 @@
 	defer func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.loading, r.ID)
+		delete(m.takingOver, r.ID)
 	}()
 	if r.Owner != m.VM || r.OwnerIncarnation != m.Incarnation {
 		var ok bool
@@ -117,7 +117,7 @@
 		if fault.Is[*fault.Internal](err) {
 			m.Events.Emit(event.RowUnreadable, event.Subject{Step: r.ID, Detail: err.Error()})
 		}
-		wait.For(ctx, loadBackoff)
+		wait.For(ctx, stepIOBackoff)
 	}
 }
 
--- a/internal/step/text.go
+++ b/internal/step/text.go
@@ -97,13 +97,13 @@
 	return len(versions) > 0 && slices.Min(versions) >= spec.MinVersion
 }
 
-// saveTexts saves the texts that takeUnsaved selects; events is the minimum number of new
+// saveTexts saves the texts that takeUnsaved selects; minEvents is the minimum number of new
 // events. A failure is ignored: the next owner would generate the items again.
-func (r *run) saveTexts(ctx context.Context, events int64) {
+func (r *run) saveTexts(ctx context.Context, minEvents int64) {
 	rec := r.current()
 	txn := rowstore.Txn{Expected: []rowstore.Expectation{{Key: stateKey(rec.ID), Version: rec.version}}}
 	size := 0
-	for i, text := range r.takeUnsaved(events) {
+	for i, text := range r.takeUnsaved(minEvents) {
 		value, err := encodeRow(text)
 		if err != nil || len(value) > rowLimit || size+len(value) > saveMaxBytes {
 			// Texts that don't fit are generated again if the owner is lost.
@@ -123,15 +123,15 @@
 }
 
 // takeUnsaved returns, by index of the item, the texts that since their last save got at least
-// the given number of events, became complete, or belong to items that failed. It marks them
+// minEvents new events, became complete, or belong to items that failed. It marks them
 // as saved. A text whose save fails is saved again once it qualifies anew.
-func (r *run) takeUnsaved(events int64) map[int]savedText {
+func (r *run) takeUnsaved(minEvents int64) map[int]savedText {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	texts := make(map[int]savedText)
 	for i := range r.progress {
 		p := &r.progress[i]
-		grew := p.partial.hasEvents && p.partial.lastEvent >= p.partial.savedEvent+events
+		grew := p.partial.hasEvents && p.partial.lastEvent >= p.partial.savedEvent+minEvents
 		becameComplete := p.partial.complete && !p.partial.savedComplete
 		failures := p.failures + p.scoreTries.NegativeAnswers
 		if p.phase == phaseDone || !grew && !becameComplete && failures == p.savedFailures {
@@ -179,26 +179,26 @@
 
 // add stores the texts of a run, up to the size limit, and evicts expired ones.
 func (t *retainedTexts) add(account string, texts map[string]savedText, now time.Time) {
-	for id, at := range t.addedAt {
+	for key, at := range t.addedAt {
 		if now.Sub(at) > retainedTTL {
-			t.remove(id)
+			t.remove(key)
 		}
 	}
 	for item, text := range texts {
-		id := account + "/" + item
+		key := account + "/" + item
 		if t.size+len(text.Text) > retainedMaxBytes {
 			return
 		}
-		t.remove(id)
-		t.texts[id], t.addedAt[id] = text, now
+		t.remove(key)
+		t.texts[key], t.addedAt[key] = text, now
 		t.size += len(text.Text)
 	}
 }
 
-func (t *retainedTexts) remove(id string) {
-	t.size -= len(t.texts[id].Text)
-	delete(t.texts, id)
-	delete(t.addedAt, id)
+func (t *retainedTexts) remove(key string) {
+	t.size -= len(t.texts[key].Text)
+	delete(t.texts, key)
+	delete(t.addedAt, key)
 }
 
 // forItems returns the retained texts for the given items, by item ID.
--- a/internal/target/choose.go
+++ b/internal/target/choose.go
@@ -14,10 +14,10 @@
 // an upstream in another domain.
 const (
 	otherDomainCost = 0.35
-	// slowThreshold is no cost: an upstream is slow when its unit time is more than this
+	// slowFactor is no cost: an upstream is slow when its unit time is more than this
 	// multiple of the median.
-	slowThreshold = 2.0
-	slowCost      = 0.8
+	slowFactor = 2.0
+	slowCost   = 0.8
 	// coldCost makes a warming upstream a choice only when the others are full.
 	coldCost = 1.0
 )
@@ -70,7 +70,7 @@
 	if e.Info().FailureDomain != domain {
 		cost += otherDomainCost
 	}
-	if s := slowness(e, median, now); s > slowThreshold {
+	if s := slowness(e, median, now); s > slowFactor {
 		cost += slowCost
 	}
 	if e.Cold(now) {
--- a/internal/target/evacuation.go
+++ b/internal/target/evacuation.go
@@ -37,21 +37,21 @@
 	if before[domain] == evacuated {
 		return
 	}
-	after, number := maps.Clone(before), event.DomainRestored
+	after, kind := maps.Clone(before), event.DomainRestored
 	if evacuated {
-		after[domain], number = true, event.DomainEvacuated
+		after[domain], kind = true, event.DomainEvacuated
 	} else {
 		delete(after, domain)
 	}
 	r.evacuated.Store(&after)
-	r.events.Emit(number, event.Subject{Detail: domain, Count: int64(r.countUpstreams(domain))})
+	r.events.Emit(kind, event.Subject{Detail: domain, Count: int64(r.countUpstreams(domain))})
 }
 
 // countUpstreams returns the number of listed upstreams in a failure domain. The
 // caller holds r.mu.
 func (r *Roster) countUpstreams(domain string) int {
 	n := 0
-	for _, incarnations := range r.incarnations {
+	for _, incarnations := range r.entriesByID {
 		for _, e := range incarnations {
 			if e.Info().FailureDomain == domain && !e.unlisted.Load() {
 				n++
--- a/internal/target/instance.go
+++ b/internal/target/instance.go
@@ -69,11 +69,11 @@
 
 	mu   sync.Mutex
 	load Load
-	// ownAtLoad is the value of inFlight when load was reported.
-	ownAtLoad  int32
-	loadAt     time.Time
-	unitTime   float64
-	unitTimeAt time.Time
+	// inFlightAtLoad is the value of inFlight when load was reported.
+	inFlightAtLoad int32
+	loadAt         time.Time
+	unitTime       float64
+	unitTimeAt     time.Time
 	// longTermUnitTime is the long-term average duration of a unit of work.
 	longTermUnitTime float64
 	observedVersions map[string]int64
@@ -156,7 +156,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admission.noteAnswered(now)
-	e.load, e.ownAtLoad, e.loadAt = load, e.inFlight.Load(), now
+	e.load, e.inFlightAtLoad, e.loadAt = load, e.inFlight.Load(), now
 }
 
 // LoadKnown reports whether the upstream reported its load within loadTTL.
@@ -179,7 +179,7 @@
 	if !e.loadKnownLocked(now) {
 		return 0
 	}
-	others := e.load.Running + e.load.Waiting - int(e.ownAtLoad)
+	others := e.load.Running + e.load.Waiting - int(e.inFlightAtLoad)
 	return max(0, others)
 }
 
--- a/internal/target/roster.go
+++ b/internal/target/roster.go
@@ -18,9 +18,9 @@
 	events *event.Recorder
 
 	mu sync.Mutex
-	// incarnations holds the entries by upstream ID: one for each incarnation that is
+	// entriesByID holds the entries by upstream ID: one for each incarnation that is
 	// listed or still in use.
-	incarnations map[string][]*Entry
+	entriesByID map[string][]*Entry
 	// unlisted holds the entries that are no longer listed.
 	unlisted map[*Entry]bool
 	// current holds the published lists by service. They are never changed in place.
@@ -50,7 +50,7 @@
 
 // NewRoster returns an empty roster.
 func NewRoster(events *event.Recorder) *Roster {
-	r := &Roster{events: events, incarnations: make(map[string][]*Entry), unlisted: make(map[*Entry]bool)}
+	r := &Roster{events: events, entriesByID: make(map[string][]*Entry), unlisted: make(map[*Entry]bool)}
 	r.current.Store(&map[string][]*Entry{})
 	r.evacuated.Store(&map[string]bool{})
 	r.NoteListRead()
@@ -83,7 +83,7 @@
 		return
 	}
 	r.slowStarts = maps.Clone(bounds)
-	for _, incarnations := range r.incarnations {
+	for _, incarnations := range r.entriesByID {
 		for _, e := range incarnations {
 			e.setSlowStart(r.slowStarts[e.Info().Service])
 		}
@@ -100,7 +100,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id := range r.incarnations {
+	for id := range r.entriesByID {
 		if !listed[id] {
 			changes = append(changes, UnlistedChange(id))
 		}
@@ -116,10 +116,10 @@
 }
 
 func (r *Roster) apply(changes []Change) {
-	touched, now := make(touchedServices), time.Now()
+	touched, now := make(listChanges), time.Now()
 	for _, c := range changes {
 		if c.info == nil {
-			for _, e := range r.incarnations[c.id] {
+			for _, e := range r.entriesByID[c.id] {
 				r.unlist(e)
 			}
 			continue
@@ -130,8 +130,8 @@
 	r.publish(touched)
 }
 
-// touchedServices holds the changes to the lists of services.
-type touchedServices map[string]*listChange
+// listChanges holds the changes to the lists of services.
+type listChanges map[string]*listChange
 
 // listChange is the effect of one batch of changes on the list of a service.
 type listChange struct {
@@ -140,24 +140,24 @@
 	removed bool
 }
 
-func (t touchedServices) of(service string) *listChange {
-	if t[service] == nil {
-		t[service] = new(listChange)
+func (l listChanges) of(service string) *listChange {
+	if l[service] == nil {
+		l[service] = new(listChange)
 	}
-	return t[service]
+	return l[service]
 }
 
-func (t touchedServices) add(service string, e *Entry) {
-	c := t.of(service)
+func (l listChanges) add(service string, e *Entry) {
+	c := l.of(service)
 	c.added = append(c.added, e)
 }
 
-func (t touchedServices) remove(service string) { t.of(service).removed = true }
+func (l listChanges) remove(service string) { l.of(service).removed = true }
 
 // upsert adds or updates the entry of an upstream. An upstream that restarts with the same
 // ID has lost its state, so each incarnation has its own entry.
-func (r *Roster) upsert(info Instance, touched touchedServices, now time.Time) {
-	for _, e := range r.incarnations[info.ID] {
+func (r *Roster) upsert(info Instance, touched listChanges, now time.Time) {
+	for _, e := range r.entriesByID[info.ID] {
 		known := e.Info()
 		if known.Started != info.Started {
 			continue
@@ -180,14 +180,14 @@
 		}
 		return
 	}
-	for _, earlier := range r.incarnations[info.ID] {
+	for _, earlier := range r.entriesByID[info.ID] {
 		earlier.NoteMisaddressed()
 		r.unlisted[earlier] = true
 	}
 	e := newEntry(r, info)
 	e.setSlowStart(r.slowStarts[info.Service])
 	e.noteListed(info.ColdFor, now)
-	r.incarnations[info.ID] = append(r.incarnations[info.ID], e)
+	r.entriesByID[info.ID] = append(r.entriesByID[info.ID], e)
 	touched.add(info.Service, e)
 	r.events.Emit(event.UpstreamListed, event.Subject{Upstream: info.ID, Detail: info.Service + " at " + info.Address})
 }
@@ -212,16 +212,16 @@
 
 // evict removes unlisted entries whose grace period is over and that have no requests in
 // flight.
-func (r *Roster) evict(touched touchedServices, now time.Time) {
+func (r *Roster) evict(touched listChanges, now time.Time) {
 	for e := range r.unlisted {
 		if now.UnixNano() <= e.graceUntil.Load() || e.InFlight() > 0 {
 			continue
 		}
 		info := e.Info()
 		delete(r.unlisted, e)
-		r.incarnations[info.ID] = slices.DeleteFunc(r.incarnations[info.ID], func(other *Entry) bool { return other == e })
-		if len(r.incarnations[info.ID]) == 0 {
-			delete(r.incarnations, info.ID)
+		r.entriesByID[info.ID] = slices.DeleteFunc(r.entriesByID[info.ID], func(other *Entry) bool { return other == e })
+		if len(r.entriesByID[info.ID]) == 0 {
+			delete(r.entriesByID, info.ID)
 		}
 		e.evicted = true
 		touched.remove(info.Service)
@@ -229,7 +229,7 @@
 }
 
 // publish makes the new lists of the touched services visible to readers.
-func (r *Roster) publish(touched touchedServices) {
+func (r *Roster) publish(touched listChanges) {
 	if len(touched) == 0 {
 		return
 	}
@@ -267,7 +267,7 @@
 func (r *Roster) Incarnation(id string, started int64) *Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.incarnations[id] {
+	for _, e := range r.entriesByID[id] {
 		if e.Info().Started == started {
 			return e
 		}
@@ -277,7 +277,7 @@
 
 // Upstreams returns the upstreams of a service, including those that are leaving or
 // unlisted.
-func (r *Roster) Upstreams(name string) []*Entry { return (*r.current.Load())[name] }
+func (r *Roster) Upstreams(service string) []*Entry { return (*r.current.Load())[service] }
 
 // HasUpstreams reports whether the roster has any upstream.
 func (r *Roster) HasUpstreams() bool { return len(*r.current.Load()) > 0 }
