--- a/internal/step/score.go
+++ b/internal/step/score.go
@@ -36,12 +36,12 @@
 // slots, and abandons the items whose time has passed or whose routes were removed.
 func (m *Manager) dispatchScores(r *run) {
 	now := time.Now()
-	canAbandon := m.canAbandon(r)
+	abandonable := m.canAbandon(r)
 	free := make(map[string]int)
 	for pos, ok := r.nextInPhase(phaseUnscored, 0, now); ok; pos, ok = r.nextInPhase(phaseUnscored, pos+1, now) {
 		i := r.order[pos]
 		callRoute, routed := r.scoreRoute(i)
-		if canAbandon || !routed {
+		if abandonable || !routed {
 			r.abandonFrom(i, phaseUnscored, routed)
 			continue
 		}
